--- a/crates/hyssopstaird/src/control/node.rs
+++ b/crates/hyssopstaird/src/control/node.rs
@@ -19,8 +19,8 @@
 use hyssopstair_platform::update::step_between;
 use hyssopstair_roster::state::RosterAction;
 use hyssopstair_roster::state::RosterState;
+use hyssopstair_roster::versions::ApplyResult;
 use hyssopstair_roster::versions::ConfigState;
-use hyssopstair_roster::versions::OfferResult;
 use hyssopstair_routing::pace::BuildPacer;
 use hyssopstair_routing::view::RoutingView;
 use hyssopstair_rules::settings::DaemonSettings;
@@ -154,12 +154,12 @@
 
     /// Returns whether a configuration of this version would be news.
     pub fn wants_config(&self, version: u64) -> bool {
-        lock(&self.config).wants(version)
+        lock(&self.config).needs_version(version)
     }
 
     /// Returns the number of members that are not gone.
     pub fn live_members(&self) -> usize {
-        lock(&self.roster).live()
+        lock(&self.roster).live_count()
     }
 
     /// Returns the present view.
@@ -188,18 +188,18 @@
     pub fn offer_config(&self, version: u64, text: &str, steps: Vec<ConfigurationStep>) -> bool {
         let (before, result) = self.change_config(version, text);
         match result {
-            OfferResult::Taken => {
+            ApplyResult::Applied => {
                 log::info!(version, steps = steps.len(); "config: a new version is in force");
                 self.announce_role();
                 self.rebuild_view();
                 self.keep_steps(&before, VersionText { version, text }, steps);
                 true
             }
-            OfferResult::Refused => {
+            ApplyResult::Rejected => {
                 self.report_refused();
                 false
             }
-            OfferResult::Known => false,
+            ApplyResult::Ignored => false,
         }
     }
 
@@ -221,18 +221,18 @@
 
     /// Changes what the process says about itself and tells other members.
     pub async fn declare(&self, state: MemberState) {
-        self.change_roster(|roster, node| roster.declare(state, node.clock.now()));
+        self.change_roster(|roster, node| roster.set_state(state, node.clock.now()));
         for _ in 0..FAREWELL_ROUNDS {
             let version = lock(&self.config).version();
-            let actions = lock(&self.roster).farewell(version, self.clock.now());
+            let actions = lock(&self.roster).announce_immediately(version, self.clock.now());
             self.carry_out(&actions).await;
         }
     }
 
-    fn change_config(&self, version: u64, text: &str) -> (ConfigState, OfferResult) {
+    fn change_config(&self, version: u64, text: &str) -> (ConfigState, ApplyResult) {
         let mut config = lock(&self.config);
         let before = config.clone();
-        let result = config.offer(version, text);
+        let result = config.apply(version, text);
         (before, result)
     }
 
@@ -275,15 +275,15 @@
             zone: rules.zone(&self.zone_name).unwrap_or(0),
             weight: 1,
         };
-        self.change_roster(|roster, node| roster.declare_role(role, node.clock.now()));
+        self.change_roster(|roster, node| roster.set_role(role, node.clock.now()));
     }
 
     fn change_roster<T>(&self, change: impl FnOnce(&mut RosterState, &Self) -> T) -> T {
         let mut roster = lock(&self.roster);
-        let before = roster.changes();
+        let before = roster.change_count();
         let result = change(&mut roster, self);
-        let changed = roster.changes() != before;
-        let incarnation = roster.me().process.incarnation;
+        let changed = roster.change_count() != before;
+        let incarnation = roster.own_entry().process.incarnation;
         drop(roster);
         self.note_incarnation(incarnation);
         if changed && lock(&self.pacer).note_change(self.clock.now()) {
@@ -303,7 +303,7 @@
 
     fn report_refused(&self) {
         let config = lock(&self.config).clone();
-        let Some(refused) = config.refused() else {
+        let Some(refused) = config.rejected() else {
             return;
         };
         for error in refused.errors.iter() {
--- a/crates/roster/examples/control_cost.rs
+++ b/crates/roster/examples/control_cost.rs
@@ -188,7 +188,7 @@
     let start = meter.now + Duration::from_secs(60);
     let copies = (arguments.members as f64).ln().ceil() + 2.0;
     let mut view_nanos = 0;
-    let mut changes = meter.roster.changes();
+    let mut changes = meter.roster.change_count();
     let ticks = arguments.seconds * 1_000 / TICK_MILLIS;
     meter.now = start;
     for _ in 0..ticks {
@@ -196,8 +196,8 @@
         meter.tick();
         answer_pings(&mut meter);
         offer_load(&mut meter, arguments, copies, &mut random);
-        if meter.roster.changes() != changes {
-            changes = meter.roster.changes();
+        if meter.roster.change_count() != changes {
+            changes = meter.roster.change_count();
             view_nanos += build_view(&meter.roster);
         }
     }
@@ -250,7 +250,7 @@
         let page = message(entry(1, 100), body);
         meter.receive(&page);
     }
-    assert_eq!(meter.roster.live(), members);
+    assert_eq!(meter.roster.live_count(), members);
     meter
 }
 
@@ -365,7 +365,7 @@
         let now = bag.now;
         bag.nodes[subject]
             .roster
-            .declare(MemberState::Draining, now);
+            .set_state(MemberState::Draining, now);
         let limit = Duration::from_secs(120);
         let took = bag.run_until(limit, |bag| bag.all_know(subject, MemberState::Draining));
         times.push(took.expect("the change reached all"));
@@ -436,7 +436,7 @@
 fn tell_all(bag: &mut MessageBag, entries: &[MemberEntry]) {
     let now = bag.now;
     for node in &mut bag.nodes {
-        node.roster.insert_known(entries, now);
+        node.roster.merge_entries(entries, now);
     }
 }
 
@@ -464,7 +464,7 @@
 }
 
 fn stale_entries(bag: &MessageBag, arguments: &LostArguments) -> usize {
-    let known = |node: &bag::BagNode| node.roster.live() - arguments.members;
+    let known = |node: &bag::BagNode| node.roster.live_count() - arguments.members;
     let stale = |node| match arguments.back {
         true => arguments.lost - known(node),
         false => known(node),
--- a/crates/roster/src/exchange.rs
+++ b/crates/roster/src/exchange.rs
@@ -107,7 +107,7 @@
             if entry.process.address == self.me.process.address {
                 self.hear_of_me(entry, now);
             } else if self.table.merge(entry, now) {
-                let live = self.table.live();
+                let live = self.table.live_count();
                 self.queue.push(entry.process.address, live);
             }
         }
@@ -351,7 +351,7 @@
             self.presence.welcome();
             self.announce(now);
         }
-        self.insert_known(entries, now);
+        self.merge_entries(entries, now);
         if more {
             self.join.after = entries.last().map(|entry| entry.process.address);
             self.ask_page(actions, now);
--- a/crates/roster/src/join.rs
+++ b/crates/roster/src/join.rs
@@ -35,7 +35,7 @@
 
 impl RosterState {
     pub(crate) fn join_round(&mut self, actions: &mut Vec<RosterAction>, now: MonotonicTime) {
-        let alone = self.table.live() <= 1;
+        let alone = self.table.live_count() <= 1;
         if self.presence.is_starting() {
             self.presence.wait(!self.contacts.is_empty() || !alone, now);
             self.join.done |= !self.presence.is_starting();
--- a/crates/roster/src/members.rs
+++ b/crates/roster/src/members.rs
@@ -42,12 +42,12 @@
     }
 
     /// Returns a number that grows with each change.
-    pub fn changes(&self) -> u64 {
+    pub fn change_count(&self) -> u64 {
         self.changes
     }
 
     /// Returns the number of members that are present.
-    pub fn live(&self) -> usize {
+    pub fn live_count(&self) -> usize {
         self.entries.len() - self.tombstones.len()
     }
 
--- a/crates/roster/src/probe.rs
+++ b/crates/roster/src/probe.rs
@@ -79,7 +79,7 @@
     /// Returns whether the fault is likely on this side: nobody at all was
     /// heard, though there are more members than this process watches.
     fn is_cut_off(&self, now: MonotonicTime) -> bool {
-        now.since(self.heard) >= SUSPICION_TIME && self.table.live() > WATCHERS + 1
+        now.since(self.heard) >= SUSPICION_TIME && self.table.live_count() > WATCHERS + 1
     }
 
     fn suspect(&mut self, target: ProcessId, now: MonotonicTime) {
@@ -94,15 +94,15 @@
             ..*known
         };
         if self.table.merge(&entry, now) {
-            self.queue.push(target.address, self.table.live());
+            self.queue.push(target.address, self.table.live_count());
         }
     }
 
     fn refresh_watch(&mut self) {
-        if self.watched_changes == self.table.changes() {
+        if self.watched_changes == self.table.change_count() {
             return;
         }
-        self.watched_changes = self.table.changes();
+        self.watched_changes = self.table.change_count();
         let targets = watched_members(self.table.entries(), self.me.process.address);
         self.watch.set_targets(&targets);
     }
--- a/crates/roster/src/state.rs
+++ b/crates/roster/src/state.rs
@@ -99,7 +99,7 @@
 
     /// Returns the entry of the process itself. Its incarnation grows when
     /// another process is found to have had a higher one at the same address.
-    pub fn me(&self) -> &MemberEntry {
+    pub fn own_entry(&self) -> &MemberEntry {
         &self.me
     }
 
@@ -109,17 +109,17 @@
     }
 
     /// Returns the number of members that are present.
-    pub fn live(&self) -> usize {
-        self.table.live()
+    pub fn live_count(&self) -> usize {
+        self.table.live_count()
     }
 
     /// Returns a number that grows with each change of a member.
-    pub fn changes(&self) -> u64 {
-        self.table.changes()
+    pub fn change_count(&self) -> u64 {
+        self.table.change_count()
     }
 
     /// Returns the number of changes that are still to be passed on.
-    pub fn queued(&self) -> usize {
+    pub fn queued_changes(&self) -> usize {
         self.queue.len()
     }
 
@@ -143,7 +143,7 @@
     }
 
     /// Takes entries without passing them on.
-    pub fn insert_known(&mut self, entries: &[MemberEntry], now: MonotonicTime) {
+    pub fn merge_entries(&mut self, entries: &[MemberEntry], now: MonotonicTime) {
         for entry in entries {
             if entry.process.address != self.me.process.address {
                 self.table.merge(entry, now);
@@ -152,7 +152,7 @@
     }
 
     /// Changes what the process says about itself.
-    pub fn declare(&mut self, state: MemberState, now: MonotonicTime) {
+    pub fn set_state(&mut self, state: MemberState, now: MonotonicTime) {
         if self.me.state == state {
             return;
         }
@@ -162,7 +162,7 @@
     }
 
     /// Changes the role that the process announces.
-    pub fn declare_role(&mut self, role: MemberRole, now: MonotonicTime) {
+    pub fn set_role(&mut self, role: MemberRole, now: MonotonicTime) {
         if self.me.role == role {
             return;
         }
@@ -172,7 +172,7 @@
     }
 
     /// Returns messages that tell other members at once.
-    pub fn farewell(&mut self, version: u64, now: MonotonicTime) -> Vec<RosterAction> {
+    pub fn announce_immediately(&mut self, version: u64, now: MonotonicTime) -> Vec<RosterAction> {
         self.version = version;
         let mut actions = Vec::new();
         if self.presence.is_starting() {
@@ -224,7 +224,7 @@
     pub(crate) fn announce(&mut self, now: MonotonicTime) {
         let me = self.me;
         self.table.merge(&me, now);
-        self.queue.push(me.process.address, self.table.live());
+        self.queue.push(me.process.address, self.table.live_count());
     }
 
     /// Takes an incarnation above one that another process had at the address.
--- a/crates/roster/src/versions.rs
+++ b/crates/roster/src/versions.rs
@@ -7,7 +7,7 @@
 
 /// A configuration that could not be read.
 #[derive(Debug, Clone)]
-pub struct RefusedConfig {
+pub struct RejectedConfig {
     /// Its version.
     pub version: u64,
     /// What is wrong with it.
@@ -16,13 +16,13 @@
 
 /// What becomes of a configuration that is offered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum OfferResult {
+pub enum ApplyResult {
     /// It is in force now.
-    Taken,
+    Applied,
     /// It is not newer than the one in force, or was refused before.
-    Known,
+    Ignored,
     /// It cannot be read and is not taken.
-    Refused,
+    Rejected,
 }
 
 /// The configuration in force in one process.
@@ -31,7 +31,7 @@
     version: u64,
     text: Arc<str>,
     rules: Arc<RuleSet>,
-    refused: Option<RefusedConfig>,
+    rejected: Option<RejectedConfig>,
 }
 
 impl ConfigState {
@@ -52,36 +52,36 @@
 
     /// Returns the last configuration that could not be read, unless one was
     /// taken since.
-    pub fn refused(&self) -> Option<&RefusedConfig> {
-        self.refused.as_ref()
+    pub fn rejected(&self) -> Option<&RejectedConfig> {
+        self.rejected.as_ref()
     }
 
     /// Returns whether a configuration of this version would be news.
-    pub fn wants(&self, version: u64) -> bool {
-        let refused = self.refused.as_ref().map(|refused| refused.version);
-        version > self.version && refused != Some(version)
+    pub fn needs_version(&self, version: u64) -> bool {
+        let rejected = self.rejected.as_ref().map(|rejected| rejected.version);
+        version > self.version && rejected != Some(version)
     }
 
     /// Takes a configuration if it is newer than the one in force and can be
     /// read.
-    pub fn offer(&mut self, version: u64, text: &str) -> OfferResult {
-        if !self.wants(version) {
-            return OfferResult::Known;
+    pub fn apply(&mut self, version: u64, text: &str) -> ApplyResult {
+        if !self.needs_version(version) {
+            return ApplyResult::Ignored;
         }
         match RuleSet::parse(text) {
             Ok(rules) => {
                 self.version = version;
                 self.text = text.into();
                 self.rules = Arc::new(rules);
-                self.refused = None;
-                OfferResult::Taken
+                self.rejected = None;
+                ApplyResult::Applied
             }
             Err(errors) => {
-                self.refused = Some(RefusedConfig {
+                self.rejected = Some(RejectedConfig {
                     version,
                     errors: errors.into(),
                 });
-                OfferResult::Refused
+                ApplyResult::Rejected
             }
         }
     }
--- a/crates/roster/tests/fleet/mod.rs
+++ b/crates/roster/tests/fleet/mod.rs
@@ -291,9 +291,11 @@
         }
         let now = self.now;
         let process = &mut self.processes[number];
-        process.roster.declare(MemberState::Draining, now);
+        process.roster.set_state(MemberState::Draining, now);
         process.drained = Some(now);
-        let actions = process.roster.farewell(process.config.version(), now);
+        let actions = process
+            .roster
+            .announce_immediately(process.config.version(), now);
         self.send(number, actions);
     }
 
@@ -337,7 +339,7 @@
             true => rules(version),
             false => "service without a number\n".to_owned(),
         };
-        self.processes[first].config.offer(version, &text);
+        self.processes[first].config.apply(version, &text);
         self.stored = (version, text);
         if readable {
             self.changes.push(AcceptedChange {
@@ -391,7 +393,7 @@
         let version = process.config.version();
         if self.platform && now >= process.next_poll {
             process.next_poll = now + POLL_INTERVAL;
-            process.config.offer(self.stored.0, &self.stored.1);
+            process.config.apply(self.stored.0, &self.stored.1);
             for contact in 0..PROCESSES {
                 process.roster.add_contact(address(contact));
             }
@@ -451,10 +453,10 @@
 
     fn receive(&mut self, number: usize, from: usize, message: &ControlMessage) {
         let before = self.processes[number].config.version();
-        if self.processes[number].config.wants(message.version) && self.is_up(from) {
+        if self.processes[number].config.needs_version(message.version) && self.is_up(from) {
             let theirs = self.processes[from].config.clone();
             let mine = &mut self.processes[number].config;
-            mine.offer(theirs.version(), theirs.text());
+            mine.apply(theirs.version(), theirs.text());
         }
         let now = self.now;
         let process = &mut self.processes[number];
@@ -497,13 +499,13 @@
             return;
         }
         let process = &self.processes[number];
-        let role = process.roster.me().role;
+        let role = process.roster.own_entry().role;
         let served = matches!(role, MemberRole::Host { service: it, .. } if it == service);
         assert!(served, "a flow was opened at the wrong service");
         let token = RouteToken {
             key: KeyNumber(1),
             service,
-            host: process.roster.me().process,
+            host: process.roster.own_entry().process,
             nonce: caller,
         };
         self.flows.push(FleetFlow {
@@ -569,7 +571,7 @@
             return None;
         }
         let gate = process.gate.as_ref()?;
-        let me = process.roster.me().process.incarnation;
+        let me = process.roster.own_entry().process.incarnation;
         let action = gate.receive(me, header, packet, &self.load(number), self.now);
         Some(action == HostAction::Accept)
     }
@@ -584,7 +586,8 @@
         let processes = &self.processes;
         self.flows.retain(|flow| {
             let process = &processes[number_of(flow.host.address)];
-            process.running && process.roster.me().process == flow.host || process.gate.is_some()
+            process.running && process.roster.own_entry().process == flow.host
+                || process.gate.is_some()
         });
         for flow in &self.flows {
             let packet = packet(false, &flow.token);
@@ -597,7 +600,7 @@
     fn check_packet(&self, flow: &FleetFlow, balancer: usize, packet: &[u8]) {
         let number = number_of(flow.host.address);
         let process = &self.processes[number];
-        let lives = process.running && process.roster.me().process == flow.host;
+        let lives = process.running && process.roster.own_entry().process == flow.host;
         let routed = self.route(balancer, flow.service, packet);
         let taken =
             routed.and_then(|(_, header)| self.hand_over(number, balancer, &header, packet));
@@ -616,7 +619,7 @@
             && !doubts(number, balancer)
             && !doubts(balancer, number);
         if reachable {
-            let me = process.roster.me().process;
+            let me = process.roster.own_entry().process;
             assert_eq!(
                 taken,
                 Some(true),
--- a/crates/roster/tests/roster.rs
+++ b/crates/roster/tests/roster.rs
@@ -41,7 +41,7 @@
 fn a_fleet_finds_itself_from_one_contact() {
     let bag = fleet(60);
     for node in &bag.nodes {
-        assert_eq!(node.roster.live(), 60);
+        assert_eq!(node.roster.live_count(), 60);
         assert!(node.roster.is_joined());
         assert!(node.roster.is_confirmed(bag.now));
     }
@@ -51,14 +51,18 @@
 fn a_quiet_fleet_sends_no_changes() {
     let mut bag = fleet(30);
     bag.run(seconds(30));
-    assert!(bag.nodes.iter().all(|node| node.roster.queued() == 0));
+    assert!(
+        bag.nodes
+            .iter()
+            .all(|node| node.roster.queued_changes() == 0)
+    );
 }
 
 #[test]
 fn a_drain_reaches_all_within_3_seconds() {
     let mut bag = fleet(100);
     let now = bag.now;
-    bag.nodes[4].roster.declare(MemberState::Draining, now);
+    bag.nodes[4].roster.set_state(MemberState::Draining, now);
     let took = bag.run_until(seconds(3), |bag| bag.all_know(4, MemberState::Draining));
     assert!(took.is_some());
 }
@@ -80,9 +84,17 @@
 fn messages_that_are_lost_do_not_kill_a_member() {
     let mut bag = fleet(60);
     bag.loss = 0.1;
-    let changes: Vec<u64> = bag.nodes.iter().map(|it| it.roster.changes()).collect();
+    let changes: Vec<u64> = bag
+        .nodes
+        .iter()
+        .map(|it| it.roster.change_count())
+        .collect();
     bag.run(seconds(300));
-    let after: Vec<u64> = bag.nodes.iter().map(|it| it.roster.changes()).collect();
+    let after: Vec<u64> = bag
+        .nodes
+        .iter()
+        .map(|it| it.roster.change_count())
+        .collect();
     assert_eq!(after, changes);
 }
 
@@ -91,10 +103,10 @@
     let mut bag = fleet(60);
     bag.loss = 1.0;
     let now = bag.now;
-    bag.nodes[4].roster.declare(MemberState::Draining, now);
+    bag.nodes[4].roster.set_state(MemberState::Draining, now);
     bag.run(Duration::from_millis(1_900));
     bag.loss = 0.0;
-    assert_eq!(bag.nodes[4].roster.queued(), 0);
+    assert_eq!(bag.nodes[4].roster.queued_changes(), 0);
     let took = bag.run_until(seconds(60), MessageBag::agree);
     assert!(took.is_some());
     assert!(bag.all_know(4, MemberState::Draining));
@@ -116,16 +128,16 @@
         bag.nodes[9].roster.is_confirmed(bag.now) && bag.all_know(9, MemberState::Alive)
     });
     assert!(took.is_some());
-    assert!(bag.nodes[9].roster.me().counter > 0);
+    assert!(bag.nodes[9].roster.own_entry().counter > 0);
 }
 
 #[test]
 fn an_old_announcement_brings_nobody_back() {
     let mut bag = fleet(30);
-    let old = *bag.nodes[9].roster.me();
+    let old = *bag.nodes[9].roster.own_entry();
     let now = bag.now;
-    bag.nodes[9].roster.declare(MemberState::Gone, now);
-    let actions = bag.nodes[9].roster.farewell(1, now);
+    bag.nodes[9].roster.set_state(MemberState::Gone, now);
+    let actions = bag.nodes[9].roster.announce_immediately(1, now);
     bag.carry_out(9, actions);
     bag.nodes[9].running = false;
     bag.run(seconds(5));
@@ -152,13 +164,13 @@
             bag.all_know(9, MemberState::Alive) && bag.agree()
         });
         assert!(took.is_some(), "incarnation {incarnation}");
-        let taken = bag.nodes[9].roster.me().process.incarnation.0;
+        let taken = bag.nodes[9].roster.own_entry().process.incarnation.0;
         assert_eq!(taken, if incarnation == 40 { 101 } else { incarnation });
     }
     // A successor within the resolution of incarnations.
     bag.restart(9, 201, 3);
     bag.run(seconds(5));
-    assert_eq!(bag.nodes[9].roster.me().process.incarnation.0, 202);
+    assert_eq!(bag.nodes[9].roster.own_entry().process.incarnation.0, 202);
     assert!(bag.all_know(9, MemberState::Alive));
 }
 
@@ -169,13 +181,13 @@
         node.side = 1;
     }
     bag.run(seconds(300));
-    assert_eq!(bag.nodes[0].roster.live(), 30);
-    assert_eq!(bag.nodes[59].roster.live(), 30);
+    assert_eq!(bag.nodes[0].roster.live_count(), 30);
+    assert_eq!(bag.nodes[59].roster.live_count(), 30);
     for node in &mut bag.nodes {
         node.side = 0;
     }
     let took = bag.run_until(seconds(60), |bag| {
-        bag.agree() && bag.nodes[0].roster.live() == 60
+        bag.agree() && bag.nodes[0].roster.live_count() == 60
     });
     assert!(took.is_some());
 }
@@ -187,7 +199,9 @@
         node.running = false;
     }
     let took = bag.run_until(seconds(60), |bag| {
-        bag.nodes[..60].iter().all(|it| it.roster.live() == 60)
+        bag.nodes[..60]
+            .iter()
+            .all(|it| it.roster.live_count() == 60)
     });
     assert!(took.is_some());
 }
@@ -197,7 +211,7 @@
     let mut bag = fleet(60);
     bag.nodes[9].side = 1;
     bag.run(seconds(600));
-    assert!(bag.nodes[9].roster.live() > 50);
+    assert!(bag.nodes[9].roster.live_count() > 50);
     bag.nodes[9].side = 0;
     let took = bag.run_until(seconds(30), |bag| {
         bag.agree() && bag.all_know(9, MemberState::Alive)
@@ -283,7 +297,7 @@
         assert_eq!(roster.receive(&message, now), []);
     }
     // It may know others by then.
-    roster.insert_known(&[entry(2, 1)], now);
-    roster.declare(MemberState::Draining, now);
-    assert_eq!(roster.farewell(0, now), []);
+    roster.merge_entries(&[entry(2, 1)], now);
+    roster.set_state(MemberState::Draining, now);
+    assert_eq!(roster.announce_immediately(0, now), []);
 }
