--- a/crates/roster/src/budget.rs
+++ b/crates/roster/src/budget.rs
@@ -1,56 +1,58 @@
-//! The bytes that a process may send.
+//! The limit on the bytes that a process may send.
 
 use hyssopstair_wire::time::MonotonicTime;
 
 /// Bytes that a process may send per second, IP and UDP headers included.
 pub const BYTES_PER_SECOND: u64 = 2_400;
 
-/// Bytes that may be sent at once after a quiet time: with the rate above, at
-/// most 3,000 a second over any 15 seconds.
+/// Bytes that may be sent at once after an idle period. Together with the rate,
+/// this limits a process to 3,000 bytes per second over any 15 seconds.
 pub const BURST_BYTES: u64 = 9_000;
 
 /// Bytes of the IPv4 and UDP headers of a datagram.
 pub const DATAGRAM_OVERHEAD: u64 = 28;
 
-/// Bytes that are kept back from repairs, for changes.
+/// Bytes that repairs must leave in the budget for changes.
 const REPAIR_RESERVE: u64 = BURST_BYTES / 4;
 
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// What a message is for.
+/// The purpose of a message, which decides whether the budget limits it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendClass {
-    /// Failure detection and the joining of this process: always sent. The
-    /// number of watchers bounds the one, the size of the fleet the other.
+    /// Failure detection, and messages with which this process joins or announces
+    /// itself: always sent. The number of watchers bounds failure detection, and
+    /// the size of the fleet bounds joining.
     Probe,
-    /// Changes: sent as far as the budget goes.
+    /// Changes of members: sent while the budget lasts.
     Change,
-    /// Repairs and pages for others: sent when there is room.
+    /// Repairs, and pages for joining processes: sent while the budget exceeds the
+    /// reserve for changes.
     Repair,
 }
 
-/// A token bucket over bytes sent.
+/// A token bucket that limits the bytes sent.
 #[derive(Debug)]
 pub struct SendBudget {
-    /// Bytes that may be sent, times a million.
+    /// Bytes that may be sent, in millionths of a byte.
     tokens: u64,
-    filled: MonotonicTime,
+    last_refill: MonotonicTime,
 }
 
 impl Default for SendBudget {
     fn default() -> Self {
         Self {
             tokens: BURST_BYTES * MICROS_PER_SECOND,
-            filled: MonotonicTime::default(),
+            last_refill: MonotonicTime::default(),
         }
     }
 }
 
 impl SendBudget {
-    /// Charges a datagram of `length` bytes, and returns whether it may be
-    /// sent.
-    pub fn take(&mut self, class: SendClass, length: usize, now: MonotonicTime) -> bool {
-        self.fill(now);
+    /// Charges a datagram with a payload of `length` bytes to the budget if it may
+    /// be sent, and returns whether it may.
+    pub fn try_charge(&mut self, class: SendClass, length: usize, now: MonotonicTime) -> bool {
+        self.refill(now);
         let bytes = length as u64 + DATAGRAM_OVERHEAD;
         let needed = match class {
             SendClass::Probe => 0,
@@ -64,9 +66,9 @@
         true
     }
 
-    /// Returns whether a message of the longest form may be sent.
-    pub fn has_room(&mut self, class: SendClass, now: MonotonicTime) -> bool {
-        self.fill(now);
+    /// Returns whether a message of the greatest length may be sent.
+    pub fn can_send_longest(&mut self, class: SendClass, now: MonotonicTime) -> bool {
+        self.refill(now);
         let reserve = match class {
             SendClass::Probe => return true,
             SendClass::Change => 0,
@@ -76,11 +78,11 @@
         self.tokens >= (longest + DATAGRAM_OVERHEAD + reserve) * MICROS_PER_SECOND
     }
 
-    fn fill(&mut self, now: MonotonicTime) {
-        let micros = now.since(self.filled).as_micros() as u64;
+    fn refill(&mut self, now: MonotonicTime) {
+        let micros = now.since(self.last_refill).as_micros() as u64;
         let added = micros.saturating_mul(BYTES_PER_SECOND);
         let limit = BURST_BYTES * MICROS_PER_SECOND;
         self.tokens = self.tokens.saturating_add(added).min(limit);
-        self.filled = now;
+        self.last_refill = now;
     }
 }
--- a/crates/roster/src/digest.rs
+++ b/crates/roster/src/digest.rs
@@ -1,10 +1,10 @@
-//! Hashes that two rosters are compared by.
+//! Hashes for the comparison of two rosters.
 //!
-//! Addresses are spread over [`BUCKETS`] buckets of [`BUCKETS`] leaves each. Two
-//! rosters first compare buckets, then the leaves of a bucket that differs, and
-//! then exchange the entries of leaves that differ. Entries of members that are
-//! suspect or gone are left out of the hashes, because each process forgets them at its
-//! own time.
+//! Addresses are hashed into [`BUCKETS`] buckets of [`BUCKETS`] leaves each. Two
+//! members first compare the hashes of buckets, then those of the leaves in
+//! buckets that differ, and then exchange the entries of leaves that differ. The
+//! hashes leave out entries of suspect and gone members, because each process
+//! expires those at a time of its own.
 
 use std::hash::Hasher;
 use std::net::SocketAddrV4;
@@ -13,10 +13,10 @@
 use hyssopstair_wire::control::MemberRole;
 use siphasher::sip::SipHasher13;
 
-/// Buckets of a digest, and leaves of a bucket.
+/// Number of buckets in a digest, and of leaves in a bucket.
 pub const BUCKETS: usize = 64;
 
-/// Bits of an address hash that name a bucket, or a leaf.
+/// Bits of an address hash that select a bucket or a leaf.
 const BUCKET_BITS: u32 = BUCKETS.trailing_zeros();
 
 /// Returns a hash of an address that is the same in every process.
@@ -37,7 +37,7 @@
     (address_hash(address) >> BUCKET_BITS) as usize % BUCKETS
 }
 
-/// Returns one hash per bucket.
+/// Returns one hash per bucket over the entries of its live members.
 pub fn bucket_hashes(entries: &[MemberEntry], salt: u32) -> Vec<u16> {
     let mut hashes = vec![0; BUCKETS];
     for entry in entries.iter().filter(|entry| is_hashed(entry)) {
@@ -46,7 +46,7 @@
     hashes
 }
 
-/// Returns one hash per leaf of a bucket.
+/// Returns one hash per leaf of a bucket over the entries of its live members.
 pub fn leaf_hashes(entries: &[MemberEntry], salt: u32, bucket: usize) -> Vec<u16> {
     let mut hashes = vec![0; BUCKETS];
     for entry in entries.iter().filter(|entry| is_hashed(entry)) {
@@ -57,17 +57,18 @@
     hashes
 }
 
-/// Returns the numbers of the hashes that differ.
-pub fn differing(left: &[u16], right: &[u16]) -> Vec<usize> {
+/// Returns the indexes at which two lists of hashes differ.
+pub fn differing_indexes(left: &[u16], right: &[u16]) -> Vec<usize> {
     let pairs = left.iter().zip(right);
-    let numbered = pairs.enumerate();
-    numbered
+    let indexed = pairs.enumerate();
+    indexed
         .filter(|(_, (left, right))| left != right)
-        .map(|(number, _)| number)
+        .map(|(index, _)| index)
         .collect()
 }
 
-/// Returns the entries of some leaves of a bucket, one bit per leaf.
+/// Returns the entries in the selected leaves of a bucket. `leaves` is a bit mask
+/// with one bit per leaf.
 pub fn leaf_entries(entries: &[MemberEntry], bucket: usize, leaves: u64) -> Vec<MemberEntry> {
     entries
         .iter()
--- a/crates/roster/src/exchange.rs
+++ b/crates/roster/src/exchange.rs
@@ -1,4 +1,4 @@
-//! What a roster does with the messages of other members.
+//! Handling of the messages that other members send.
 
 use std::net::SocketAddrV4;
 
@@ -14,60 +14,61 @@
 
 use crate::budget::SendClass;
 use crate::digest::bucket_hashes;
-use crate::digest::differing;
+use crate::digest::differing_indexes;
 use crate::digest::leaf_entries;
 use crate::digest::leaf_hashes;
 use crate::join::SETTLE_TIME;
 use crate::probe::RelayRecord;
+use crate::runs::apply_run_change;
 use crate::runs::decode_run;
-use crate::runs::entry_after;
 use crate::state::RosterAction;
 use crate::state::RosterState;
 
-/// Buckets that one digest repairs at most.
-const MAX_BUCKETS: usize = 8;
+/// Most buckets that are repaired in answer to one digest.
+const MAX_REPAIRED_BUCKETS: usize = 8;
 
-/// Other members that a process without room for a page names.
-const REFERRALS: usize = 3;
+/// Most other members that a process names to a joining one when its send budget
+/// doesn't allow a page.
+const MAX_REFERRALS: usize = 3;
 
-/// Pings on behalf of others that are remembered at once.
+/// Most relayed pings that await an answer at once.
 const MAX_RELAYS: usize = 64;
 
 impl RosterState {
-    /// Takes in a message.
+    /// Handles a message of another member and returns the messages to send.
     pub fn receive(&mut self, message: &ControlMessage, now: MonotonicTime) -> Vec<RosterAction> {
         let mut actions = Vec::new();
         let sender = message.sender;
-        if sender.address == self.me.process.address {
+        if sender.address == self.own_entry.process.address {
             return actions;
         }
-        self.heard = now;
-        // A process that starts has not found its incarnation yet, and would
-        // announce the wrong one.
+        self.last_received = now;
+        // A starting process doesn't know yet whether its incarnation is the
+        // highest at its address, and its answer would announce a wrong one.
         if self.presence.is_starting() && message.body.compares_rosters() {
             return actions;
         }
         match &message.body {
-            ControlBody::Changes(entries) => self.learn(entries, now),
+            ControlBody::Changes(entries) => self.merge_and_enqueue(entries, now),
             ControlBody::Run {
                 state,
                 first,
                 members,
-            } => self.learn_run(*state, *first, members, now),
+            } => self.merge_run(*state, *first, members, now),
             ControlBody::Ping { number, changes } => {
-                self.learn(changes, now);
-                self.answer_ping(&mut actions, sender, *number, changes, now);
+                self.merge_and_enqueue(changes, now);
+                self.handle_ping(&mut actions, sender, *number, changes, now);
             }
             ControlBody::Pong { number, changes } => {
-                self.learn(changes, now);
-                self.take_pong(&mut actions, sender, *number, now);
+                self.merge_and_enqueue(changes, now);
+                self.handle_pong(&mut actions, sender, *number, now);
             }
             ControlBody::PingFor { target } => {
-                self.ping_for(&mut actions, sender.address, *target, now);
+                self.handle_ping_request(&mut actions, sender.address, *target, now);
             }
-            ControlBody::Heard { target } => self.watch.hear(*target),
+            ControlBody::Heard { target } => self.watch_list.record_answer(*target),
             ControlBody::Digest { salt, buckets } => {
-                self.answer_digest(&mut actions, sender.address, *salt, buckets, now);
+                self.handle_digest(&mut actions, sender.address, *salt, buckets, now);
             }
             ControlBody::Leaves {
                 salt,
@@ -75,7 +76,7 @@
                 leaves,
             } => {
                 let bucket = usize::from(*bucket);
-                self.answer_leaves(&mut actions, sender.address, *salt, bucket, leaves, now);
+                self.handle_leaves(&mut actions, sender.address, *salt, bucket, leaves, now);
             }
             ControlBody::Fill {
                 bucket,
@@ -83,37 +84,38 @@
                 entries,
             } => {
                 let bucket = usize::from(*bucket);
-                self.answer_fill(&mut actions, sender.address, bucket, *leaves, entries, now);
+                self.handle_fill(&mut actions, sender.address, bucket, *leaves, entries, now);
             }
             ControlBody::Join { after } => {
-                self.answer_join(&mut actions, sender.address, *after, now);
+                self.handle_join(&mut actions, sender.address, *after, now);
             }
             ControlBody::Page {
                 after,
                 known,
                 entries,
                 more,
-            } if *after == self.join.after => {
-                self.take_page(&mut actions, known.as_ref(), entries, *more, now);
+            } if *after == self.join.page_after => {
+                self.handle_page(&mut actions, known.as_ref(), entries, *more, now);
             }
             ControlBody::Page { .. } => {}
         }
         actions
     }
 
-    /// Takes entries and passes on those that are news.
-    fn learn(&mut self, entries: &[MemberEntry], now: MonotonicTime) {
+    /// Merges entries and enqueues those that changed the roster for gossip.
+    fn merge_and_enqueue(&mut self, entries: &[MemberEntry], now: MonotonicTime) {
         for entry in entries {
-            if entry.process.address == self.me.process.address {
-                self.hear_of_me(entry, now);
+            if entry.process.address == self.own_entry.process.address {
+                self.handle_own_entry(entry, now);
             } else if self.table.merge(entry, now) {
-                let live = self.table.live_count();
-                self.queue.push(entry.process.address, live);
+                let live_count = self.table.live_count();
+                self.queue.push(entry.process.address, live_count);
             }
         }
     }
 
-    fn learn_run(
+    /// Merges the members of a run that match their known entries.
+    fn merge_run(
         &mut self,
         state: MemberState,
         first: SocketAddrV4,
@@ -122,86 +124,102 @@
     ) {
         for (address, check) in decode_run(first, members) {
             let known = self.table.find(address);
-            let entry = known.and_then(|known| entry_after(known, state, check));
+            let entry = known.and_then(|known| apply_run_change(known, state, check));
             if let Some(entry) = entry {
-                self.learn(&[entry], now);
+                self.merge_and_enqueue(&[entry], now);
             }
         }
     }
 
-    /// Answers what others say about the address of this process.
-    fn hear_of_me(&mut self, entry: &MemberEntry, now: MonotonicTime) {
-        if self.me.state == MemberState::Gone {
+    /// Refutes an entry of another member about the address of this process.
+    fn handle_own_entry(&mut self, entry: &MemberEntry, now: MonotonicTime) {
+        if self.own_entry.state == MemberState::Gone {
             return;
         }
-        let mine = self.me.process.incarnation;
+        let mine = self.own_entry.process.incarnation;
         let theirs = entry.process.incarnation;
-        // Before the first announcement, an entry of the same incarnation is
-        // that of an earlier process.
+        // Before the first announcement, an entry of the same incarnation
+        // belongs to an earlier process at this address.
         if theirs > mine || (theirs == mine && self.presence.is_starting()) {
             self.raise_incarnation(theirs, now);
-        } else if theirs == mine && entry.precedence() > self.me.precedence() {
-            self.me.counter = entry.counter + 1;
-            self.announce(now);
+        } else if theirs == mine && entry.precedence() > self.own_entry.precedence() {
+            self.own_entry.counter = entry.counter + 1;
+            self.announce_own_entry(now);
         }
     }
 
-    fn answer_ping(
+    /// Answers a ping. The answer includes the known entry of the sender if the
+    /// sender must refute it, and the entry of this process if the sender sent one
+    /// about it.
+    fn handle_ping(
         &mut self,
         actions: &mut Vec<RosterAction>,
         sender: ProcessId,
         number: u32,
-        said: &[MemberEntry],
+        sender_changes: &[MemberEntry],
         now: MonotonicTime,
     ) {
         let mut changes = Vec::new();
         let known = self.table.find(sender.address).copied();
-        changes.extend(known.filter(|entry| is_wrong(sender, entry)));
-        let me = self.me.process.address;
-        let announced = !self.presence.is_starting();
-        if announced && said.iter().any(|entry| entry.process.address == me) {
-            changes.push(self.me);
+        changes.extend(known.filter(|entry| contradicts_sender(sender, entry)));
+        let own_address = self.own_entry.process.address;
+        let is_announced = !self.presence.is_starting();
+        if is_announced
+            && sender_changes
+                .iter()
+                .any(|entry| entry.process.address == own_address)
+        {
+            changes.push(self.own_entry);
         }
         let body = ControlBody::Pong { number, changes };
         self.send(actions, SendClass::Probe, sender.address, body, now);
     }
 
-    fn take_pong(
+    /// Records an answer to a ping, and reports it to the member on whose behalf
+    /// the ping was sent, if any.
+    fn handle_pong(
         &mut self,
         actions: &mut Vec<RosterAction>,
         sender: ProcessId,
         number: u32,
         now: MonotonicTime,
     ) {
-        self.watch.hear(sender);
-        self.presence.answer(number);
-        let Some(index) = self.relays.iter().position(|relay| relay.number == number) else {
+        self.watch_list.record_answer(sender);
+        self.presence.record_pong(number);
+        let Some(index) = self
+            .relays
+            .iter()
+            .position(|relay| relay.ping_number == number)
+        else {
             return;
         };
-        let asker = self.relays.swap_remove(index).asker;
+        let requester = self.relays.swap_remove(index).requester;
         let body = ControlBody::Heard { target: sender };
-        self.send(actions, SendClass::Probe, asker, body, now);
+        self.send(actions, SendClass::Probe, requester, body, now);
     }
 
-    fn ping_for(
+    /// Pings a member on behalf of another one.
+    fn handle_ping_request(
         &mut self,
         actions: &mut Vec<RosterAction>,
-        asker: SocketAddrV4,
+        requester: SocketAddrV4,
         target: ProcessId,
         now: MonotonicTime,
     ) {
-        if self.relays.len() >= MAX_RELAYS || target == self.me.process {
+        if self.relays.len() >= MAX_RELAYS || target == self.own_entry.process {
             return;
         }
-        let number = self.ping(actions, target.address, now);
+        let ping_number = self.send_ping(actions, target.address, now);
         self.relays.push(RelayRecord {
-            number,
-            asker,
-            sent: now,
+            ping_number,
+            requester,
+            sent_at: now,
         });
     }
 
-    fn answer_digest(
+    /// Compares bucket hashes and answers with the leaf hashes of buckets that
+    /// differ.
+    fn handle_digest(
         &mut self,
         actions: &mut Vec<RosterAction>,
         to: SocketAddrV4,
@@ -210,15 +228,15 @@
         now: MonotonicTime,
     ) {
         let mine = bucket_hashes(self.table.entries(), salt);
-        let mut buckets = differing(&mine, theirs);
+        let mut buckets = differing_indexes(&mine, theirs);
         if !buckets.is_empty() {
-            self.hasten_digest(now);
+            self.schedule_repair_digest(now);
         }
-        for _ in 0..MAX_BUCKETS.min(buckets.len()) {
-            if !self.has_room(SendClass::Repair, now) {
+        for _ in 0..MAX_REPAIRED_BUCKETS.min(buckets.len()) {
+            if !self.can_send_longest(SendClass::Repair, now) {
                 return;
             }
-            let index = self.random.random_range(0..buckets.len());
+            let index = self.rng.random_range(0..buckets.len());
             let bucket = buckets.swap_remove(index);
             let body = ControlBody::Leaves {
                 salt,
@@ -229,7 +247,8 @@
         }
     }
 
-    fn answer_leaves(
+    /// Compares leaf hashes and answers with the entries of leaves that differ.
+    fn handle_leaves(
         &mut self,
         actions: &mut Vec<RosterAction>,
         to: SocketAddrV4,
@@ -238,14 +257,14 @@
         theirs: &[u16],
         now: MonotonicTime,
     ) {
-        if !self.has_room(SendClass::Repair, now) {
+        if !self.can_send_longest(SendClass::Repair, now) {
             return;
         }
-        self.hasten_digest(now);
+        self.schedule_repair_digest(now);
         let mine = leaf_hashes(self.table.entries(), salt, bucket);
         let mut leaves = 0;
         let mut entries = Vec::new();
-        for leaf in differing(&mine, theirs) {
+        for leaf in differing_indexes(&mine, theirs) {
             let found = leaf_entries(self.table.entries(), bucket, 1 << leaf);
             if !entries.is_empty() && entries.len() + found.len() > MAX_ENTRIES {
                 break;
@@ -262,7 +281,9 @@
         self.send(actions, SendClass::Repair, to, body, now);
     }
 
-    fn answer_fill(
+    /// Merges the entries of leaves that differ, and answers with those that the
+    /// sender is missing.
+    fn handle_fill(
         &mut self,
         actions: &mut Vec<RosterAction>,
         to: SocketAddrV4,
@@ -272,49 +293,57 @@
         now: MonotonicTime,
     ) {
         let mine = leaf_entries(self.table.entries(), bucket, leaves);
-        let mut lacking: Vec<MemberEntry> = mine
+        let mut missing: Vec<MemberEntry> = mine
             .into_iter()
-            .filter(|entry| lacks(theirs, entry))
+            .filter(|entry| lacks_entry(theirs, entry))
             .collect();
-        lacking.truncate(MAX_ENTRIES);
+        missing.truncate(MAX_ENTRIES);
         for entry in theirs {
-            // Whoever is gone and already forgotten here need not be known again.
+            // An absent member whose entry was already evicted here isn't added
+            // again.
             let known = self.table.find(entry.process.address).is_some();
             if known || entry.state.is_present() {
-                self.learn(std::slice::from_ref(entry), now);
+                self.merge_and_enqueue(std::slice::from_ref(entry), now);
             }
         }
-        if !lacking.is_empty() {
-            let body = ControlBody::Changes(lacking);
+        if !missing.is_empty() {
+            let body = ControlBody::Changes(missing);
             self.send(actions, SendClass::Repair, to, body, now);
         }
     }
 
-    fn answer_join(
+    /// Answers a request for a page, or names other members if the send budget
+    /// doesn't allow a page.
+    fn handle_join(
         &mut self,
         actions: &mut Vec<RosterAction>,
         to: SocketAddrV4,
         after: Option<SocketAddrV4>,
         now: MonotonicTime,
     ) {
-        if !self.has_room(SendClass::Repair, now) {
-            self.refer(actions, to, now);
+        if !self.can_send_longest(SendClass::Repair, now) {
+            self.send_referrals(actions, to, now);
             return;
         }
-        // A process that starts has not found its incarnation yet.
-        let unannounced = self.presence.is_starting().then_some(self.me.process);
-        let live =
-            |entry: &&MemberEntry| entry.state.is_present() && Some(entry.process) != unannounced;
+        // A starting process doesn't know yet whether its incarnation is the
+        // highest at its address.
+        let unannounced_process = self
+            .presence
+            .is_starting()
+            .then_some(self.own_entry.process);
+        let is_live = |entry: &&MemberEntry| {
+            entry.state.is_present() && Some(entry.process) != unannounced_process
+        };
         let mut entries: Vec<MemberEntry> = self
             .table
-            .above(after)
+            .entries_above(after)
             .iter()
-            .filter(live)
+            .filter(is_live)
             .take(MAX_ENTRIES)
             .copied()
             .collect();
         let more = entries.len() == MAX_ENTRIES;
-        // Leaves room for the entry of the process that joins.
+        // Leaves room for the entry of the joining process in `known`.
         entries.truncate(MAX_ENTRIES - 1);
         let body = ControlBody::Page {
             after,
@@ -325,10 +354,15 @@
         self.send(actions, SendClass::Repair, to, body, now);
     }
 
-    /// Names other members to a process that joins, who can give it pages.
-    fn refer(&mut self, actions: &mut Vec<RosterAction>, to: SocketAddrV4, now: MonotonicTime) {
+    /// Names other members that a joining process can request pages from.
+    fn send_referrals(
+        &mut self,
+        actions: &mut Vec<RosterAction>,
+        to: SocketAddrV4,
+        now: MonotonicTime,
+    ) {
         let mut entries = Vec::new();
-        for _ in 0..REFERRALS {
+        for _ in 0..MAX_REFERRALS {
             let address = self.random_live();
             entries.extend(address.and_then(|address| self.table.find(address)));
         }
@@ -336,7 +370,8 @@
         self.send(actions, SendClass::Change, to, body, now);
     }
 
-    fn take_page(
+    /// Merges a page of another member's roster and requests the next one.
+    fn handle_page(
         &mut self,
         actions: &mut Vec<RosterAction>,
         known: Option<&MemberEntry>,
@@ -345,36 +380,39 @@
         now: MonotonicTime,
     ) {
         if let Some(entry) = known {
-            self.hear_of_me(entry, now);
+            self.handle_own_entry(entry, now);
         }
         if self.presence.is_starting() {
-            self.presence.welcome();
-            self.announce(now);
+            self.presence.record_page();
+            self.announce_own_entry(now);
         }
         self.merge_entries(entries, now);
         if more {
-            self.join.after = entries.last().map(|entry| entry.process.address);
-            self.ask_page(actions, now);
+            self.join.page_after = entries.last().map(|entry| entry.process.address);
+            self.request_page(actions, now);
         } else {
-            self.join.after = None;
-            self.join.done = true;
-            self.join.settled = now + SETTLE_TIME;
-            // Said again, because how often it is said grows with the number
-            // of members that are known.
-            self.announce(now);
-            self.hasten_digest(now);
+            self.join.page_after = None;
+            self.join.is_complete = true;
+            self.join.settling_until = now + SETTLE_TIME;
+            // Announced again, because the number of times that a change is sent
+            // grows with the number of known members, few of which were known at
+            // the first announcement.
+            self.announce_own_entry(now);
+            self.schedule_repair_digest(now);
         }
     }
 }
 
-/// Returns whether an entry contradicts that its member is alive as `sender`.
-fn is_wrong(sender: ProcessId, entry: &MemberEntry) -> bool {
+/// Returns whether `entry`, which has the sender's address, contradicts that
+/// `sender` is alive.
+fn contradicts_sender(sender: ProcessId, entry: &MemberEntry) -> bool {
     let gone = !entry.state.is_present() && entry.process.incarnation == sender.incarnation;
     gone || entry.process.incarnation > sender.incarnation
 }
 
-/// Returns whether a process with these entries lacks an entry.
-fn lacks(entries: &[MemberEntry], entry: &MemberEntry) -> bool {
+/// Returns whether a process that holds `entries` is missing `entry`, or holds an
+/// older one of the same address.
+fn lacks_entry(entries: &[MemberEntry], entry: &MemberEntry) -> bool {
     let found = entries
         .iter()
         .find(|known| known.process.address == entry.process.address);
--- a/crates/roster/src/lib.rs
+++ b/crates/roster/src/lib.rs
@@ -1,12 +1,18 @@
-//! Membership of the fleet and the version of its configuration.
+//! Fleet membership by gossip, and the version of the fleet's configuration.
 //!
-//! Start with [`state`] for the members that a process knows, and [`versions`]
-//! for the rule that a configuration never goes back. The parts of the roster:
-//! [`members`] keeps the entries, [`queue`] the changes that are still to be
-//! sent, [`runs`] their short form, [`watch`] finds members that fail,
-//! [`digest`] compares two rosters, [`presence`] says whether the process itself
-//! may act, and [`budget`] bounds what is sent. What is done from time to time is
-//! in [`gossip`] for changes and in [`repair`] for rosters that differ.
+//! The main types are [`state::RosterState`], which holds the members that a
+//! process knows, and [`versions::ConfigState`], which holds the configuration
+//! in force and never goes back to an older version. The other modules are:
+//!
+//! - [`members`]: the entries of the members;
+//! - [`queue`]: changes that are still to be gossiped;
+//! - [`runs`]: a compact encoding of many changes;
+//! - [`watch`]: detection of failed members;
+//! - [`digest`]: hashes for the comparison of two rosters;
+//! - [`presence`]: whether the process itself may take new work;
+//! - [`budget`]: the limit on the bytes that are sent;
+//! - [`gossip`] and [`repair`]: the periodic rounds that spread changes and that
+//!   reconcile rosters that differ.
 
 pub mod budget;
 mod contacts;
--- a/crates/roster/src/members.rs
+++ b/crates/roster/src/members.rs
@@ -1,4 +1,6 @@
-//! The entries of a roster.
+//! The entries of a roster, and when those of absent members expire.
+//!
+//! A member is absent while its state is suspect or gone.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -9,20 +11,20 @@
 use rand::RngExt;
 use rand::rngs::StdRng;
 
-/// How long an entry is kept after its member is gone, so that an older
-/// announcement cannot bring it back.
-pub const TOMBSTONE_TIME: Duration = Duration::from_secs(3_600);
+/// How long the entry of a gone member is kept, so that an older announcement
+/// can't add the member again.
+pub const TOMBSTONE_TTL: Duration = Duration::from_secs(3_600);
 
-/// How long a member may be silent before its flows are given up. A flow that
-/// waits costs less than one that is cut.
-pub const GIVE_UP_TIME: Duration = Duration::from_secs(8);
+/// How long a member stays suspect before it is declared gone and its flows are
+/// dropped. A flow that waits for its host costs less than one that is broken.
+pub const SUSPECT_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Draws of a random member before a search gives up.
+/// Random draws of a member before the search falls back to a linear scan.
 const MAX_DRAWS: usize = 32;
 
-/// When a member was found suspect or gone.
+/// When a member became suspect or gone.
 #[derive(Debug, Clone, Copy)]
-struct TombstoneRecord {
+struct AbsenceRecord {
     address: SocketAddrV4,
     since: MonotonicTime,
 }
@@ -31,8 +33,8 @@
 #[derive(Debug, Default)]
 pub struct MemberTable {
     entries: Vec<MemberEntry>,
-    tombstones: Vec<TombstoneRecord>,
-    changes: u64,
+    absences: Vec<AbsenceRecord>,
+    change_count: u64,
 }
 
 impl MemberTable {
@@ -41,34 +43,34 @@
         &self.entries
     }
 
-    /// Returns a number that grows with each change.
+    /// Returns a counter that is incremented whenever the entries change.
     pub fn change_count(&self) -> u64 {
-        self.changes
+        self.change_count
     }
 
-    /// Returns the number of members that are present.
+    /// Returns the number of members that are alive or draining.
     pub fn live_count(&self) -> usize {
-        self.entries.len() - self.tombstones.len()
+        self.entries.len() - self.absences.len()
     }
 
-    /// Returns the entry of an address.
+    /// Returns the entry of the member at `address`.
     pub fn find(&self, address: SocketAddrV4) -> Option<&MemberEntry> {
-        let index = self.position(address).ok()?;
+        let index = self.find_index(address).ok()?;
         Some(&self.entries[index])
     }
 
-    /// Returns whether an entry says more than what is known.
-    pub fn is_news(&self, entry: &MemberEntry) -> bool {
+    /// Returns whether an entry overrides the known one of the same address.
+    pub fn is_newer(&self, entry: &MemberEntry) -> bool {
         self.find(entry.process.address)
             .is_none_or(|known| entry.precedence() > known.precedence())
     }
 
-    /// Takes an entry if it says more than what is known, and returns whether
-    /// it did.
+    /// Stores an entry if it overrides the known one of the same address, and
+    /// returns whether it did.
     pub fn merge(&mut self, entry: &MemberEntry, now: MonotonicTime) -> bool {
-        let found = self.position(entry.process.address);
+        let found = self.find_index(entry.process.address);
         let known = found.ok().map(|index| &self.entries[index]);
-        let entry = &without_hearsay(entry, known);
+        let entry = &demote_unconfirmed_gone(entry, known);
         match found {
             Ok(index) if entry.precedence() > self.entries[index].precedence() => {
                 self.entries[index] = *entry;
@@ -76,16 +78,16 @@
             Ok(_) => return false,
             Err(index) => self.entries.insert(index, *entry),
         }
-        self.changes += 1;
-        self.note_state(entry, now);
+        self.change_count += 1;
+        self.update_absence(entry, now);
         true
     }
 
-    /// Gives up the members that have been suspect for long. Every process does
-    /// so by itself, which takes no messages.
-    pub fn give_up_suspects(&mut self, now: MonotonicTime) {
-        for record in &self.tombstones {
-            if now.since(record.since) < GIVE_UP_TIME {
+    /// Declares members gone that have been suspect for [`SUSPECT_TIMEOUT`]. Every
+    /// process does so independently, which takes no messages.
+    pub fn expire_suspects(&mut self, now: MonotonicTime) {
+        for record in &self.absences {
+            if now.since(record.since) < SUSPECT_TIMEOUT {
                 continue;
             }
             let found = self
@@ -95,63 +97,62 @@
                 && self.entries[index].state == MemberState::Suspect
             {
                 self.entries[index].state = MemberState::Gone;
-                self.changes += 1;
+                self.change_count += 1;
             }
         }
     }
 
-    /// Drops the members that have been gone for long.
-    pub fn forget_gone(&mut self, now: MonotonicTime) {
-        let expired = |record: &TombstoneRecord| now.since(record.since) >= TOMBSTONE_TIME;
-        if !self.tombstones.iter().any(expired) {
+    /// Removes members that have been gone for [`TOMBSTONE_TTL`].
+    pub fn evict_tombstones(&mut self, now: MonotonicTime) {
+        let is_expired = |record: &AbsenceRecord| now.since(record.since) >= TOMBSTONE_TTL;
+        if !self.absences.iter().any(is_expired) {
             return;
         }
-        let tombstones = std::mem::take(&mut self.tombstones);
+        let absences = std::mem::take(&mut self.absences);
         self.entries.retain(|entry| {
-            let found =
-                tombstones.binary_search_by_key(&entry.process.address, |item| item.address);
-            found.is_err() || found.is_ok_and(|index| !expired(&tombstones[index]))
+            let found = absences.binary_search_by_key(&entry.process.address, |item| item.address);
+            found.is_err() || found.is_ok_and(|index| !is_expired(&absences[index]))
         });
-        self.tombstones = tombstones;
-        self.tombstones.retain(|record| !expired(record));
-        self.changes += 1;
+        self.absences = absences;
+        self.absences.retain(|record| !is_expired(record));
+        self.change_count += 1;
     }
 
-    /// Drops all members but the one at `address`.
-    pub fn clear_others(&mut self, address: SocketAddrV4) {
+    /// Removes all members except the one at `address`.
+    pub fn retain_only(&mut self, address: SocketAddrV4) {
         self.entries
             .retain(|entry| entry.process.address == address);
-        self.tombstones.retain(|record| record.address == address);
-        self.changes += 1;
+        self.absences.retain(|record| record.address == address);
+        self.change_count += 1;
     }
 
-    /// Draws a member that is present, other than `me`.
-    pub fn random_live(&self, me: SocketAddrV4, random: &mut StdRng) -> Option<SocketAddrV4> {
+    /// Returns the address of a random live member other than `own_address`.
+    pub fn random_live(&self, own_address: SocketAddrV4, rng: &mut StdRng) -> Option<SocketAddrV4> {
         for _ in 0..MAX_DRAWS {
-            let index = random.random_range(0..self.entries.len().max(1));
+            let index = rng.random_range(0..self.entries.len().max(1));
             let entry = self.entries.get(index)?;
-            if entry.state.is_present() && entry.process.address != me {
+            if entry.state.is_present() && entry.process.address != own_address {
                 return Some(entry.process.address);
             }
         }
         self.entries
             .iter()
-            .find(|entry| entry.state.is_present() && entry.process.address != me)
+            .find(|entry| entry.state.is_present() && entry.process.address != own_address)
             .map(|entry| entry.process.address)
     }
 
-    /// Returns the next member after `address` that is suspect or gone, the first
-    /// one again after the last.
-    pub fn absent_after(&self, address: SocketAddrV4) -> Option<SocketAddrV4> {
+    /// Returns the address of the first absent member after `address`, or of the
+    /// first one of all if there is none.
+    pub fn next_absent(&self, address: SocketAddrV4) -> Option<SocketAddrV4> {
         let next = self
-            .tombstones
+            .absences
             .partition_point(|record| record.address <= address);
-        let record = self.tombstones.get(next).or(self.tombstones.first());
+        let record = self.absences.get(next).or(self.absences.first());
         record.map(|record| record.address)
     }
 
-    /// Returns the entries with addresses above `after`.
-    pub fn above(&self, after: Option<SocketAddrV4>) -> &[MemberEntry] {
+    /// Returns the entries with addresses above `after`, or all if it is `None`.
+    pub fn entries_above(&self, after: Option<SocketAddrV4>) -> &[MemberEntry] {
         let start = match after {
             Some(address) => self
                 .entries
@@ -161,43 +162,48 @@
         &self.entries[start..]
     }
 
-    fn note_state(&mut self, entry: &MemberEntry, now: MonotonicTime) {
+    /// Records since when the member of an entry is absent, or removes the record
+    /// if it is not.
+    fn update_absence(&mut self, entry: &MemberEntry, now: MonotonicTime) {
         let address = entry.process.address;
         let found = self
-            .tombstones
+            .absences
             .binary_search_by_key(&address, |record| record.address);
-        let gone = !entry.state.is_present();
-        match (found, gone) {
-            (Ok(index), true) => self.tombstones[index].since = now,
+        let is_absent = !entry.state.is_present();
+        match (found, is_absent) {
+            (Ok(index), true) => self.absences[index].since = now,
             (Err(index), true) => {
-                let record = TombstoneRecord {
+                let record = AbsenceRecord {
                     address,
                     since: now,
                 };
-                self.tombstones.insert(index, record);
+                self.absences.insert(index, record);
             }
             (Ok(index), false) => {
-                self.tombstones.remove(index);
+                self.absences.remove(index);
             }
             (Err(_), false) => {}
         }
     }
 
-    fn position(&self, address: SocketAddrV4) -> Result<usize, usize> {
+    fn find_index(&self, address: SocketAddrV4) -> Result<usize, usize> {
         self.entries
             .binary_search_by_key(&address, |entry| entry.process.address)
     }
 }
 
-/// Returns an entry as far as it can be believed. A member that leaves raises
-/// its counter with its last word. That it is gone at a counter at which it was
-/// present is the word of others, who may have been cut off from it: it is
-/// suspect, and given up only if it stays silent.
-fn without_hearsay(entry: &MemberEntry, known: Option<&MemberEntry>) -> MemberEntry {
-    let is_hearsay =
+/// Returns `entry`, with state suspect in place of gone if only other processes
+/// declared the member gone.
+///
+/// A member that leaves raises its counter with its last announcement. An entry
+/// that is gone at the counter already known therefore comes from other
+/// processes, which may have been partitioned from the member. It becomes gone
+/// here only if it stays silent for [`SUSPECT_TIMEOUT`].
+fn demote_unconfirmed_gone(entry: &MemberEntry, known: Option<&MemberEntry>) -> MemberEntry {
+    let is_secondhand =
         known.is_some_and(|known| known.process == entry.process && known.counter == entry.counter);
     let state = match entry.state {
-        MemberState::Gone if is_hearsay => MemberState::Suspect,
+        MemberState::Gone if is_secondhand => MemberState::Suspect,
         state => state,
     };
     MemberEntry { state, ..*entry }
--- a/crates/roster/src/presence.rs
+++ b/crates/roster/src/presence.rs
@@ -1,37 +1,42 @@
-//! Whether a process may act on what it knows.
+//! Whether this process may take new work.
 //!
-//! A process that starts does not know whether an earlier one at its address
-//! had a higher incarnation, and one that was paused does not know whether it
-//! was declared gone. Both ask before they act.
+//! A process that starts doesn't know whether an earlier one at its address had a
+//! higher incarnation, and one that was paused doesn't know whether it was
+//! declared gone meanwhile. Both must hear from another member before they take
+//! new work.
 
 use std::time::Duration;
 
 use hyssopstair_wire::time::MonotonicTime;
 
-use crate::watch::SUSPICION_TIME;
+use crate::watch::SUSPICION_TIMEOUT;
 
-/// A gap between two ticks that others may have taken for a failure.
-pub const PAUSE_LIMIT: Duration = SUSPICION_TIME;
+/// Shortest gap between two ticks that counts as a pause, because other members
+/// may have taken it for a failure.
+pub const PAUSE_LIMIT: Duration = SUSPICION_TIMEOUT;
 
-/// How long a process that starts waits for a first contact.
-pub const CONTACT_WAIT: Duration = Duration::from_secs(2);
+/// How long a starting process waits for a first contact before it assumes that
+/// it is alone.
+pub const CONTACT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long a process that starts waits for an answer of its contacts.
-pub const ANSWER_WAIT: Duration = Duration::from_secs(5);
+/// How long a starting process waits for an answer of its contacts before it
+/// assumes that it is alone.
+pub const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How a process stands with the others.
+/// Whether other members have confirmed this process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum PresencePhase {
-    /// It has just started.
+    /// No member has answered since the process started.
     Starting { since: MonotonicTime },
-    /// It was paused; pings from this number on count.
-    Waking { number: u32 },
-    /// Another member has answered, or there is none.
+    /// The process was paused or raised its incarnation. An answer to the ping
+    /// with this number, or to a later one, confirms it.
+    Reconfirming { first_ping: u32 },
+    /// Another member has answered, or none is reachable.
     Confirmed,
 }
 
-/// Whether a process may act, as far as its own clock and the answers of others
-/// tell.
+/// Whether this process may take new work, according to the answers of other
+/// members and to its own clock.
 #[derive(Debug)]
 pub struct PresenceState {
     phase: PresencePhase,
@@ -50,27 +55,30 @@
 }
 
 impl PresenceState {
-    /// Returns whether the process may act. The time since the last tick
-    /// counts, so that it may not between a pause and the tick that follows.
+    /// Returns whether the process may take new work. This is false if the last
+    /// tick is too long ago, which covers the time between the end of a pause and
+    /// the next tick.
     pub fn is_confirmed(&self, now: MonotonicTime) -> bool {
-        let ticking = self
+        let is_ticking = self
             .last_tick
             .is_some_and(|last| now.since(last) < PAUSE_LIMIT);
-        ticking && self.phase == PresencePhase::Confirmed
+        is_ticking && self.phase == PresencePhase::Confirmed
     }
 
-    /// Returns whether no member has answered since the start.
+    /// Returns whether the process started and is not yet confirmed.
     pub fn is_starting(&self) -> bool {
         matches!(self.phase, PresencePhase::Starting { .. })
     }
 
-    /// Returns whether the process was paused and no member has answered since.
-    pub fn is_waking(&self) -> bool {
-        matches!(self.phase, PresencePhase::Waking { .. })
+    /// Returns whether the process must be confirmed again, after a pause or a
+    /// raise of its incarnation.
+    pub fn is_reconfirming(&self) -> bool {
+        matches!(self.phase, PresencePhase::Reconfirming { .. })
     }
 
-    /// Notes a tick and returns the time since the one before.
-    pub fn tick(&mut self, now: MonotonicTime) -> Duration {
+    /// Records a tick and returns the time since the previous one, or zero for the
+    /// first.
+    pub fn record_tick(&mut self, now: MonotonicTime) -> Duration {
         let gap = match self.last_tick {
             Some(last) => now.since(last),
             None => {
@@ -82,48 +90,48 @@
         gap
     }
 
-    /// Notes that the process was paused; pings from `number` on are sent after
-    /// it.
-    pub fn wake(&mut self, number: u32) {
+    /// Records that the process must be confirmed again. `first_ping` is the number
+    /// of the next ping: answers to earlier ones don't count.
+    pub fn require_reconfirmation(&mut self, first_ping: u32) {
         if !self.is_starting() {
-            self.phase = PresencePhase::Waking { number };
+            self.phase = PresencePhase::Reconfirming { first_ping };
         }
     }
 
-    /// Ends the wait of a process that found nobody.
-    pub fn wait(&mut self, has_contact: bool, now: MonotonicTime) {
+    /// Confirms a starting process that got no answer in time.
+    pub fn check_start_timeout(&mut self, has_contact: bool, now: MonotonicTime) {
         let PresencePhase::Starting { since } = self.phase else {
             return;
         };
-        let limit = if has_contact {
-            ANSWER_WAIT
+        let timeout = if has_contact {
+            ANSWER_TIMEOUT
         } else {
-            CONTACT_WAIT
+            CONTACT_TIMEOUT
         };
-        if now.since(since) >= limit {
+        if now.since(since) >= timeout {
             self.phase = PresencePhase::Confirmed;
         }
     }
 
-    /// Notes that a member answered ping `number`.
-    pub fn answer(&mut self, number: u32) {
-        if let PresencePhase::Waking { number: first } = self.phase
-            && number >= first
+    /// Records that a member answered the ping with this number.
+    pub fn record_pong(&mut self, ping_number: u32) {
+        if let PresencePhase::Reconfirming { first_ping } = self.phase
+            && ping_number >= first_ping
         {
             self.phase = PresencePhase::Confirmed;
         }
     }
 
-    /// Notes that a member gave a page of its roster.
-    pub fn welcome(&mut self) {
+    /// Records that a member sent a page of its roster.
+    pub fn record_page(&mut self) {
         if self.is_starting() {
             self.phase = PresencePhase::Confirmed;
         }
     }
 
-    /// Notes that there is nobody to ask.
-    pub fn stay_alone(&mut self) {
-        if self.is_waking() {
+    /// Records that no other member is known that could confirm the process.
+    pub fn record_no_peers(&mut self) {
+        if self.is_reconfirming() {
             self.phase = PresencePhase::Confirmed;
         }
     }
--- a/crates/roster/src/probe.rs
+++ b/crates/roster/src/probe.rs
@@ -1,4 +1,7 @@
-//! How a process finds that members it watches are silent.
+//! Periodic rounds that probe the watched members.
+//!
+//! A watched member that doesn't answer is also pinged through other members
+//! before it becomes suspect.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -12,77 +15,86 @@
 use crate::budget::SendClass;
 use crate::state::RosterAction;
 use crate::state::RosterState;
-use crate::watch::SUSPICION_TIME;
+use crate::watch::SUSPICION_TIMEOUT;
 use crate::watch::SilentMember;
 use crate::watch::WATCHERS;
 use crate::watch::watched_members;
 
-/// Other members that are asked to ping a silent one, times the rounds in which
-/// it was silent: rare losses cost little, and many losses kill nobody.
-const RELAYS: usize = 2;
+/// Members that are asked to ping a silent one, per round in which it was silent.
+/// An occasional lost packet thus costs few messages, while heavy loss doesn't
+/// make a live member suspect.
+const RELAYS_PER_MISS: usize = 2;
 
-/// How long an answer is passed on to the member that asked for it.
-const RELAY_TIME: Duration = Duration::from_secs(2);
+/// How long an answer to a relayed ping is reported to the member that requested
+/// it.
+const RELAY_TTL: Duration = Duration::from_secs(2);
 
-/// A ping on behalf of another member.
+/// A ping that was sent on behalf of another member.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct RelayRecord {
-    pub(crate) number: u32,
-    pub(crate) asker: SocketAddrV4,
-    pub(crate) sent: MonotonicTime,
+    pub(crate) ping_number: u32,
+    pub(crate) requester: SocketAddrV4,
+    pub(crate) sent_at: MonotonicTime,
 }
 
 impl RosterState {
-    pub(crate) fn probe_round(&mut self, actions: &mut Vec<RosterAction>, now: MonotonicTime) {
+    /// Evaluates the answers to the last pings and pings the watched members
+    /// again.
+    pub(crate) fn run_probe_round(&mut self, actions: &mut Vec<RosterAction>, now: MonotonicTime) {
         self.relays
-            .retain(|relay| now.since(relay.sent) < RELAY_TIME);
+            .retain(|relay| now.since(relay.sent_at) < RELAY_TTL);
         if !self.presence.is_confirmed(now) {
             return;
         }
-        let round = self.watch.end_round(now);
-        if !self.is_cut_off(now) {
+        let round = self.watch_list.end_round(now);
+        if !self.is_isolated(now) {
             for target in &round.failed {
-                self.suspect(*target, now);
+                self.mark_suspect(*target, now);
             }
         }
-        self.refresh_watch();
+        self.update_watch_list();
         for silent in &round.silent {
-            self.ask_relays(actions, silent, now);
+            self.request_relayed_pings(actions, silent, now);
         }
-        for index in 0..self.watch.probes().len() {
-            let to = self.watch.probes()[index].target.address;
-            let number = self.ping(actions, to, now);
-            self.watch.probes_mut()[index].send(number, now);
+        for index in 0..self.watch_list.probes().len() {
+            let to = self.watch_list.probes()[index].target.address;
+            let ping_number = self.send_ping(actions, to, now);
+            self.watch_list.probes_mut()[index].record_ping(ping_number, now);
         }
     }
 
     /// Sends a ping and returns its number.
-    pub(crate) fn ping(
+    pub(crate) fn send_ping(
         &mut self,
         actions: &mut Vec<RosterAction>,
         to: SocketAddrV4,
         now: MonotonicTime,
     ) -> u32 {
-        let number = self.next_number;
-        self.next_number = self.next_number.wrapping_add(1);
+        let ping_number = self.next_ping_number;
+        self.next_ping_number = self.next_ping_number.wrapping_add(1);
         let mut changes = Vec::new();
         if !self.presence.is_starting() {
-            changes.push(self.me);
+            changes.push(self.own_entry);
         }
         let known = self.table.find(to).copied();
         changes.extend(known.filter(|entry| !entry.state.is_present()));
-        let body = ControlBody::Ping { number, changes };
+        let body = ControlBody::Ping {
+            number: ping_number,
+            changes,
+        };
         self.send(actions, SendClass::Probe, to, body, now);
-        number
+        ping_number
     }
 
-    /// Returns whether the fault is likely on this side: nobody at all was
-    /// heard, though there are more members than this process watches.
-    fn is_cut_off(&self, now: MonotonicTime) -> bool {
-        now.since(self.heard) >= SUSPICION_TIME && self.table.live_count() > WATCHERS + 1
+    /// Returns whether this process is likely cut off itself: it received no
+    /// message for [`SUSPICION_TIMEOUT`], although more members are live than it
+    /// watches.
+    fn is_isolated(&self, now: MonotonicTime) -> bool {
+        now.since(self.last_received) >= SUSPICION_TIMEOUT && self.table.live_count() > WATCHERS + 1
     }
 
-    fn suspect(&mut self, target: ProcessId, now: MonotonicTime) {
+    /// Marks a member as suspect and enqueues the change.
+    fn mark_suspect(&mut self, target: ProcessId, now: MonotonicTime) {
         let Some(known) = self.table.find(target.address) else {
             return;
         };
@@ -98,23 +110,25 @@
         }
     }
 
-    fn refresh_watch(&mut self) {
-        if self.watched_changes == self.table.change_count() {
+    /// Chooses the watched members again if the roster has changed.
+    fn update_watch_list(&mut self) {
+        if self.watched_change_count == self.table.change_count() {
             return;
         }
-        self.watched_changes = self.table.change_count();
-        let targets = watched_members(self.table.entries(), self.me.process.address);
-        self.watch.set_targets(&targets);
+        self.watched_change_count = self.table.change_count();
+        let targets = watched_members(self.table.entries(), self.own_entry.process.address);
+        self.watch_list.set_targets(&targets);
     }
 
-    fn ask_relays(
+    /// Asks random members to ping a silent one.
+    fn request_relayed_pings(
         &mut self,
         actions: &mut Vec<RosterAction>,
         silent: &SilentMember,
         now: MonotonicTime,
     ) {
         let target = silent.target;
-        for _ in 0..RELAYS * silent.misses {
+        for _ in 0..RELAYS_PER_MISS * silent.misses {
             let Some(to) = self.random_live().filter(|to| *to != target.address) else {
                 continue;
             };
--- a/crates/roster/src/queue.rs
+++ b/crates/roster/src/queue.rs
@@ -1,46 +1,49 @@
-//! The changes that a process still has to pass on.
+//! The queue of changes that a process still has to gossip.
 
 use std::net::SocketAddrV4;
 
-/// Changes that wait at most before each is sent fewer times, and as runs.
-const LONG_QUEUE: usize = 200;
+/// Queue length above which each new change is sent fewer times, and changes are
+/// sent in runs.
+const LONG_QUEUE_LENGTH: usize = 200;
 
-/// Times that a change is sent while the queue is long; digests do the rest.
-const FEW_SENDS: u32 = 6;
+/// Most times that a change is sent if it is enqueued while the queue is long.
+/// Digests repair what these miss.
+const LONG_QUEUE_SENDS: u32 = 6;
 
-/// Times that a change is sent beyond the logarithm of the fleet's size.
+/// Times that a change is sent in addition to the logarithm of the fleet size.
 const EXTRA_SENDS: u32 = 4;
 
-/// A change that is still to be sent.
+/// A changed member whose entry is still to be sent.
 #[derive(Debug, Clone, Copy)]
 struct QueuedChange {
     address: SocketAddrV4,
-    sends: u32,
+    remaining_sends: u32,
 }
 
-/// The members whose entries changed of late, with the most sends left first.
+/// The members whose entries changed recently and are still to be gossiped.
 #[derive(Debug, Default)]
 pub struct ChangeQueue {
     changes: Vec<QueuedChange>,
 }
 
 impl ChangeQueue {
-    /// Returns whether nothing is left to be sent.
+    /// Returns whether no change is left to send.
     pub fn is_empty(&self) -> bool {
         self.changes.is_empty()
     }
 
-    /// Returns the number of changes that wait.
+    /// Returns the number of changes in the queue.
     pub fn len(&self) -> usize {
         self.changes.len()
     }
 
-    /// Returns whether many changes wait.
+    /// Returns whether the queue is so long that changes are sent fewer times and
+    /// in runs.
     pub fn is_long(&self) -> bool {
-        self.changes.len() > LONG_QUEUE
+        self.changes.len() > LONG_QUEUE_LENGTH
     }
 
-    /// Returns the members of all changes that wait, by address.
+    /// Returns the addresses of all changed members, sorted.
     pub fn addresses(&self) -> Vec<SocketAddrV4> {
         let mut addresses: Vec<SocketAddrV4> =
             self.changes.iter().map(|change| change.address).collect();
@@ -48,43 +51,47 @@
         addresses
     }
 
-    /// Counts changes as sent once. `addresses` is sorted.
-    pub fn count_sent(&mut self, addresses: &[SocketAddrV4]) {
+    /// Records that the changes of these members were sent once. `addresses` must
+    /// be sorted.
+    pub fn record_sent(&mut self, addresses: &[SocketAddrV4]) {
         for change in &mut self.changes {
             if addresses.binary_search(&change.address).is_ok() {
-                change.sends -= 1;
+                change.remaining_sends -= 1;
             }
         }
-        self.changes.retain(|change| change.sends > 0);
+        self.changes.retain(|change| change.remaining_sends > 0);
     }
 
-    /// Adds a change, in place of an earlier one of the same member.
+    /// Enqueues a change, in place of an earlier one of the same member.
     ///
-    /// With each change sent `ln n + 4` times by each of `n` members, the share
-    /// of members that it misses is about `exp(-4) / n`.
-    pub fn push(&mut self, address: SocketAddrV4, fleet: usize) {
+    /// When each of `n` members sends a change `ln n + 4` times, the expected
+    /// share of members that it doesn't reach is about `exp(-4) / n`.
+    pub fn push(&mut self, address: SocketAddrV4, fleet_size: usize) {
         self.changes.retain(|change| change.address != address);
-        let sends = (fleet.max(1) as f64).ln().ceil() as u32 + EXTRA_SENDS;
-        let sends = if self.is_long() {
-            sends.min(FEW_SENDS)
+        let remaining_sends = (fleet_size.max(1) as f64).ln().ceil() as u32 + EXTRA_SENDS;
+        let remaining_sends = if self.is_long() {
+            remaining_sends.min(LONG_QUEUE_SENDS)
         } else {
-            sends
+            remaining_sends
         };
-        self.changes.push(QueuedChange { address, sends });
+        self.changes.push(QueuedChange {
+            address,
+            remaining_sends,
+        });
     }
 
-    /// Returns up to `limit` members, those that were sent least first, and
-    /// counts each as sent once.
-    pub fn take(&mut self, limit: usize) -> Vec<SocketAddrV4> {
+    /// Returns the addresses of up to `limit` changed members, those with the most
+    /// sends left first, and records each as sent once.
+    pub fn take_batch(&mut self, limit: usize) -> Vec<SocketAddrV4> {
         self.changes
-            .sort_by_key(|change| std::cmp::Reverse(change.sends));
+            .sort_by_key(|change| std::cmp::Reverse(change.remaining_sends));
         let count = limit.min(self.changes.len());
-        let taken = &mut self.changes[..count];
-        let addresses = taken.iter().map(|change| change.address).collect();
-        for change in taken {
-            change.sends -= 1;
+        let batch = &mut self.changes[..count];
+        let addresses = batch.iter().map(|change| change.address).collect();
+        for change in batch {
+            change.remaining_sends -= 1;
         }
-        self.changes.retain(|change| change.sends > 0);
+        self.changes.retain(|change| change.remaining_sends > 0);
         addresses
     }
 }
--- a/crates/roster/src/repair.rs
+++ b/crates/roster/src/repair.rs
@@ -1,4 +1,7 @@
-//! How rosters that differ are found and made to meet again.
+//! Periodic rounds that reconcile rosters that differ.
+//!
+//! Digests repair changes that gossip lost. Pings of absent members and of
+//! contacts rejoin the parts of a fleet that a partition separated.
 
 use std::time::Duration;
 
@@ -14,58 +17,66 @@
 /// Time between two digests while rosters agree.
 pub const DIGEST_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Time between two digests after one that differed, and after joining.
+/// Time between two digests after one that differed, and for a time after
+/// joining.
 const REPAIR_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time between two pings of a member that is gone, or of a contact.
+/// Time between two pings of an absent member or of a contact.
 pub const CONTACT_INTERVAL: Duration = Duration::from_secs(3);
 
 impl RosterState {
-    /// Sets when rosters are compared next.
+    /// Schedules the next digest.
     pub(crate) fn schedule_digest(&mut self, now: MonotonicTime) {
-        let interval = if now < self.join.settled {
+        let interval = if now < self.join.settling_until {
             REPAIR_INTERVAL
         } else {
             DIGEST_INTERVAL
         };
-        self.rounds.digest = now + self.jittered(interval);
+        self.schedule.digest = now + self.add_jitter(interval);
     }
 
-    pub(crate) fn digest_round(&mut self, actions: &mut Vec<RosterAction>, now: MonotonicTime) {
-        if !self.join.done || !self.has_room(SendClass::Repair, now) {
+    /// Sends a digest of the roster to a random live member.
+    pub(crate) fn run_digest_round(&mut self, actions: &mut Vec<RosterAction>, now: MonotonicTime) {
+        if !self.join.is_complete || !self.can_send_longest(SendClass::Repair, now) {
             return;
         }
         let Some(to) = self.random_live() else {
             return;
         };
-        let salt = self.random.random();
+        let salt = self.rng.random();
         let buckets = bucket_hashes(self.table.entries(), salt);
         let body = ControlBody::Digest { salt, buckets };
         self.send(actions, SendClass::Repair, to, body, now);
     }
 
-    /// Pings an address where nobody is known to be, so that two parts of the
-    /// fleet that lost each other meet again.
-    pub(crate) fn contact_round(&mut self, actions: &mut Vec<RosterAction>, now: MonotonicTime) {
-        let absent = self.table.absent_after(self.last_absent);
-        self.last_absent = absent.unwrap_or(self.last_absent);
+    /// Pings an address at which no live member is known, so that the parts of a
+    /// partitioned fleet find each other after the partition heals.
+    pub(crate) fn run_contact_round(
+        &mut self,
+        actions: &mut Vec<RosterAction>,
+        now: MonotonicTime,
+    ) {
+        let absent = self.table.next_absent(self.last_absent_pinged);
+        self.last_absent_pinged = absent.unwrap_or(self.last_absent_pinged);
         let address = absent.or_else(|| self.random_contact());
-        let Some(to) = address.filter(|to| *to != self.me.process.address) else {
+        let Some(to) = address.filter(|to| *to != self.own_entry.process.address) else {
             return;
         };
         let known = self.table.find(to);
         if known.is_none_or(|entry| !entry.state.is_present()) {
-            self.ping(actions, to, now);
+            self.send_ping(actions, to, now);
         }
     }
 
-    /// Compares rosters again soon.
-    pub(crate) fn hasten_digest(&mut self, now: MonotonicTime) {
-        let soon = now + self.jittered(REPAIR_INTERVAL);
-        self.rounds.digest = self.rounds.digest.min(soon);
+    /// Schedules the next digest within the repair interval, unless it is due
+    /// earlier.
+    pub(crate) fn schedule_repair_digest(&mut self, now: MonotonicTime) {
+        let soon = now + self.add_jitter(REPAIR_INTERVAL);
+        self.schedule.digest = self.schedule.digest.min(soon);
     }
 
-    pub(crate) fn jittered(&mut self, interval: Duration) -> Duration {
-        interval.mul_f64(self.random.random_range(0.75..1.25))
+    /// Returns `interval` with a random deviation of up to 25 %.
+    pub(crate) fn add_jitter(&mut self, interval: Duration) -> Duration {
+        interval.mul_f64(self.rng.random_range(0.75..1.25))
     }
 }
--- a/crates/roster/src/runs.rs
+++ b/crates/roster/src/runs.rs
@@ -1,11 +1,11 @@
-//! Many changes in few bytes.
+//! A compact encoding of many changes.
 //!
-//! When an availability zone is lost, or two parts of the fleet meet again,
-//! thousands of entries change at once, and each change is the same: the state
-//! alone. Such entries are sent as runs of neighbouring addresses, three bytes
-//! a member in place of about twenty. A check over the entry before the change
-//! keeps a receiver that holds another entry from taking it; digests repair
-//! that.
+//! When an availability zone is lost or a partition heals, thousands of entries
+//! change at once, all in the same way: only the state changes. Such entries are
+//! sent as runs of nearby addresses, with 3 bytes per member instead of about 20.
+//! Each member of a run carries a checksum of its entry before the change, so
+//! that a receiver that holds a different entry ignores the change. Digests then
+//! repair that entry.
 
 use std::hash::Hasher;
 use std::net::SocketAddrV4;
@@ -16,21 +16,21 @@
 use hyssopstair_wire::control::RunMember;
 use siphasher::sip::SipHasher13;
 
-/// Members of a run at most.
-pub const MAX_RUN: usize = 350;
+/// Most members of a run.
+pub const MAX_RUN_MEMBERS: usize = 350;
 
-/// Members of a run at least; fewer are sent as whole entries.
-pub const MIN_RUN: usize = 60;
+/// Fewest members of a run. Fewer changes are sent as whole entries.
+pub const MIN_RUN_MEMBERS: usize = 60;
 
-/// Returns the run of changed members that starts with the first of `entries`,
-/// which are sorted by address.
+/// Returns the longest run of changed members that starts with the first of
+/// `entries`, which must be sorted by address.
 pub fn encode_run(entries: &[MemberEntry]) -> Vec<RunMember> {
     let Some(first) = entries.first() else {
         return Vec::new();
     };
     let mut members = Vec::new();
     let mut last = first.process.address;
-    for entry in entries.iter().take(MAX_RUN) {
+    for entry in entries.iter().take(MAX_RUN_MEMBERS) {
         let distance = entry.process.address.ip().to_bits() - last.ip().to_bits();
         let Ok(skip) = u8::try_from(distance) else {
             break;
@@ -38,7 +38,7 @@
         if entry.process.address.port() != last.port() || entry.state != first.state {
             break;
         }
-        let Some(check) = check_before(entry) else {
+        let Some(check) = previous_check(entry) else {
             break;
         };
         members.push(RunMember { skip, check });
@@ -47,7 +47,7 @@
     members
 }
 
-/// Returns the addresses and checks of a run.
+/// Returns the address and the checksum of each member of a run.
 pub fn decode_run(
     first: SocketAddrV4,
     members: &[RunMember],
@@ -60,11 +60,15 @@
     })
 }
 
-/// Returns the entry that follows `known` in `state`, if the check is that of
-/// `known`.
-pub fn entry_after(known: &MemberEntry, state: MemberState, check: [u8; 2]) -> Option<MemberEntry> {
+/// Returns `known` after its change to `state`, or `None` if `check` is not the
+/// checksum of `known`.
+pub fn apply_run_change(
+    known: &MemberEntry,
+    state: MemberState,
+    check: [u8; 2],
+) -> Option<MemberEntry> {
     let matches = entry_check(known, known.counter) == check;
-    let counter = known.counter.checked_add(raised_by(state))?;
+    let counter = known.counter.checked_add(counter_increment(state))?;
     matches.then_some(MemberEntry {
         counter,
         state,
@@ -72,22 +76,24 @@
     })
 }
 
-/// Returns the check of the entry before a change, or nothing when the member
-/// has said nothing before.
-fn check_before(entry: &MemberEntry) -> Option<[u8; 2]> {
-    let counter = entry.counter.checked_sub(raised_by(entry.state))?;
+/// Returns the checksum of an entry before its last change, or `None` if the
+/// change is the first announcement of the member.
+fn previous_check(entry: &MemberEntry) -> Option<[u8; 2]> {
+    let counter = entry.counter.checked_sub(counter_increment(entry.state))?;
     Some(entry_check(entry, counter))
 }
 
-/// Returns how far the counter grows with a change to `state`. Others declare a
-/// member gone without raising its counter.
-fn raised_by(state: MemberState) -> u32 {
+/// Returns by how much a change to `state` raises the counter. Other members
+/// declare a member suspect or gone without raising its counter.
+fn counter_increment(state: MemberState) -> u32 {
     match state {
         MemberState::Gone | MemberState::Suspect => 0,
         MemberState::Alive | MemberState::Draining => 1,
     }
 }
 
+/// Returns a checksum of `entry`, with `counter` in place of its own counter and
+/// without its state.
 fn entry_check(entry: &MemberEntry, counter: u32) -> [u8; 2] {
     let mut hasher = SipHasher13::new();
     hasher.write_u32(entry.process.address.ip().to_bits());
--- a/crates/roster/src/watch.rs
+++ b/crates/roster/src/watch.rs
@@ -1,10 +1,10 @@
 //! Failure detection.
 //!
-//! Members stand on a ring, ordered by a hash of their addresses, and each
-//! watches the next few. So every member has the same number of watchers, the
-//! cost of a process does not grow with the fleet, and neighbours on the ring
-//! are no neighbours in a rack. When watchers are gone, those before them on the
-//! ring take their place.
+//! Members form a ring, ordered by a hash of their addresses, and each member
+//! probes the next few. Every member thus has the same number of watchers, the
+//! cost per process doesn't grow with the fleet, and members that are next to
+//! each other on the ring are rarely in the same rack. When watchers are gone,
+//! the members before them on the ring take their place.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -15,22 +15,23 @@
 
 use crate::digest::address_hash;
 
-/// Members that each process watches, and watchers of each member.
+/// Number of members that each process watches, and of watchers of each member.
 pub const WATCHERS: usize = 3;
 
 /// Time between two pings of a watched member.
 pub const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long a member is pinged in vain before it is suspect.
-pub const SUSPICION_TIME: Duration = Duration::from_secs(4);
+/// How long a member may leave pings unanswered before it becomes suspect.
+pub const SUSPICION_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Returns the members that the process at `me` watches: the next on the ring.
-pub fn watched_members(entries: &[MemberEntry], me: SocketAddrV4) -> Vec<ProcessId> {
-    let origin = address_hash(me);
+/// Returns the members that the process at `own_address` watches: the next live
+/// ones on the ring.
+pub fn watched_members(entries: &[MemberEntry], own_address: SocketAddrV4) -> Vec<ProcessId> {
+    let origin = address_hash(own_address);
     let mut nearest: Vec<(u64, ProcessId)> = Vec::with_capacity(WATCHERS + 1);
     let others = entries
         .iter()
-        .filter(|entry| entry.state.is_present() && entry.process.address != me);
+        .filter(|entry| entry.state.is_present() && entry.process.address != own_address);
     for entry in others {
         let distance = address_hash(entry.process.address).wrapping_sub(origin);
         if nearest.len() == WATCHERS && distance >= nearest[WATCHERS - 1].0 {
@@ -43,38 +44,38 @@
     nearest.into_iter().map(|(_, process)| process).collect()
 }
 
-/// A watched member.
+/// A watched member and the answers to its pings.
 #[derive(Debug, Clone, Copy)]
 pub struct ProbeRecord {
-    /// The member.
+    /// The watched member.
     pub target: ProcessId,
     /// The number of the last ping.
-    pub number: u32,
-    /// Whether the last ping was answered, or another member vouched for the
-    /// target since.
-    pub heard: bool,
-    /// The first ping that no answer followed.
+    pub ping_number: u32,
+    /// Whether the last ping was answered, or another member has reported an
+    /// answer of the target since.
+    pub answered: bool,
+    /// When the first of the consecutive unanswered pings was sent.
     failing_since: Option<MonotonicTime>,
-    /// Rounds without an answer.
+    /// Consecutive rounds without an answer.
     misses: usize,
-    sent: MonotonicTime,
+    sent_at: MonotonicTime,
 }
 
-/// A member that does not answer and may yet.
+/// A member that doesn't answer but is not suspect yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SilentMember {
-    /// The member.
+    /// The watched member.
     pub target: ProcessId,
-    /// Rounds without an answer.
+    /// Consecutive rounds without an answer.
     pub misses: usize,
 }
 
-/// What a round of probes finds.
+/// The result of a round of pings.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct ProbeRound {
-    /// Members that do not answer and may yet.
+    /// Members that don't answer but are not suspect yet.
     pub silent: Vec<SilentMember>,
-    /// Members that did not answer for [`SUSPICION_TIME`].
+    /// Members that have not answered for [`SUSPICION_TIMEOUT`].
     pub failed: Vec<ProcessId>,
 }
 
@@ -90,12 +91,13 @@
         &self.probes
     }
 
-    /// Returns the watched members, to note the pings that are sent.
+    /// Returns the watched members for recording the pings sent to them.
     pub fn probes_mut(&mut self) -> &mut [ProbeRecord] {
         &mut self.probes
     }
 
-    /// Watches these members, and keeps what is known of those watched before.
+    /// Replaces the watched members. Those that were already watched keep their
+    /// record.
     pub fn set_targets(&mut self, targets: &[ProcessId]) {
         let known = std::mem::take(&mut self.probes);
         self.probes = targets
@@ -104,39 +106,40 @@
                 let found = known.iter().find(|probe| probe.target == *target);
                 found.copied().unwrap_or(ProbeRecord {
                     target: *target,
-                    number: 0,
-                    heard: true,
+                    ping_number: 0,
+                    answered: true,
                     failing_since: None,
                     misses: 0,
-                    sent: MonotonicTime::default(),
+                    sent_at: MonotonicTime::default(),
                 })
             })
             .collect();
     }
 
-    /// Starts afresh with all members, after a pause of this process.
-    pub fn forgive(&mut self) {
+    /// Discards unanswered pings. They say nothing about the targets if this
+    /// process was itself paused.
+    pub fn reset_probes(&mut self) {
         for probe in &mut self.probes {
-            probe.recover();
+            probe.reset();
         }
     }
 
-    /// Notes that a member answered.
-    pub fn hear(&mut self, target: ProcessId) {
+    /// Records that a member answered a ping.
+    pub fn record_answer(&mut self, target: ProcessId) {
         for probe in &mut self.probes {
             if probe.target == target {
-                probe.recover();
+                probe.reset();
             }
         }
     }
 
-    /// Ends a round of pings.
+    /// Ends a round of pings and returns the members that didn't answer.
     pub fn end_round(&mut self, now: MonotonicTime) -> ProbeRound {
         let mut round = ProbeRound::default();
-        for probe in self.probes.iter_mut().filter(|probe| !probe.heard) {
+        for probe in self.probes.iter_mut().filter(|probe| !probe.answered) {
             probe.misses += 1;
-            let since = *probe.failing_since.get_or_insert(probe.sent);
-            if now.since(since) >= SUSPICION_TIME {
+            let since = *probe.failing_since.get_or_insert(probe.sent_at);
+            if now.since(since) >= SUSPICION_TIMEOUT {
                 round.failed.push(probe.target);
             } else {
                 round.silent.push(SilentMember {
@@ -150,15 +153,15 @@
 }
 
 impl ProbeRecord {
-    /// Notes that a ping is sent.
-    pub fn send(&mut self, number: u32, now: MonotonicTime) {
-        self.number = number;
-        self.heard = false;
-        self.sent = now;
+    /// Records that a ping is sent.
+    pub fn record_ping(&mut self, ping_number: u32, now: MonotonicTime) {
+        self.ping_number = ping_number;
+        self.answered = false;
+        self.sent_at = now;
     }
 
-    fn recover(&mut self) {
-        self.heard = true;
+    fn reset(&mut self) {
+        self.answered = true;
         self.failing_since = None;
         self.misses = 0;
     }
--- a/crates/roster/tests/roster.rs
+++ b/crates/roster/tests/roster.rs
@@ -9,7 +9,7 @@
 use bag::MessageBag;
 use bag::address;
 use bag::entry;
-use hyssopstair_roster::members::TOMBSTONE_TIME;
+use hyssopstair_roster::members::TOMBSTONE_TTL;
 use hyssopstair_roster::state::RosterState;
 use hyssopstair_wire::address::HostIncarnation;
 use hyssopstair_wire::address::ProcessId;
@@ -148,7 +148,7 @@
         bag.nodes[number].roster.receive(&message, now);
     }
     assert!(bag.all_know(9, MemberState::Gone));
-    bag.run(TOMBSTONE_TIME);
+    bag.run(TOMBSTONE_TTL);
     let forgotten = |node: &bag::BagNode| node.roster.members().len() == 29;
     assert!(bag.nodes.iter().filter(|it| it.running).all(forgotten));
 }
--- a/crates/roster/tests/runs.rs
+++ b/crates/roster/tests/runs.rs
@@ -6,10 +6,10 @@
 mod bag;
 
 use bag::entry;
-use hyssopstair_roster::runs::MAX_RUN;
+use hyssopstair_roster::runs::MAX_RUN_MEMBERS;
+use hyssopstair_roster::runs::apply_run_change;
 use hyssopstair_roster::runs::decode_run;
 use hyssopstair_roster::runs::encode_run;
-use hyssopstair_roster::runs::entry_after;
 use hyssopstair_wire::address::HostIncarnation;
 use hyssopstair_wire::control::ControlBody;
 use hyssopstair_wire::control::ControlMessage;
@@ -44,7 +44,7 @@
                     state: MemberState::Draining,
                     ..*entry
                 };
-                entry_after(&known, state, check)
+                apply_run_change(&known, state, check)
             })
             .collect();
         assert_eq!(decoded, entries);
@@ -60,7 +60,7 @@
         .filter(|((_, check), entry)| {
             let mut known = **entry;
             known.process.incarnation = HostIncarnation(101);
-            entry_after(&known, MemberState::Gone, *check).is_some()
+            apply_run_change(&known, MemberState::Gone, *check).is_some()
         });
     assert_eq!(newer.count(), 0);
 }
@@ -71,7 +71,7 @@
     assert_eq!(encode_run(&entries).len(), 35);
     let entries = changed(1..2_000, MemberState::Gone);
     let members = encode_run(&entries);
-    assert_eq!(members.len(), MAX_RUN);
+    assert_eq!(members.len(), MAX_RUN_MEMBERS);
     let message = ControlMessage {
         sender: entries[0].process,
         version: u64::MAX,
