--- a/crates/roster/examples/control_cost.rs
+++ b/crates/roster/examples/control_cost.rs
@@ -1,21 +1,19 @@
-//! Measures what the roster costs one daemon, and how fast changes spread.
+//! Measures the cost of the roster in one daemon, and how fast changes spread.
 //!
-//! `fleet` drives one roster among made-up members that ping it, answer it and
-//! pass changes on to it as often as a whole fleet would. `spread` and `lost`
-//! run real rosters that talk through a bag of messages.
+//! `fleet` drives one roster among simulated members that ping it, answer its
+//! pings and gossip changes to it as often as a whole fleet would. `spread` and
+//! `lost` run real rosters over a simulated network.
 
 #![allow(missing_docs)]
 
 #[allow(dead_code)]
-#[path = "../tests/bag/mod.rs"]
-mod bag;
+#[path = "../tests/network/mod.rs"]
+mod network;
 
 use std::fs;
 use std::time::Duration;
 
 use argh::FromArgs;
-use bag::MessageBag;
-use bag::entry;
 use hyssopstair_roster::budget::DATAGRAM_OVERHEAD;
 use hyssopstair_roster::digest::bucket_hashes;
 use hyssopstair_roster::state::RosterAction;
@@ -35,6 +33,8 @@
 use hyssopstair_wire::packet::split_message;
 use hyssopstair_wire::time::MonotonicTime;
 use hyssopstair_wire::token::FleetSecret;
+use network::SimulatedNetwork;
+use network::entry;
 use rand::RngExt;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -43,11 +43,12 @@
 const TICK_MILLIS: u64 = 50;
 const DAY_SECONDS: f64 = 86_400.0;
 
-/// Pages that members who join ask of one daemon in a second: 8,300 restarts a
-/// day, each of one page per 39 members, spread over all members.
+/// Pages that joining members request from one daemon per second: 8,300 restarts
+/// per day, each of which requests one page per 39 members, spread evenly over all
+/// members.
 const PAGES_PER_SECOND: f64 = 8_300.0 / 39.0 / DAY_SECONDS;
 
-/// Measures the cost of the roster.
+/// Measures the cost of the roster and the propagation of changes.
 #[derive(FromArgs)]
 struct CostArguments {
     #[argh(subcommand)]
@@ -62,14 +63,14 @@
     Lost(LostArguments),
 }
 
-/// One daemon among made-up members.
+/// Measure the cost of one daemon among simulated members.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "fleet")]
 struct FleetArguments {
     /// members of the fleet
     #[argh(option)]
     members: usize,
-    /// changes a day in the whole fleet
+    /// changes per day in the whole fleet
     #[argh(option, default = "33_500.0")]
     changes: f64,
     /// simulated seconds
@@ -77,14 +78,14 @@
     seconds: u64,
 }
 
-/// How long a change takes to reach every member.
+/// Measure how long a change takes to reach every member.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "spread")]
 struct SpreadArguments {
-    /// members of the fleet, all real
+    /// members of the fleet, each with a real roster
     #[argh(option)]
     members: usize,
-    /// changes that are measured
+    /// changes to measure
     #[argh(option, default = "20")]
     changes: usize,
     /// share of messages that are lost
@@ -92,23 +93,23 @@
     loss: f64,
 }
 
-/// Many members that are lost at once.
+/// Measure how fast the loss or return of many members at once spreads.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "lost")]
 struct LostArguments {
-    /// members that are left, all real
+    /// remaining members, each with a real roster
     #[argh(option, default = "200")]
     members: usize,
     /// members that are lost
     #[argh(option, default = "14_000")]
     lost: usize,
-    /// share of the fleet that the lost members are
+    /// share of the lost members in the fleet
     #[argh(option, default = "0.25")]
     share: f64,
-    /// whether the members were gone and come back, as after a partition
+    /// measure the return of members that were gone, as after a partition
     #[argh(switch)]
     back: bool,
-    /// simulated seconds at most
+    /// upper limit of the simulated time, in seconds
     #[argh(option, default = "1_800")]
     seconds: u64,
 }
@@ -122,7 +123,7 @@
     }
 }
 
-/// One daemon and what it sends, receives and computes.
+/// One daemon with counters for its traffic and CPU time.
 struct CostMeter {
     roster: RosterState,
     now: MonotonicTime,
@@ -131,7 +132,7 @@
     received_bytes: u64,
     received_messages: u64,
     cpu_nanos: u64,
-    answers: Vec<RosterAction>,
+    sent_actions: Vec<RosterAction>,
 }
 
 impl CostMeter {
@@ -145,7 +146,7 @@
         let actions = self.roster.receive(&message, self.now);
         let packets = encode_all(&actions);
         self.cpu_nanos += cpu_nanos() - start;
-        self.note_sent(actions, &packets);
+        self.record_sent(actions, &packets);
     }
 
     fn tick(&mut self) {
@@ -153,14 +154,14 @@
         let actions = self.roster.tick(1, self.now);
         let packets = encode_all(&actions);
         self.cpu_nanos += cpu_nanos() - start;
-        self.note_sent(actions, &packets);
+        self.record_sent(actions, &packets);
     }
 
-    fn note_sent(&mut self, actions: Vec<RosterAction>, packets: &[Vec<u8>]) {
+    fn record_sent(&mut self, actions: Vec<RosterAction>, packets: &[Vec<u8>]) {
         self.sent_messages += packets.len() as u64;
         let lengths = packets.iter().map(|it| it.len() as u64 + DATAGRAM_OVERHEAD);
         self.sent_bytes += lengths.sum::<u64>();
-        self.answers.extend(actions);
+        self.sent_actions.extend(actions);
     }
 }
 
@@ -175,16 +176,16 @@
 
 fn measure_fleet(arguments: &FleetArguments) {
     let before = resident_bytes();
-    let mut random = StdRng::seed_from_u64(SEED);
+    let mut rng = StdRng::seed_from_u64(SEED);
     let mut meter = join_fleet(arguments.members);
     let memory = resident_bytes().saturating_sub(before);
-    let joined = (meter.received_bytes, meter.cpu_nanos);
+    let join_cost = (meter.received_bytes, meter.cpu_nanos);
     meter.sent_bytes = 0;
     meter.sent_messages = 0;
     meter.received_bytes = 0;
     meter.received_messages = 0;
     meter.cpu_nanos = 0;
-    // The time after joining is not the usual one.
+    // Skips the time after joining, when digests are sent more often.
     let start = meter.now + Duration::from_secs(60);
     let copies = (arguments.members as f64).ln().ceil() + 2.0;
     let mut view_nanos = 0;
@@ -195,7 +196,7 @@
         meter.now = meter.now + Duration::from_millis(TICK_MILLIS);
         meter.tick();
         answer_pings(&mut meter);
-        offer_load(&mut meter, arguments, copies, &mut random);
+        simulate_load(&mut meter, arguments, copies, &mut rng);
         if meter.roster.change_count() != changes {
             changes = meter.roster.change_count();
             view_nanos += build_view(&meter.roster);
@@ -216,12 +217,12 @@
         view_nanos as f64 / seconds / 1e7,
         memory as f64 / 1e6,
         memory as f64 / arguments.members as f64,
-        joined.0 / 1_000,
-        joined.1 as f64 / 1e6,
+        join_cost.0 / 1_000,
+        join_cost.1 as f64 / 1e6,
     );
 }
 
-/// Joins a roster to a fleet of made-up members.
+/// Joins a roster to a fleet of simulated members.
 fn join_fleet(members: usize) -> CostMeter {
     let mut roster = RosterState::new(entry(0, 100), SEED);
     roster.add_contact(entry(1, 100).process.address);
@@ -233,10 +234,10 @@
         received_bytes: 0,
         received_messages: 0,
         cpu_nanos: 0,
-        answers: Vec::new(),
+        sent_actions: Vec::new(),
     };
     meter.tick();
-    while let Some(after) = asked_page(&mut meter) {
+    while let Some(after) = requested_page(&mut meter) {
         let next = after.map_or(1, |address| {
             address.ip().to_bits() as usize - 0x0a00_0000 + 1
         });
@@ -254,9 +255,9 @@
     meter
 }
 
-/// Returns where the page starts that was asked for.
-fn asked_page(meter: &mut CostMeter) -> Option<Option<std::net::SocketAddrV4>> {
-    meter.answers.drain(..).find_map(|action| {
+/// Returns the start of the page that the daemon requested, if it requested one.
+fn requested_page(meter: &mut CostMeter) -> Option<Option<std::net::SocketAddrV4>> {
+    meter.sent_actions.drain(..).find_map(|action| {
         let RosterAction::Send { message, .. } = action;
         match message.body {
             ControlBody::Join { after } => Some(after),
@@ -266,7 +267,7 @@
 }
 
 fn answer_pings(meter: &mut CostMeter) {
-    for action in std::mem::take(&mut meter.answers) {
+    for action in std::mem::take(&mut meter.sent_actions) {
         let RosterAction::Send { to, message: sent } = action;
         let ControlBody::Ping { number, .. } = sent.body else {
             continue;
@@ -283,42 +284,43 @@
         let pong = message(members[index], body);
         meter.receive(&pong);
     }
-    meter.answers.clear();
+    meter.sent_actions.clear();
 }
 
-/// Sends what the rest of the fleet sends to one member in one tick.
-fn offer_load(meter: &mut CostMeter, arguments: &FleetArguments, copies: f64, random: &mut StdRng) {
+/// Delivers the messages that the rest of the fleet sends to one member in one
+/// tick.
+fn simulate_load(meter: &mut CostMeter, arguments: &FleetArguments, copies: f64, rng: &mut StdRng) {
     let tick = TICK_MILLIS as f64 / 1_000.0;
-    for _ in 0..draw(WATCHERS as f64 * tick, random) {
-        let number = random.random_range(1..arguments.members);
+    for _ in 0..random_count(WATCHERS as f64 * tick, rng) {
+        let number = rng.random_range(1..arguments.members);
         let member = meter.roster.members()[number];
         let changes = vec![member];
         let body = ControlBody::Ping { number: 0, changes };
         meter.receive(&message(member, body));
     }
-    for _ in 0..draw(tick / 10.0, random) {
-        let salt = random.random();
+    for _ in 0..random_count(tick / 10.0, rng) {
+        let salt = rng.random();
         let buckets = bucket_hashes(meter.roster.members(), salt);
         let body = ControlBody::Digest { salt, buckets };
         meter.receive(&message(entry(1, 100), body));
     }
-    for _ in 0..draw(tick * PAGES_PER_SECOND, random) {
-        let number = random.random_range(1..arguments.members);
+    for _ in 0..random_count(tick * PAGES_PER_SECOND, rng) {
+        let number = rng.random_range(1..arguments.members);
         let after = Some(entry(number, 100).process.address);
         meter.receive(&message(entry(1, 100), ControlBody::Join { after }));
     }
-    for _ in 0..draw(tick * arguments.changes / DAY_SECONDS, random) {
-        let number = random.random_range(1..arguments.members);
+    for _ in 0..random_count(tick * arguments.changes / DAY_SECONDS, rng) {
+        let number = rng.random_range(1..arguments.members);
         let changed = next_change(&meter.roster.members()[number]);
         for _ in 0..copies as usize {
-            let sender = entry(random.random_range(1..arguments.members), 100);
+            let sender = entry(rng.random_range(1..arguments.members), 100);
             let body = ControlBody::Changes(vec![changed]);
             meter.receive(&message(sender, body));
         }
     }
 }
 
-/// Returns what a member may say next: it drains, goes, and starts again.
+/// Returns the next entry of a member: it drains, then leaves, then restarts.
 fn next_change(known: &MemberEntry) -> MemberEntry {
     let mut next = *known;
     match known.state {
@@ -341,10 +343,10 @@
     }
 }
 
-/// Draws how often something with this mean rate happens.
-fn draw(mean: f64, random: &mut StdRng) -> usize {
+/// Returns a random number of events with the given mean.
+fn random_count(mean: f64, rng: &mut StdRng) -> usize {
     let whole = mean.floor();
-    whole as usize + usize::from(random.random_bool(mean - whole))
+    whole as usize + usize::from(rng.random_bool(mean - whole))
 }
 
 fn build_view(roster: &RosterState) -> u64 {
@@ -357,23 +359,25 @@
 }
 
 fn measure_spread(arguments: &SpreadArguments) {
-    let mut bag = MessageBag::new(SEED);
-    bag.start_fleet(arguments.members);
-    bag.loss = arguments.loss;
+    let mut network = SimulatedNetwork::new(SEED);
+    network.start_fleet(arguments.members);
+    network.loss = arguments.loss;
     let mut times = Vec::new();
     for subject in 1..=arguments.changes {
-        let now = bag.now;
-        bag.nodes[subject]
+        let now = network.now;
+        network.nodes[subject]
             .roster
             .set_state(MemberState::Draining, now);
         let limit = Duration::from_secs(120);
-        let took = bag.run_until(limit, |bag| bag.all_know(subject, MemberState::Draining));
-        times.push(took.expect("the change reached all"));
-        bag.run(Duration::from_secs(5));
+        let elapsed = network.run_until(limit, |network| {
+            network.all_hold_state(subject, MemberState::Draining)
+        });
+        times.push(elapsed.expect("the change reached all members"));
+        network.run(Duration::from_secs(5));
     }
     times.sort_unstable();
     println!(
-        "members {} loss {} | a change reaches all in {:?} (median), {:?} (longest of {})",
+        "members {} loss {} | a change reaches all members in {:?} (median), {:?} (longest of {})",
         arguments.members,
         arguments.loss,
         times[times.len() / 2],
@@ -383,8 +387,8 @@
 }
 
 fn measure_lost(arguments: &LostArguments) {
-    let mut bag = MessageBag::new(SEED);
-    bag.start_fleet(arguments.members);
+    let mut network = SimulatedNetwork::new(SEED);
+    network.start_fleet(arguments.members);
     let state = if arguments.back {
         MemberState::Gone
     } else {
@@ -396,32 +400,32 @@
             ..entry(number, 100)
         })
         .collect();
-    tell_all(&mut bag, &lost);
-    change_all(&mut bag, &lost);
-    bag.redirected = if arguments.back {
+    merge_into_all(&mut network, &lost);
+    report_changes(&mut network, &lost);
+    network.redirect_share = if arguments.back {
         1.0
     } else {
         1.0 - arguments.share
     };
-    let start = bag.now;
-    let sent: Vec<u64> = bag.nodes.iter().map(|node| node.sent_bytes).collect();
+    let start = network.now;
+    let sent: Vec<u64> = network.nodes.iter().map(|node| node.sent_bytes).collect();
     let mut last = sent.clone();
-    let mut most = 0;
+    let mut max_bytes = 0;
     for second in 1..=arguments.seconds {
-        bag.run(Duration::from_secs(1));
-        for (node, last) in bag.nodes.iter().zip(&mut last) {
-            most = most.max(node.sent_bytes - *last);
+        network.run(Duration::from_secs(1));
+        for (node, last) in network.nodes.iter().zip(&mut last) {
+            max_bytes = max_bytes.max(node.sent_bytes - *last);
             *last = node.sent_bytes;
         }
-        let stale = stale_entries(&bag, arguments);
+        let stale = count_stale_entries(&network, arguments);
         let share = stale as f64 / (arguments.lost * arguments.members) as f64;
         if second.is_power_of_two() || stale == 0 {
-            let total: u64 = bag.nodes.iter().map(|node| node.sent_bytes).sum();
+            let total: u64 = network.nodes.iter().map(|node| node.sent_bytes).sum();
             let rate = (total - sent.iter().sum::<u64>()) as f64
-                / bag.now.since(start).as_secs_f64()
+                / network.now.since(start).as_secs_f64()
                 / arguments.members as f64;
             println!(
-                "{second} s: {:.4} % of entries stale, {rate:.0} B/s mean, {most} B in the \
+                "{second} s: {:.4} % of entries stale, {rate:.0} B/s mean, {max_bytes} B in the \
                  busiest second of a member",
                 share * 100.0
             );
@@ -432,19 +436,19 @@
     }
 }
 
-/// Makes all rosters hold entries, without passing them on.
-fn tell_all(bag: &mut MessageBag, entries: &[MemberEntry]) {
-    let now = bag.now;
-    for node in &mut bag.nodes {
+/// Merges entries into all rosters without gossiping them.
+fn merge_into_all(network: &mut SimulatedNetwork, entries: &[MemberEntry]) {
+    let now = network.now;
+    for node in &mut network.nodes {
         node.roster.merge_entries(entries, now);
     }
 }
 
-/// Has three members each learn what becomes of a lost member, as its watchers
-/// would.
-fn change_all(bag: &mut MessageBag, lost: &[MemberEntry]) {
-    let mut random = StdRng::seed_from_u64(SEED);
-    let now = bag.now;
+/// Reports the change of each lost member to as many random members as would watch
+/// it.
+fn report_changes(network: &mut SimulatedNetwork, lost: &[MemberEntry]) {
+    let mut rng = StdRng::seed_from_u64(SEED);
+    let now = network.now;
     for known in lost {
         let mut changed = *known;
         if known.state == MemberState::Gone {
@@ -454,25 +458,25 @@
             changed.state = MemberState::Gone;
         }
         for _ in 0..WATCHERS {
-            let number = random.random_range(0..bag.nodes.len());
+            let number = rng.random_range(0..network.nodes.len());
             let body = ControlBody::Changes(vec![changed]);
-            let told = message(entry(1, 100), body);
-            let actions = bag.nodes[number].roster.receive(&told, now);
-            bag.carry_out(number, actions);
+            let report = message(entry(1, 100), body);
+            let actions = network.nodes[number].roster.receive(&report, now);
+            network.send_actions(number, actions);
         }
     }
 }
 
-fn stale_entries(bag: &MessageBag, arguments: &LostArguments) -> usize {
-    let known = |node: &bag::BagNode| node.roster.live_count() - arguments.members;
+fn count_stale_entries(network: &SimulatedNetwork, arguments: &LostArguments) -> usize {
+    let live_lost = |node: &network::SimulatedNode| node.roster.live_count() - arguments.members;
     let stale = |node| match arguments.back {
-        true => arguments.lost - known(node),
-        false => known(node),
+        true => arguments.lost - live_lost(node),
+        false => live_lost(node),
     };
-    bag.nodes.iter().map(stale).sum()
+    network.nodes.iter().map(stale).sum()
 }
 
-/// Returns the processor time of this thread.
+/// Returns the CPU time of this thread in nanoseconds, or 0 if it is unknown.
 fn cpu_nanos() -> u64 {
     let text = fs::read_to_string("/proc/thread-self/schedstat").unwrap_or_default();
     let first = text.split_whitespace().next();
--- a/crates/roster/tests/fleet/mod.rs
+++ b/crates/roster/tests/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! A few processes, the messages between them, and what must hold.
+//! A small fleet over a simulated network, and the invariants that it must keep.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -36,15 +36,20 @@
 pub const SERVICES: u16 = 2;
 
 const TICK_MILLIS: u64 = 50;
-const SPREAD_LIMIT: Duration = Duration::from_secs(16);
-const LEAVE_LIMIT: Duration = Duration::from_secs(3);
-/// A host that was silent for this long may have been given up.
+/// Time in which a configuration change must reach every reachable process.
+const PROPAGATION_LIMIT: Duration = Duration::from_secs(16);
+/// Time in which a balancer must learn that a reachable host drains.
+const DRAIN_LIMIT: Duration = Duration::from_secs(3);
+/// Time of silence after which other processes may have declared a host gone.
 const SILENCE_LIMIT: Duration = Duration::from_secs(11);
-/// Each process tries each absent one in turn.
-const DOUBT_LIMIT: Duration = Duration::from_secs(40);
-/// Long, so that changes spread between processes.
+/// Time after a long partition or pause in which processes may still hold each
+/// other for gone, because each pings the absent ones one after another.
+const REDISCOVERY_LIMIT: Duration = Duration::from_secs(40);
+/// Time between two reads of the platform. Long, so that configuration changes
+/// must spread between processes.
 const POLL_INTERVAL: Duration = Duration::from_secs(60);
-const EVERYBODY: u32 = u32::MAX;
+const ALL_PROCESSES: u32 = u32::MAX;
+/// Time without failures after which all rosters must be equal.
 const QUIET_TIME: Duration = Duration::from_secs(90);
 
 #[derive(Debug, Clone)]
@@ -52,8 +57,9 @@
 
 #[derive(Debug, Clone)]
 pub enum FleetStep {
+    /// Milliseconds without a further step.
     Wait(u64),
-    Open {
+    OpenFlow {
         service: u16,
         caller: u32,
     },
@@ -64,15 +70,15 @@
         millis: u64,
     },
     Drain(usize),
-    /// Another service's host comes up at the address.
-    Reuse(usize),
-    /// Processes with a set bit are parted from the others.
-    Part(u32),
+    /// Restarts a process as a host of another service.
+    ReuseAddress(usize),
+    /// Partitions the processes whose bit is set from the others.
+    Partition(u32),
     Heal,
-    /// Percent of messages that are lost.
-    Lose(u8),
-    /// Whether the platform answers.
-    Platform(bool),
+    /// Percentage of messages that are lost.
+    SetLoss(u8),
+    /// Sets whether the platform answers.
+    SetPlatform(bool),
     Configure {
         first: usize,
         readable: bool,
@@ -83,19 +89,22 @@
 struct FleetProcess {
     roster: RosterState,
     config: ConfigState,
-    gate: Option<HostGate>,
+    host: Option<HostGate>,
     running: bool,
     paused_until: MonotonicTime,
     paused_since: MonotonicTime,
-    side: bool,
-    /// Since when it runs and reaches those on its side.
-    undisturbed: MonotonicTime,
-    /// Those that it was parted from in the present partition, one bit each.
-    strangers: u32,
-    /// Until when it and those in `doubted` may hold each other for gone.
-    doubted_until: MonotonicTime,
-    doubted: u32,
-    drained: Option<MonotonicTime>,
+    partition: bool,
+    /// Since when the process has been running with an unchanged partition.
+    undisturbed_since: MonotonicTime,
+    /// The processes that it was cut off from during the current partition, one
+    /// bit each.
+    partitioned_from: u32,
+    /// Until when this process and those in `may_suspect` may hold each other for
+    /// suspect or gone.
+    may_suspect_until: MonotonicTime,
+    /// The processes that `may_suspect_until` applies to, one bit each.
+    may_suspect: u32,
+    drained_at: Option<MonotonicTime>,
     next_poll: MonotonicTime,
 }
 
@@ -125,22 +134,22 @@
 pub struct FleetUnderTest {
     processes: Vec<FleetProcess>,
     flows: Vec<FleetFlow>,
-    messages: Vec<FleetMessage>,
-    changes: Vec<AcceptedChange>,
-    stored: (u64, String),
-    platform: bool,
+    in_flight: Vec<FleetMessage>,
+    accepted_changes: Vec<AcceptedChange>,
+    stored_config: (u64, String),
+    platform_up: bool,
     loss: f64,
-    parted_since: Option<MonotonicTime>,
+    partitioned_since: Option<MonotonicTime>,
     incarnation: u32,
     now: MonotonicTime,
-    random: StdRng,
+    rng: StdRng,
 }
 
 fn address(number: usize) -> SocketAddrV4 {
     SocketAddrV4::new([10, 1, 0, number as u8].into(), 7_000)
 }
 
-fn number_of(address: SocketAddrV4) -> usize {
+fn process_number(address: SocketAddrV4) -> usize {
     usize::from(address.ip().octets()[3])
 }
 
@@ -159,7 +168,7 @@
     )
 }
 
-fn first_service(number: usize) -> Option<ServiceId> {
+fn initial_service(number: usize) -> Option<ServiceId> {
     let host = number.checked_sub(BALANCERS)?;
     Some(ServiceId(1 + (host % usize::from(SERVICES)) as u16))
 }
@@ -169,34 +178,39 @@
         let mut fleet = Self {
             processes: Vec::new(),
             flows: Vec::new(),
-            messages: Vec::new(),
-            changes: Vec::new(),
-            stored: (1, rules(1)),
-            platform: true,
+            in_flight: Vec::new(),
+            accepted_changes: Vec::new(),
+            stored_config: (1, rules(1)),
+            platform_up: true,
             loss: 0.0,
-            parted_since: None,
+            partitioned_since: None,
             incarnation: 100,
             now: MonotonicTime::from_millis(1),
-            random: StdRng::seed_from_u64(1),
+            rng: StdRng::seed_from_u64(1),
         };
         for number in 0..PROCESSES {
-            let process = fleet.new_process(number, first_service(number));
+            let process = fleet.new_process(number, initial_service(number));
             fleet.processes.push(process);
         }
         fleet.run(Duration::from_secs(12));
-        let read = |process: &FleetProcess| process.config.version() == 1;
-        assert!(fleet.processes.iter().all(read), "the first rules");
+        let has_rules = |process: &FleetProcess| process.config.version() == 1;
+        assert!(
+            fleet.processes.iter().all(has_rules),
+            "the initial rules were not read"
+        );
         fleet
     }
 
     pub fn apply(&mut self, step: &FleetStep) {
         match *step {
             FleetStep::Wait(millis) => self.run(Duration::from_millis(millis)),
-            FleetStep::Open { service, caller } => self.open(ServiceId(1 + service), caller),
+            FleetStep::OpenFlow { service, caller } => {
+                self.open_flow(ServiceId(1 + service), caller)
+            }
             FleetStep::Kill(number) => self.processes[number].running = false,
-            FleetStep::Restart(number) => self.restart(number, first_service(number)),
-            FleetStep::Reuse(number) => {
-                let other = first_service(number).map(|it| ServiceId(SERVICES + 1 - it.0));
+            FleetStep::Restart(number) => self.restart(number, initial_service(number)),
+            FleetStep::ReuseAddress(number) => {
+                let other = initial_service(number).map(|it| ServiceId(SERVICES + 1 - it.0));
                 self.restart(number, other);
             }
             FleetStep::Pause { number, millis } => {
@@ -208,34 +222,42 @@
                 }
             }
             FleetStep::Drain(number) => self.drain(number),
-            FleetStep::Part(mask) => self.part(mask),
-            FleetStep::Heal => self.part(0),
-            FleetStep::Lose(percent) => self.loss = f64::from(percent % 10) / 100.0,
-            FleetStep::Platform(up) => self.platform = up,
+            FleetStep::Partition(mask) => self.set_partition(mask),
+            FleetStep::Heal => self.set_partition(0),
+            FleetStep::SetLoss(percent) => self.loss = f64::from(percent % 10) / 100.0,
+            FleetStep::SetPlatform(up) => self.platform_up = up,
             FleetStep::Configure { first, readable } => self.configure(first, readable),
         }
         self.check();
     }
 
-    /// Mends everything, waits, and checks that all agree.
-    pub fn end_quietly(&mut self) {
-        self.part(0);
+    /// Ends all failures, waits, and checks that all rosters are equal.
+    pub fn check_recovery(&mut self) {
+        self.set_partition(0);
         self.loss = 0.0;
-        self.platform = true;
+        self.platform_up = true;
         self.run(QUIET_TIME);
         self.check();
-        let up: Vec<usize> = (0..PROCESSES).filter(|it| self.is_up(*it)).collect();
-        let present = |number: usize| -> Vec<MemberEntry> {
+        let up_numbers: Vec<usize> = (0..PROCESSES).filter(|it| self.is_up(*it)).collect();
+        let present_members = |number: usize| -> Vec<MemberEntry> {
             let members = self.processes[number].roster.members().iter();
             members
                 .filter(|it| it.state.is_present())
                 .copied()
                 .collect()
         };
-        for number in &up {
+        for number in &up_numbers {
             assert!(self.processes[*number].roster.is_confirmed(self.now));
-            assert_eq!(present(*number), present(up[0]), "rosters after quiet");
-            assert_eq!(present(*number).len(), up.len(), "members after quiet");
+            assert_eq!(
+                present_members(*number),
+                present_members(up_numbers[0]),
+                "rosters differ after recovery"
+            );
+            assert_eq!(
+                present_members(*number).len(),
+                up_numbers.len(),
+                "members are missing after recovery"
+            );
         }
     }
 
@@ -256,8 +278,8 @@
             role,
             state: MemberState::Alive,
         };
-        let mut roster = RosterState::new(entry, self.random.random());
-        // With the platform away, one known peer is enough.
+        let mut roster = RosterState::new(entry, self.rng.random());
+        // One known peer must be enough to join when the platform is down.
         let peer = (0..self.processes.len()).find(|it| *it != number && self.is_up(*it));
         if let Some(peer) = peer {
             roster.add_contact(address(peer));
@@ -265,84 +287,84 @@
         FleetProcess {
             roster,
             config: ConfigState::default(),
-            gate: service.map(HostGate::new),
+            host: service.map(HostGate::new),
             running: true,
             paused_until: MonotonicTime::default(),
             paused_since: MonotonicTime::default(),
-            side: false,
-            undisturbed: self.now,
-            strangers: EVERYBODY,
-            doubted_until: MonotonicTime::default(),
-            doubted: 0,
-            drained: None,
+            partition: false,
+            undisturbed_since: self.now,
+            partitioned_from: ALL_PROCESSES,
+            may_suspect_until: MonotonicTime::default(),
+            may_suspect: 0,
+            drained_at: None,
             next_poll: self.now,
         }
     }
 
     fn restart(&mut self, number: usize, service: Option<ServiceId>) {
-        let side = self.processes[number].side;
+        let partition = self.processes[number].partition;
         self.processes[number] = self.new_process(number, service);
-        self.processes[number].side = side;
+        self.processes[number].partition = partition;
     }
 
     fn drain(&mut self, number: usize) {
-        if !self.is_up(number) || self.processes[number].drained.is_some() {
+        if !self.is_up(number) || self.processes[number].drained_at.is_some() {
             return;
         }
         let now = self.now;
         let process = &mut self.processes[number];
         process.roster.set_state(MemberState::Draining, now);
-        process.drained = Some(now);
+        process.drained_at = Some(now);
         let actions = process
             .roster
             .announce_immediately(process.config.version(), now);
         self.send(number, actions);
     }
 
-    fn part(&mut self, mask: u32) {
+    fn set_partition(&mut self, mask: u32) {
         let now = self.now;
-        let long = self
-            .parted_since
+        let was_long = self
+            .partitioned_since
             .is_some_and(|since| now.since(since) >= SILENCE_LIMIT);
-        let parted = mask.trailing_zeros() < PROCESSES as u32;
+        let is_partitioned = mask.trailing_zeros() < PROCESSES as u32;
         for (number, process) in self.processes.iter_mut().enumerate() {
-            process.side = mask >> number & 1 == 1;
-            process.undisturbed = now;
-            if long {
-                process.doubted_until = now + DOUBT_LIMIT;
-                process.doubted |= process.strangers;
+            process.partition = mask >> number & 1 == 1;
+            process.undisturbed_since = now;
+            if was_long {
+                process.may_suspect_until = now + REDISCOVERY_LIMIT;
+                process.may_suspect |= process.partitioned_from;
             }
-            if !parted {
-                process.strangers = 0;
+            if !is_partitioned {
+                process.partitioned_from = 0;
             }
         }
-        self.note_strangers();
-        let since = self.parted_since.unwrap_or(now);
-        self.parted_since = parted.then_some(since);
+        self.record_partitioned();
+        let since = self.partitioned_since.unwrap_or(now);
+        self.partitioned_since = is_partitioned.then_some(since);
     }
 
-    fn note_strangers(&mut self) {
-        let sides: Vec<bool> = self.processes.iter().map(|it| it.side).collect();
+    fn record_partitioned(&mut self) {
+        let partitions: Vec<bool> = self.processes.iter().map(|it| it.partition).collect();
         for process in &mut self.processes {
-            for (number, side) in sides.iter().enumerate() {
-                process.strangers |= u32::from(*side != process.side) << number;
+            for (number, partition) in partitions.iter().enumerate() {
+                process.partitioned_from |= u32::from(*partition != process.partition) << number;
             }
         }
     }
 
     fn configure(&mut self, first: usize, readable: bool) {
-        if !self.platform || !self.is_up(first) {
+        if !self.platform_up || !self.is_up(first) {
             return;
         }
-        let version = self.stored.0 + 1;
+        let version = self.stored_config.0 + 1;
         let text = match readable {
             true => rules(version),
             false => "service without a number\n".to_owned(),
         };
         self.processes[first].config.apply(version, &text);
-        self.stored = (version, text);
+        self.stored_config = (version, text);
         if readable {
-            self.changes.push(AcceptedChange {
+            self.accepted_changes.push(AcceptedChange {
                 version,
                 at: self.now,
                 first,
@@ -361,7 +383,7 @@
             self.now = self.now + Duration::from_millis(10);
             self.deliver();
             for number in 0..PROCESSES {
-                self.wake(number);
+                self.end_pause(number);
                 let millis = self.now.0 / 1_000 + 10 * number as u64;
                 if self.is_up(number) && millis % TICK_MILLIS < 10 {
                     self.tick(number);
@@ -373,16 +395,16 @@
         }
     }
 
-    fn wake(&mut self, number: usize) {
+    fn end_pause(&mut self, number: usize) {
         let now = self.now;
         let process = &mut self.processes[number];
         if process.paused_since == MonotonicTime::default() || now < process.paused_until {
             return;
         }
-        process.undisturbed = now;
+        process.undisturbed_since = now;
         if now.since(process.paused_since) >= SILENCE_LIMIT {
-            process.doubted_until = now + DOUBT_LIMIT;
-            process.doubted = EVERYBODY;
+            process.may_suspect_until = now + REDISCOVERY_LIMIT;
+            process.may_suspect = ALL_PROCESSES;
         }
         process.paused_since = MonotonicTime::default();
     }
@@ -391,9 +413,11 @@
         let now = self.now;
         let process = &mut self.processes[number];
         let version = process.config.version();
-        if self.platform && now >= process.next_poll {
+        if self.platform_up && now >= process.next_poll {
             process.next_poll = now + POLL_INTERVAL;
-            process.config.apply(self.stored.0, &self.stored.1);
+            process
+                .config
+                .apply(self.stored_config.0, &self.stored_config.1);
             for contact in 0..PROCESSES {
                 process.roster.add_contact(address(contact));
             }
@@ -404,16 +428,16 @@
 
     fn send(&mut self, from: usize, actions: Vec<RosterAction>) {
         for RosterAction::Send { to, message } in actions {
-            // Some are doubled, some late, and most overtake each other.
-            let copies = if self.random.random_bool(0.05) { 2 } else { 1 };
+            // Duplicates and delays some messages, and reorders most.
+            let copies = if self.rng.random_bool(0.05) { 2 } else { 1 };
             for _ in 0..copies {
-                if self.random.random_bool(self.loss) {
+                if self.rng.random_bool(self.loss) {
                     continue;
                 }
-                let late = self.random.random_bool(0.02);
-                let longest = if late { 3_000 } else { 30 };
-                let delay = Duration::from_millis(self.random.random_range(1..longest));
-                self.messages.push(FleetMessage {
+                let is_delayed = self.rng.random_bool(0.02);
+                let max_delay_millis = if is_delayed { 3_000 } else { 30 };
+                let delay = Duration::from_millis(self.rng.random_range(1..max_delay_millis));
+                self.in_flight.push(FleetMessage {
                     due: self.now + delay,
                     from,
                     to,
@@ -424,22 +448,22 @@
     }
 
     fn deliver(&mut self) {
-        let messages = std::mem::take(&mut self.messages);
+        let messages = std::mem::take(&mut self.in_flight);
         let (due, later) = messages.into_iter().partition(|it| it.due <= self.now);
-        self.messages = later;
+        self.in_flight = later;
         for FleetMessage {
             from, to, message, ..
         } in due
         {
-            let number = number_of(to);
-            let same_side = self.processes[number].side == self.processes[from].side;
-            if !self.processes[number].running || !same_side {
+            let number = process_number(to);
+            let same_partition = self.processes[number].partition == self.processes[from].partition;
+            if !self.processes[number].running || !same_partition {
                 continue;
             }
             if !self.is_up(number) {
-                // It waits in the socket of the paused process.
+                // The message stays in the socket buffer of the paused process.
                 let due = self.processes[number].paused_until;
-                self.messages.push(FleetMessage {
+                self.in_flight.push(FleetMessage {
                     due,
                     from,
                     to,
@@ -460,7 +484,10 @@
         }
         let now = self.now;
         let process = &mut self.processes[number];
-        assert!(process.config.version() >= before, "a version went back");
+        assert!(
+            process.config.version() >= before,
+            "the configuration version decreased"
+        );
         let actions = process.roster.receive(message, now);
         self.send(number, actions);
     }
@@ -481,27 +508,30 @@
             flows: 0,
             pending: 0,
             limit: 1_000,
-            draining: self.processes[number].drained.is_some(),
+            draining: self.processes[number].drained_at.is_some(),
         }
     }
 
-    /// Sends a packet that opens a flow through some balancer.
-    fn open(&mut self, service: ServiceId, caller: u32) {
+    /// Sends a packet that opens a flow through one of the balancers.
+    fn open_flow(&mut self, service: ServiceId, caller: u32) {
         let balancer = caller as usize % BALANCERS;
         let packet = packet(true, &caller.to_be_bytes().repeat(2));
         let Some((host, header)) = self.route(balancer, service, &packet) else {
             return;
         };
-        let number = number_of(host.address);
-        let late = self.is_late(number, balancer);
-        assert!(!late, "a new flow was sent to a host that leaves");
-        if self.hand_over(number, balancer, &header, &packet) != Some(true) {
+        let number = process_number(host.address);
+        let must_know_drain = self.must_know_drain(number, balancer);
+        assert!(!must_know_drain, "a new flow was sent to a draining host");
+        if self.deliver_packet(number, balancer, &header, &packet) != Some(true) {
             return;
         }
         let process = &self.processes[number];
         let role = process.roster.own_entry().role;
-        let served = matches!(role, MemberRole::Host { service: it, .. } if it == service);
-        assert!(served, "a flow was opened at the wrong service");
+        let serves_flow = matches!(role, MemberRole::Host { service: it, .. } if it == service);
+        assert!(
+            serves_flow,
+            "a flow was opened at a host of another service"
+        );
         let token = RouteToken {
             key: KeyNumber(1),
             service,
@@ -515,18 +545,21 @@
         });
     }
 
-    /// Returns whether a balancer has had the time to hear that a host leaves.
-    fn is_late(&self, number: usize, balancer: usize) -> bool {
+    /// Returns whether a balancer has had enough time to learn that a host drains.
+    fn must_know_drain(&self, number: usize, balancer: usize) -> bool {
         let host = &self.processes[number];
         let balancer = &self.processes[balancer];
-        let Some(drained) = host.drained.filter(|_| host.side == balancer.side) else {
+        let Some(drained_at) = host
+            .drained_at
+            .filter(|_| host.partition == balancer.partition)
+        else {
             return false;
         };
-        let disturbed = host.undisturbed.max(balancer.undisturbed);
-        // One that could not hear it at once is told by a digest.
-        let (since, limit) = match disturbed >= drained {
-            true => (disturbed, SPREAD_LIMIT),
-            false => (drained, LEAVE_LIMIT),
+        let disturbed_at = host.undisturbed_since.max(balancer.undisturbed_since);
+        // A balancer that missed the announcement learns of it from a digest.
+        let (since, limit) = match disturbed_at >= drained_at {
+            true => (disturbed_at, PROPAGATION_LIMIT),
+            false => (drained_at, DRAIN_LIMIT),
         };
         self.now.since(since) > limit
     }
@@ -557,9 +590,9 @@
         }
     }
 
-    /// Returns whether the process at the address takes the packet, or nothing
-    /// when it does not get it.
-    fn hand_over(
+    /// Returns whether the process accepts the packet, or `None` if the packet
+    /// doesn't reach it.
+    fn deliver_packet(
         &self,
         number: usize,
         balancer: usize,
@@ -567,12 +600,12 @@
         packet: &[u8],
     ) -> Option<bool> {
         let process = &self.processes[number];
-        if !self.is_up(number) || process.side != self.processes[balancer].side {
+        if !self.is_up(number) || process.partition != self.processes[balancer].partition {
             return None;
         }
-        let gate = process.gate.as_ref()?;
-        let me = process.roster.own_entry().process.incarnation;
-        let action = gate.receive(me, header, packet, &self.load(number), self.now);
+        let host = process.host.as_ref()?;
+        let incarnation = process.roster.own_entry().process.incarnation;
+        let action = host.receive(incarnation, header, packet, &self.load(number), self.now);
         Some(action == HostAction::Accept)
     }
 
@@ -581,13 +614,13 @@
         self.check_changes();
     }
 
-    /// Every packet of an open flow reaches its host, or nobody.
+    /// Checks that every packet of an open flow reaches its host or no process.
     fn check_flows(&mut self) {
         let processes = &self.processes;
         self.flows.retain(|flow| {
-            let process = &processes[number_of(flow.host.address)];
+            let process = &processes[process_number(flow.host.address)];
             process.running && process.roster.own_entry().process == flow.host
-                || process.gate.is_some()
+                || process.host.is_some()
         });
         for flow in &self.flows {
             let packet = packet(false, &flow.token);
@@ -598,58 +631,67 @@
     }
 
     fn check_packet(&self, flow: &FleetFlow, balancer: usize, packet: &[u8]) {
-        let number = number_of(flow.host.address);
+        let number = process_number(flow.host.address);
         let process = &self.processes[number];
-        let lives = process.running && process.roster.own_entry().process == flow.host;
+        let is_alive = process.running && process.roster.own_entry().process == flow.host;
         let routed = self.route(balancer, flow.service, packet);
-        let taken =
-            routed.and_then(|(_, header)| self.hand_over(number, balancer, &header, packet));
-        if !lives {
-            assert_ne!(taken, Some(true), "another process took a packet of a flow");
+        let accepted =
+            routed.and_then(|(_, header)| self.deliver_packet(number, balancer, &header, packet));
+        if !is_alive {
+            assert_ne!(
+                accepted,
+                Some(true),
+                "another process accepted a packet of a flow"
+            );
             return;
         }
-        let doubts = |one: usize, other: usize| {
+        let is_suspected = |one: usize, other: usize| {
             let one = &self.processes[one];
-            self.now <= one.doubted_until && one.doubted >> other & 1 == 1
+            self.now <= one.may_suspect_until && one.may_suspect >> other & 1 == 1
         };
         let reachable = self.is_up(number)
             && self.is_up(balancer)
             && self.processes[balancer].config.version() > 0
-            && process.side == self.processes[balancer].side
-            && !doubts(number, balancer)
-            && !doubts(balancer, number);
+            && process.partition == self.processes[balancer].partition
+            && !is_suspected(number, balancer)
+            && !is_suspected(balancer, number);
         if reachable {
-            let me = process.roster.own_entry().process;
+            let host_id = process.roster.own_entry().process;
             assert_eq!(
-                taken,
+                accepted,
                 Some(true),
-                "a packet of an open flow was not taken: {me}, balancer {balancer}, {routed:?}"
+                "a packet of an open flow was not accepted: host {host_id}, balancer {balancer}, \
+                 {routed:?}"
             );
         }
     }
 
-    /// An accepted change is in force everywhere in time.
+    /// Checks that an accepted configuration change is in force in every reachable
+    /// process within the limit.
     fn check_changes(&self) {
-        for change in &self.changes {
-            let due = change.at + SPREAD_LIMIT;
-            if self.now < due || self.processes[change.first].undisturbed >= change.at {
+        for change in &self.accepted_changes {
+            let due = change.at + PROPAGATION_LIMIT;
+            if self.now < due || self.processes[change.first].undisturbed_since >= change.at {
                 continue;
             }
             for number in (0..PROCESSES).filter(|it| self.is_up(*it)) {
                 let process = &self.processes[number];
-                let undisturbed = process.undisturbed < change.at;
+                let was_undisturbed = process.undisturbed_since < change.at;
                 let first = &self.processes[change.first];
-                let reachable = self.is_up(change.first) && process.side == first.side;
-                if undisturbed && reachable {
+                let reachable = self.is_up(change.first) && process.partition == first.partition;
+                if was_undisturbed && reachable {
                     let version = process.config.version();
-                    assert!(version >= change.version, "a change is not in force");
+                    assert!(
+                        version >= change.version,
+                        "a configuration change is not in force in time"
+                    );
                 }
             }
         }
     }
 }
 
-/// A packet of QUIC version 1 with this connection ID.
+/// Returns a QUIC version 1 packet with this destination connection ID.
 fn packet(opens: bool, connection: &[u8]) -> Vec<u8> {
     if opens {
         let length = connection.len() as u8;
--- a/crates/roster/tests/fleet_machine.rs
+++ b/crates/roster/tests/fleet_machine.rs
@@ -1,7 +1,9 @@
-//! Balancers and hosts under failure, against a simple oracle.
+//! Randomized test of balancers and hosts under failures, which checks
+//! invariants after each step.
 //!
-//! The real decision code of several processes talks through a bag of messages.
-//! `HYSSOPSTAIR_FUZZ_CASES` sets the number of cases.
+//! The real decision code of several processes exchanges messages over a
+//! simulated network. `HYSSOPSTAIR_FUZZ_CASES` sets the number of cases and
+//! `HYSSOPSTAIR_FUZZ_SEED` the seed.
 
 #![allow(missing_docs)]
 
@@ -24,15 +26,15 @@
 
 const DEFAULT_CASES: u32 = 24;
 const DEFAULT_SEED: u64 = 20_260_701;
-const STEPS: std::ops::Range<usize> = 10..40;
+const STEP_COUNT: std::ops::Range<usize> = 10..40;
 
-fn variable(name: &str) -> Option<u64> {
+fn read_variable(name: &str) -> Option<u64> {
     env::var(name).ok()?.parse().ok()
 }
 
-fn config() -> Config {
-    let cases = variable("HYSSOPSTAIR_FUZZ_CASES").map_or(DEFAULT_CASES, |it| it as u32);
-    let seed = variable("HYSSOPSTAIR_FUZZ_SEED").unwrap_or(DEFAULT_SEED);
+fn proptest_config() -> Config {
+    let cases = read_variable("HYSSOPSTAIR_FUZZ_CASES").map_or(DEFAULT_CASES, |it| it as u32);
+    let seed = read_variable("HYSSOPSTAIR_FUZZ_SEED").unwrap_or(DEFAULT_SEED);
     Config {
         cases,
         rng_seed: RngSeed::Fixed(seed),
@@ -56,17 +58,17 @@
             4 => (100_u64..4_000).prop_map(FleetStep::Wait),
             2 => (10_000_u64..50_000).prop_map(FleetStep::Wait),
             4 => (0..fleet::SERVICES, 0_u32..1_000)
-                .prop_map(|(service, caller)| FleetStep::Open { service, caller }),
+                .prop_map(|(service, caller)| FleetStep::OpenFlow { service, caller }),
             2 => number.clone().prop_map(FleetStep::Kill),
             3 => number.clone().prop_map(FleetStep::Restart),
             2 => (number.clone(), 500_u64..60_000)
                 .prop_map(|(number, millis)| FleetStep::Pause { number, millis }),
             1 => number.clone().prop_map(FleetStep::Drain),
-            1 => number.clone().prop_map(FleetStep::Reuse),
-            1 => (0_u32..256).prop_map(FleetStep::Part),
+            1 => number.clone().prop_map(FleetStep::ReuseAddress),
+            1 => (0_u32..256).prop_map(FleetStep::Partition),
             2 => Just(FleetStep::Heal),
-            2 => (0_u8..30).prop_map(FleetStep::Lose),
-            1 => proptest::bool::ANY.prop_map(FleetStep::Platform),
+            2 => (0_u8..30).prop_map(FleetStep::SetLoss),
+            1 => proptest::bool::ANY.prop_map(FleetStep::SetPlatform),
             2 => (number, proptest::bool::ANY)
                 .prop_map(|(first, readable)| FleetStep::Configure { first, readable }),
         ]
@@ -92,13 +94,13 @@
     }
 
     fn teardown(mut fleet: Self, _: FleetModel) {
-        fleet.end_quietly();
+        fleet.check_recovery();
     }
 }
 
 prop_state_machine! {
-    #![proptest_config(config())]
+    #![proptest_config(proptest_config())]
 
     #[test]
-    fn a_fleet_holds_its_promises(sequential STEPS => FleetUnderTest);
+    fn fleet_invariants_hold_under_failures(sequential STEP_COUNT => FleetUnderTest);
 }
--- a/crates/roster/tests/bag/mod.rs
+++ b/crates/roster/tests/network/mod.rs
@@ -1,4 +1,4 @@
-//! Rosters that talk through a bag of messages.
+//! Rosters that exchange messages over a simulated network.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddrV4;
@@ -25,49 +25,49 @@
 /// Time between two ticks of a roster.
 const TICK: Duration = Duration::from_millis(50);
 
-/// Longest time that a message is under way, in microseconds.
+/// Upper bound of the delivery delay of a message, in microseconds.
 const MAX_DELAY_MICROS: u64 = 5_000;
 
-/// One process.
+/// A process in the simulated network.
 #[derive(Debug)]
-pub struct BagNode {
+pub struct SimulatedNode {
     pub roster: RosterState,
     pub running: bool,
-    /// Messages pass only between processes of one side.
-    pub side: u8,
+    /// The partition that the process is in. Messages pass only within one.
+    pub partition: u8,
     pub sent_bytes: u64,
     pub sent_messages: u64,
 }
 
 #[derive(Debug)]
-struct BagMessage {
-    due: MonotonicTime,
+struct InFlightMessage {
+    due_at: MonotonicTime,
     from: usize,
     to: SocketAddrV4,
     message: ControlMessage,
 }
 
-/// Processes and the messages between them.
+/// Processes and the messages in flight between them.
 #[derive(Debug)]
-pub struct MessageBag {
-    pub nodes: Vec<BagNode>,
+pub struct SimulatedNetwork {
+    pub nodes: Vec<SimulatedNode>,
     pub now: MonotonicTime,
-    /// Share of messages that are lost.
+    /// The share of messages that are lost.
     pub loss: f64,
-    /// Share of changes for members that are not in the bag that reach one that
-    /// is, so that few processes can stand for many.
-    pub redirected: f64,
-    messages: Vec<BagMessage>,
-    random: StdRng,
+    /// The share of gossip to members outside the network that is delivered to a
+    /// random process instead, so that a few processes can represent a large fleet.
+    pub redirect_share: f64,
+    in_flight: Vec<InFlightMessage>,
+    rng: StdRng,
 }
 
-/// Returns the address of the process with this number.
+/// Returns the address of a process by its number.
 pub fn address(number: usize) -> SocketAddrV4 {
     let ip = Ipv4Addr::from_bits(0x0a00_0000 + number as u32);
     SocketAddrV4::new(ip, 7_000)
 }
 
-/// Returns the first entry of a process.
+/// Returns the initial entry of a process.
 pub fn entry(number: usize, incarnation: u32) -> MemberEntry {
     let role = if number.is_multiple_of(10) {
         MemberRole::Balancer
@@ -89,56 +89,57 @@
     }
 }
 
-impl MessageBag {
+impl SimulatedNetwork {
     pub fn new(seed: u64) -> Self {
         Self {
             nodes: Vec::new(),
             now: MonotonicTime::from_millis(1),
             loss: 0.0,
-            redirected: 0.0,
-            messages: Vec::new(),
-            random: StdRng::seed_from_u64(seed),
+            redirect_share: 0.0,
+            in_flight: Vec::new(),
+            rng: StdRng::seed_from_u64(seed),
         }
     }
 
-    /// Starts a process that knows the process `contact`.
-    pub fn start(&mut self, incarnation: u32, contact: Option<usize>) -> usize {
+    /// Starts a process that knows the address of `contact`, and returns its
+    /// number.
+    pub fn start_node(&mut self, incarnation: u32, contact: Option<usize>) -> usize {
         let number = self.nodes.len();
-        let mut roster = RosterState::new(entry(number, incarnation), self.random.random());
+        let mut roster = RosterState::new(entry(number, incarnation), self.rng.random());
         if let Some(contact) = contact {
             roster.add_contact(address(contact));
         }
-        self.nodes.push(BagNode {
+        self.nodes.push(SimulatedNode {
             roster,
             running: true,
-            side: 0,
+            partition: 0,
             sent_bytes: 0,
             sent_messages: 0,
         });
         number
     }
 
-    /// Starts a fleet and waits until all know each other.
+    /// Starts a fleet and waits until all processes know each other.
     pub fn start_fleet(&mut self, count: usize) {
         for number in 0..count {
-            self.start(100, (number > 0).then_some(0));
+            self.start_node(100, (number > 0).then_some(0));
             self.run(Duration::from_millis(20));
         }
-        let converged = self.run_until(Duration::from_secs(60), Self::agree);
+        let converged = self.run_until(Duration::from_secs(60), Self::has_converged);
         assert!(converged.is_some(), "the fleet did not converge");
-        // Digests are frequent for a time after joining.
+        // For a time after joining, digests are sent at the shorter interval.
         self.run(Duration::from_secs(30));
     }
 
     /// Replaces a process by a new one at the same address.
-    pub fn restart(&mut self, number: usize, incarnation: u32, contact: usize) {
-        let mut roster = RosterState::new(entry(number, incarnation), self.random.random());
+    pub fn restart_node(&mut self, number: usize, incarnation: u32, contact: usize) {
+        let mut roster = RosterState::new(entry(number, incarnation), self.rng.random());
         roster.add_contact(address(contact));
         self.nodes[number].roster = roster;
         self.nodes[number].running = true;
     }
 
-    /// Lets time pass.
+    /// Advances the simulated time by `duration`.
     pub fn run(&mut self, duration: Duration) {
         let end = self.now + duration;
         while self.now < end {
@@ -146,8 +147,8 @@
         }
     }
 
-    /// Lets time pass until `done`, and returns how long it took, or nothing
-    /// when it took longer than `limit`.
+    /// Advances the simulated time until `done` holds, and returns how long that
+    /// took, or `None` if it didn't hold within `limit`.
     pub fn run_until(
         &mut self,
         limit: Duration,
@@ -163,24 +164,24 @@
         None
     }
 
-    /// Returns whether `number` holds `state` of `subject`.
-    pub fn knows(&self, number: usize, subject: usize, state: MemberState) -> bool {
+    /// Returns whether the process `number` knows `subject` in `state`.
+    pub fn holds_state(&self, number: usize, subject: usize, state: MemberState) -> bool {
         let members = self.nodes[number].roster.members();
         members
             .binary_search_by_key(&address(subject), |known| known.process.address)
             .is_ok_and(|index| members[index].state == state)
     }
 
-    /// Returns whether all running processes hold `state` of `subject`.
-    pub fn all_know(&self, subject: usize, state: MemberState) -> bool {
+    /// Returns whether all running processes know `subject` in `state`.
+    pub fn all_hold_state(&self, subject: usize, state: MemberState) -> bool {
         (0..self.nodes.len())
             .filter(|number| self.nodes[*number].running)
-            .all(|number| self.knows(number, subject, state))
+            .all(|number| self.holds_state(number, subject, state))
     }
 
-    /// Returns whether all running processes hold the same live members.
-    pub fn agree(&self) -> bool {
-        let live = |node: &BagNode| -> Vec<MemberEntry> {
+    /// Returns whether all running processes know the same live members.
+    pub fn has_converged(&self) -> bool {
+        let live = |node: &SimulatedNode| -> Vec<MemberEntry> {
             let members = node.roster.members().iter();
             members
                 .filter(|known| known.state.is_present())
@@ -194,20 +195,20 @@
         running.all(|node| live(node) == first)
     }
 
-    /// Sends what a process wants to send.
-    pub fn carry_out(&mut self, from: usize, actions: Vec<RosterAction>) {
+    /// Sends the messages that the roster of a process returned.
+    pub fn send_actions(&mut self, from: usize, actions: Vec<RosterAction>) {
         for action in actions {
             let RosterAction::Send { to, message } = action;
             let packet = encode_packet(PacketKind::Control, &message, &[]).expect("fits");
             assert!(packet.len() <= 1_200, "{} bytes", packet.len());
             self.nodes[from].sent_messages += 1;
             self.nodes[from].sent_bytes += packet.len() as u64 + DATAGRAM_OVERHEAD;
-            if self.random.random_bool(self.loss) {
+            if self.rng.random_bool(self.loss) {
                 continue;
             }
-            let delay = self.random.random_range(500..MAX_DELAY_MICROS);
-            self.messages.push(BagMessage {
-                due: self.now + Duration::from_micros(delay),
+            let delay = self.rng.random_range(500..MAX_DELAY_MICROS);
+            self.in_flight.push(InFlightMessage {
+                due_at: self.now + Duration::from_micros(delay),
                 from,
                 to,
                 message,
@@ -219,10 +220,10 @@
         self.now = self.now + Duration::from_millis(1);
         let millis = self.now.0 / 1_000;
         for number in 0..self.nodes.len() {
-            let turn = number as u64 % TICK.as_millis() as u64;
-            if self.nodes[number].running && millis % TICK.as_millis() as u64 == turn {
+            let tick_offset = number as u64 % TICK.as_millis() as u64;
+            if self.nodes[number].running && millis % TICK.as_millis() as u64 == tick_offset {
                 let actions = self.nodes[number].roster.tick(1, self.now);
-                self.carry_out(number, actions);
+                self.send_actions(number, actions);
             }
         }
         self.deliver();
@@ -230,31 +231,31 @@
 
     fn deliver(&mut self) {
         let now = self.now;
-        let (due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.messages)
+        let (due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.in_flight)
             .into_iter()
-            .partition(|message| message.due <= now);
-        self.messages = later;
+            .partition(|message| message.due_at <= now);
+        self.in_flight = later;
         for message in due {
-            let to = self.receiver(&message);
+            let to = self.choose_receiver(&message);
             let Some(node) = self.nodes.get(to) else {
                 continue;
             };
-            if !node.running || node.side != self.nodes[message.from].side {
+            if !node.running || node.partition != self.nodes[message.from].partition {
                 continue;
             }
             let actions = self.nodes[to].roster.receive(&message.message, now);
-            self.carry_out(to, actions);
+            self.send_actions(to, actions);
         }
     }
 
-    fn receiver(&mut self, message: &BagMessage) -> usize {
+    fn choose_receiver(&mut self, message: &InFlightMessage) -> usize {
         let to = (message.to.ip().to_bits() - 0x0a00_0000) as usize;
-        let shared = matches!(
+        let is_redirectable = matches!(
             message.message.body,
             ControlBody::Changes(_) | ControlBody::Run { .. } | ControlBody::Digest { .. }
         );
-        if to >= self.nodes.len() && shared && self.random.random_bool(self.redirected) {
-            return self.random.random_range(0..self.nodes.len());
+        if to >= self.nodes.len() && is_redirectable && self.rng.random_bool(self.redirect_share) {
+            return self.rng.random_range(0..self.nodes.len());
         }
         to
     }
--- a/crates/roster/tests/roster.rs
+++ b/crates/roster/tests/roster.rs
@@ -1,14 +1,11 @@
-//! Rosters under failure.
+//! Tests of rosters under loss, pauses, restarts and partitions.
 
 #![allow(missing_docs)]
 
-mod bag;
+mod network;
 
 use std::time::Duration;
 
-use bag::MessageBag;
-use bag::address;
-use bag::entry;
 use hyssopstair_roster::members::TOMBSTONE_TTL;
 use hyssopstair_roster::state::RosterState;
 use hyssopstair_wire::address::HostIncarnation;
@@ -24,13 +21,16 @@
 use hyssopstair_wire::packet::PacketKind;
 use hyssopstair_wire::packet::encode_packet;
 use hyssopstair_wire::time::MonotonicTime;
+use network::SimulatedNetwork;
+use network::address;
+use network::entry;
 
 const SEED: u64 = 7;
 
-fn fleet(count: usize) -> MessageBag {
-    let mut bag = MessageBag::new(SEED);
-    bag.start_fleet(count);
-    bag
+fn start_fleet(count: usize) -> SimulatedNetwork {
+    let mut network = SimulatedNetwork::new(SEED);
+    network.start_fleet(count);
+    network
 }
 
 fn seconds(count: u64) -> Duration {
@@ -38,59 +38,66 @@
 }
 
 #[test]
-fn a_fleet_finds_itself_from_one_contact() {
-    let bag = fleet(60);
-    for node in &bag.nodes {
+fn fleet_converges_from_one_contact() {
+    let network = start_fleet(60);
+    for node in &network.nodes {
         assert_eq!(node.roster.live_count(), 60);
         assert!(node.roster.is_joined());
-        assert!(node.roster.is_confirmed(bag.now));
+        assert!(node.roster.is_confirmed(network.now));
     }
 }
 
 #[test]
-fn a_quiet_fleet_sends_no_changes() {
-    let mut bag = fleet(30);
-    bag.run(seconds(30));
+fn idle_fleet_has_no_queued_changes() {
+    let mut network = start_fleet(30);
+    network.run(seconds(30));
     assert!(
-        bag.nodes
+        network
+            .nodes
             .iter()
             .all(|node| node.roster.queued_changes() == 0)
     );
 }
 
 #[test]
-fn a_drain_reaches_all_within_3_seconds() {
-    let mut bag = fleet(100);
-    let now = bag.now;
-    bag.nodes[4].roster.set_state(MemberState::Draining, now);
-    let took = bag.run_until(seconds(3), |bag| bag.all_know(4, MemberState::Draining));
-    assert!(took.is_some());
+fn drain_reaches_all_members_within_3_seconds() {
+    let mut network = start_fleet(100);
+    let now = network.now;
+    network.nodes[4]
+        .roster
+        .set_state(MemberState::Draining, now);
+    let elapsed = network.run_until(seconds(3), |network| {
+        network.all_hold_state(4, MemberState::Draining)
+    });
+    assert!(elapsed.is_some());
 }
 
 #[test]
-fn a_killed_member_is_found_gone() {
-    let mut bag = fleet(60);
-    bag.nodes[9].running = false;
-    let took = bag.run_until(seconds(10), |bag| bag.all_know(9, MemberState::Suspect));
-    assert!(took.is_some());
-    // Flows wait for it a while, and not for ever.
-    bag.run(seconds(6));
-    assert!(bag.all_know(9, MemberState::Suspect));
-    bag.run(seconds(4));
-    assert!(bag.all_know(9, MemberState::Gone));
+fn killed_member_becomes_suspect_then_gone() {
+    let mut network = start_fleet(60);
+    network.nodes[9].running = false;
+    let elapsed = network.run_until(seconds(10), |network| {
+        network.all_hold_state(9, MemberState::Suspect)
+    });
+    assert!(elapsed.is_some());
+    // Its flows wait for it while it is suspect, until it is declared gone.
+    network.run(seconds(6));
+    assert!(network.all_hold_state(9, MemberState::Suspect));
+    network.run(seconds(4));
+    assert!(network.all_hold_state(9, MemberState::Gone));
 }
 
 #[test]
-fn messages_that_are_lost_do_not_kill_a_member() {
-    let mut bag = fleet(60);
-    bag.loss = 0.1;
-    let changes: Vec<u64> = bag
+fn message_loss_does_not_make_live_members_suspect() {
+    let mut network = start_fleet(60);
+    network.loss = 0.1;
+    let changes: Vec<u64> = network
         .nodes
         .iter()
         .map(|it| it.roster.change_count())
         .collect();
-    bag.run(seconds(300));
-    let after: Vec<u64> = bag
+    network.run(seconds(300));
+    let after: Vec<u64> = network
         .nodes
         .iter()
         .map(|it| it.roster.change_count())
@@ -99,128 +106,144 @@
 }
 
 #[test]
-fn a_digest_repairs_what_gossip_lost() {
-    let mut bag = fleet(60);
-    bag.loss = 1.0;
-    let now = bag.now;
-    bag.nodes[4].roster.set_state(MemberState::Draining, now);
-    bag.run(Duration::from_millis(1_900));
-    bag.loss = 0.0;
-    assert_eq!(bag.nodes[4].roster.queued_changes(), 0);
-    let took = bag.run_until(seconds(60), MessageBag::agree);
-    assert!(took.is_some());
-    assert!(bag.all_know(4, MemberState::Draining));
+fn digest_repairs_changes_lost_by_gossip() {
+    let mut network = start_fleet(60);
+    network.loss = 1.0;
+    let now = network.now;
+    network.nodes[4]
+        .roster
+        .set_state(MemberState::Draining, now);
+    network.run(Duration::from_millis(1_900));
+    network.loss = 0.0;
+    assert_eq!(network.nodes[4].roster.queued_changes(), 0);
+    let elapsed = network.run_until(seconds(60), SimulatedNetwork::has_converged);
+    assert!(elapsed.is_some());
+    assert!(network.all_hold_state(4, MemberState::Draining));
 }
 
 #[test]
-fn a_member_that_is_paused_and_wakes_is_not_confirmed_and_refutes() {
-    let mut bag = fleet(60);
-    bag.nodes[9].running = false;
-    bag.run(seconds(10));
-    assert!(!bag.nodes[9].roster.is_confirmed(bag.now));
-    assert!(bag.knows(1, 9, MemberState::Suspect));
-    let now = bag.now;
-    let actions = bag.nodes[9].roster.tick(1, now);
-    assert!(!bag.nodes[9].roster.is_confirmed(now));
-    bag.nodes[9].running = true;
-    bag.carry_out(9, actions);
-    let took = bag.run_until(seconds(10), |bag| {
-        bag.nodes[9].roster.is_confirmed(bag.now) && bag.all_know(9, MemberState::Alive)
+fn resumed_member_is_unconfirmed_and_refutes_its_suspicion() {
+    let mut network = start_fleet(60);
+    network.nodes[9].running = false;
+    network.run(seconds(10));
+    assert!(!network.nodes[9].roster.is_confirmed(network.now));
+    assert!(network.holds_state(1, 9, MemberState::Suspect));
+    let now = network.now;
+    let actions = network.nodes[9].roster.tick(1, now);
+    assert!(!network.nodes[9].roster.is_confirmed(now));
+    network.nodes[9].running = true;
+    network.send_actions(9, actions);
+    let elapsed = network.run_until(seconds(10), |network| {
+        network.nodes[9].roster.is_confirmed(network.now)
+            && network.all_hold_state(9, MemberState::Alive)
     });
-    assert!(took.is_some());
-    assert!(bag.nodes[9].roster.own_entry().counter > 0);
+    assert!(elapsed.is_some());
+    assert!(network.nodes[9].roster.own_entry().counter > 0);
 }
 
 #[test]
-fn an_old_announcement_brings_nobody_back() {
-    let mut bag = fleet(30);
-    let old = *bag.nodes[9].roster.own_entry();
-    let now = bag.now;
-    bag.nodes[9].roster.set_state(MemberState::Gone, now);
-    let actions = bag.nodes[9].roster.announce_immediately(1, now);
-    bag.carry_out(9, actions);
-    bag.nodes[9].running = false;
-    bag.run(seconds(5));
-    bag.nodes[9].running = false;
+fn old_announcement_does_not_revive_a_gone_member() {
+    let mut network = start_fleet(30);
+    let old_entry = *network.nodes[9].roster.own_entry();
+    let now = network.now;
+    network.nodes[9].roster.set_state(MemberState::Gone, now);
+    let actions = network.nodes[9].roster.announce_immediately(1, now);
+    network.send_actions(9, actions);
+    network.nodes[9].running = false;
+    network.run(seconds(5));
+    network.nodes[9].running = false;
     for number in 0..30 {
-        let message = changes(entry(5, 100).process, vec![old]);
-        let now = bag.now;
-        bag.nodes[number].roster.receive(&message, now);
+        let message = changes_message(entry(5, 100).process, vec![old_entry]);
+        let now = network.now;
+        network.nodes[number].roster.receive(&message, now);
     }
-    assert!(bag.all_know(9, MemberState::Gone));
-    bag.run(TOMBSTONE_TTL);
-    let forgotten = |node: &bag::BagNode| node.roster.members().len() == 29;
-    assert!(bag.nodes.iter().filter(|it| it.running).all(forgotten));
+    assert!(network.all_hold_state(9, MemberState::Gone));
+    network.run(TOMBSTONE_TTL);
+    let has_evicted = |node: &network::SimulatedNode| node.roster.members().len() == 29;
+    assert!(
+        network
+            .nodes
+            .iter()
+            .filter(|it| it.running)
+            .all(has_evicted)
+    );
 }
 
 #[test]
-fn a_member_whose_clock_went_back_takes_a_higher_incarnation() {
-    let mut bag = fleet(30);
+fn restarted_member_with_a_lower_incarnation_raises_it() {
+    let mut network = start_fleet(30);
     for incarnation in [40, 200, 201] {
-        bag.nodes[9].running = false;
-        bag.run(seconds(10));
-        bag.restart(9, incarnation, 3);
-        let took = bag.run_until(seconds(10), |bag| {
-            bag.all_know(9, MemberState::Alive) && bag.agree()
+        network.nodes[9].running = false;
+        network.run(seconds(10));
+        network.restart_node(9, incarnation, 3);
+        let elapsed = network.run_until(seconds(10), |network| {
+            network.all_hold_state(9, MemberState::Alive) && network.has_converged()
         });
-        assert!(took.is_some(), "incarnation {incarnation}");
-        let taken = bag.nodes[9].roster.own_entry().process.incarnation.0;
-        assert_eq!(taken, if incarnation == 40 { 101 } else { incarnation });
+        assert!(elapsed.is_some(), "incarnation {incarnation}");
+        let incarnation_after = network.nodes[9].roster.own_entry().process.incarnation.0;
+        assert_eq!(
+            incarnation_after,
+            if incarnation == 40 { 101 } else { incarnation }
+        );
     }
-    // A successor within the resolution of incarnations.
-    bag.restart(9, 201, 3);
-    bag.run(seconds(5));
-    assert_eq!(bag.nodes[9].roster.own_entry().process.incarnation.0, 202);
-    assert!(bag.all_know(9, MemberState::Alive));
+    // A restart so soon after the last that both processes get the same
+    // incarnation from the clock.
+    network.restart_node(9, 201, 3);
+    network.run(seconds(5));
+    assert_eq!(
+        network.nodes[9].roster.own_entry().process.incarnation.0,
+        202
+    );
+    assert!(network.all_hold_state(9, MemberState::Alive));
 }
 
 #[test]
-fn two_parts_that_lost_each_other_find_back() {
-    let mut bag = fleet(60);
-    for node in bag.nodes.iter_mut().skip(30) {
-        node.side = 1;
+fn partitioned_fleet_converges_after_healing() {
+    let mut network = start_fleet(60);
+    for node in network.nodes.iter_mut().skip(30) {
+        node.partition = 1;
     }
-    bag.run(seconds(300));
-    assert_eq!(bag.nodes[0].roster.live_count(), 30);
-    assert_eq!(bag.nodes[59].roster.live_count(), 30);
-    for node in &mut bag.nodes {
-        node.side = 0;
+    network.run(seconds(300));
+    assert_eq!(network.nodes[0].roster.live_count(), 30);
+    assert_eq!(network.nodes[59].roster.live_count(), 30);
+    for node in &mut network.nodes {
+        node.partition = 0;
     }
-    let took = bag.run_until(seconds(60), |bag| {
-        bag.agree() && bag.nodes[0].roster.live_count() == 60
+    let elapsed = network.run_until(seconds(60), |network| {
+        network.has_converged() && network.nodes[0].roster.live_count() == 60
     });
-    assert!(took.is_some());
+    assert!(elapsed.is_some());
 }
 
 #[test]
-fn a_third_of_the_fleet_lost_at_once_is_found_gone() {
-    let mut bag = fleet(90);
-    for node in bag.nodes.iter_mut().skip(60) {
+fn simultaneous_loss_of_a_third_of_the_fleet_is_detected() {
+    let mut network = start_fleet(90);
+    for node in network.nodes.iter_mut().skip(60) {
         node.running = false;
     }
-    let took = bag.run_until(seconds(60), |bag| {
-        bag.nodes[..60]
+    let elapsed = network.run_until(seconds(60), |network| {
+        network.nodes[..60]
             .iter()
             .all(|it| it.roster.live_count() == 60)
     });
-    assert!(took.is_some());
+    assert!(elapsed.is_some());
 }
 
 #[test]
-fn a_member_that_is_cut_off_does_not_empty_its_roster() {
-    let mut bag = fleet(60);
-    bag.nodes[9].side = 1;
-    bag.run(seconds(600));
-    assert!(bag.nodes[9].roster.live_count() > 50);
-    bag.nodes[9].side = 0;
-    let took = bag.run_until(seconds(30), |bag| {
-        bag.agree() && bag.all_know(9, MemberState::Alive)
+fn isolated_member_keeps_its_roster() {
+    let mut network = start_fleet(60);
+    network.nodes[9].partition = 1;
+    network.run(seconds(600));
+    assert!(network.nodes[9].roster.live_count() > 50);
+    network.nodes[9].partition = 0;
+    let elapsed = network.run_until(seconds(30), |network| {
+        network.has_converged() && network.all_hold_state(9, MemberState::Alive)
     });
-    assert!(took.is_some());
+    assert!(elapsed.is_some());
 }
 
 #[test]
-fn the_longest_message_fits_a_datagram() {
+fn longest_message_fits_in_a_control_packet() {
     let longest = MemberEntry {
         process: ProcessId {
             address: address(1),
@@ -250,7 +273,7 @@
 }
 
 #[test]
-fn a_process_that_finds_nobody_acts_alone() {
+fn process_without_peers_is_confirmed_alone() {
     let mut roster = RosterState::new(entry(1, 1), SEED);
     let mut now = MonotonicTime::from_millis(1);
     roster.tick(0, now);
@@ -263,7 +286,7 @@
     assert!(roster.is_joined());
 }
 
-fn changes(sender: ProcessId, entries: Vec<MemberEntry>) -> ControlMessage {
+fn changes_message(sender: ProcessId, entries: Vec<MemberEntry>) -> ControlMessage {
     ControlMessage {
         sender,
         version: 1,
@@ -272,13 +295,13 @@
 }
 
 #[test]
-fn a_large_fleet_joins_through_one_contact() {
-    let bag = fleet(300);
-    assert!(bag.nodes.iter().all(|it| it.roster.is_joined()));
+fn large_fleet_joins_through_one_contact() {
+    let network = start_fleet(300);
+    assert!(network.nodes.iter().all(|it| it.roster.is_joined()));
 }
 
 #[test]
-fn a_process_that_starts_tells_nobody_its_incarnation() {
+fn starting_process_does_not_announce_its_incarnation() {
     let mut roster = RosterState::new(entry(1, 1), SEED);
     let now = MonotonicTime::from_millis(1);
     roster.tick(0, now);
@@ -296,7 +319,7 @@
         };
         assert_eq!(roster.receive(&message, now), []);
     }
-    // It may know others by then.
+    // The process may already know other members while it is still starting.
     roster.merge_entries(&[entry(2, 1)], now);
     roster.set_state(MemberState::Draining, now);
     assert_eq!(roster.announce_immediately(0, now), []);
--- a/crates/roster/tests/runs.rs
+++ b/crates/roster/tests/runs.rs
@@ -1,11 +1,10 @@
-//! Changes in short form.
+//! Tests of the compact encoding of changes.
 
 #![allow(missing_docs)]
 
 #[allow(dead_code)]
-mod bag;
+mod network;
 
-use bag::entry;
 use hyssopstair_roster::runs::MAX_RUN_MEMBERS;
 use hyssopstair_roster::runs::apply_run_change;
 use hyssopstair_roster::runs::decode_run;
@@ -18,8 +17,9 @@
 use hyssopstair_wire::control::MemberState;
 use hyssopstair_wire::packet::PacketKind;
 use hyssopstair_wire::packet::encode_packet;
+use network::entry;
 
-fn changed(numbers: impl Iterator<Item = usize>, state: MemberState) -> Vec<MemberEntry> {
+fn changed_entries(numbers: impl Iterator<Item = usize>, state: MemberState) -> Vec<MemberEntry> {
     numbers
         .map(|number| MemberEntry {
             counter: 3,
@@ -30,17 +30,17 @@
 }
 
 #[test]
-fn a_run_gives_the_entries_that_went_in() {
+fn run_round_trips_its_entries() {
     for state in [MemberState::Gone, MemberState::Alive] {
-        let entries = changed((5..900).step_by(3), state);
+        let entries = changed_entries((5..900).step_by(3), state);
         let members = encode_run(&entries);
-        let before = if state == MemberState::Gone { 3 } else { 2 };
+        let previous_counter = if state == MemberState::Gone { 3 } else { 2 };
         let decoded: Vec<MemberEntry> = decode_run(entries[0].process.address, &members)
             .zip(&entries)
             .filter_map(|((address, check), entry)| {
                 assert_eq!(address, entry.process.address);
                 let known = MemberEntry {
-                    counter: before,
+                    counter: previous_counter,
                     state: MemberState::Draining,
                     ..*entry
                 };
@@ -52,24 +52,24 @@
 }
 
 #[test]
-fn a_run_changes_no_other_entry_than_the_one_meant() {
-    let entries = changed(5..300, MemberState::Gone);
+fn run_does_not_change_an_entry_of_another_incarnation() {
+    let entries = changed_entries(5..300, MemberState::Gone);
     let members = encode_run(&entries);
-    let newer = decode_run(entries[0].process.address, &members)
+    let applied = decode_run(entries[0].process.address, &members)
         .zip(&entries)
         .filter(|((_, check), entry)| {
             let mut known = **entry;
             known.process.incarnation = HostIncarnation(101);
             apply_run_change(&known, MemberState::Gone, *check).is_some()
         });
-    assert_eq!(newer.count(), 0);
+    assert_eq!(applied.count(), 0);
 }
 
 #[test]
-fn a_run_ends_at_a_gap_and_at_its_longest() {
-    let entries = changed((5..40).chain(900..950), MemberState::Gone);
+fn run_ends_at_a_gap_and_at_its_maximum_length() {
+    let entries = changed_entries((5..40).chain(900..950), MemberState::Gone);
     assert_eq!(encode_run(&entries).len(), 35);
-    let entries = changed(1..2_000, MemberState::Gone);
+    let entries = changed_entries(1..2_000, MemberState::Gone);
     let members = encode_run(&entries);
     assert_eq!(members.len(), MAX_RUN_MEMBERS);
     let message = ControlMessage {
