--- a/crates/flows/src/balancer/peers.rs
+++ b/crates/flows/src/balancer/peers.rs
@@ -9,8 +9,8 @@
 use hyssopstair_wire::carried::ForwardPurpose;
 use hyssopstair_wire::carried::HelloMessage;
 use hyssopstair_wire::carried::HelloRole;
-use hyssopstair_wire::carried::MAX_BATCH;
-use hyssopstair_wire::carried::MAX_PEERS_TOLD;
+use hyssopstair_wire::carried::MAX_BATCH_FLOWS;
+use hyssopstair_wire::carried::MAX_HELLO_BALANCERS;
 use hyssopstair_wire::carried::ServerState;
 use hyssopstair_wire::time::MonotonicTime;
 
@@ -197,11 +197,11 @@
 
     /// Returns the balancers that this hello names: those met last, and the others
     /// in turn.
-    fn balancers_to_tell(&self) -> ArrayVec<Ipv4Addr, MAX_PEERS_TOLD> {
-        let mut told: ArrayVec<Ipv4Addr, MAX_PEERS_TOLD> =
+    fn balancers_to_tell(&self) -> ArrayVec<Ipv4Addr, MAX_HELLO_BALANCERS> {
+        let mut told: ArrayVec<Ipv4Addr, MAX_HELLO_BALANCERS> =
             self.met_balancers.iter().copied().collect();
         let all = self.members.balancers();
-        let turn = MAX_PEERS_TOLD - MET_TOLD;
+        let turn = MAX_HELLO_BALANCERS - MET_TOLD;
         let start = self.hello_number as usize * turn;
         for offset in 0..all.len() {
             if told.is_full() {
@@ -233,7 +233,7 @@
 
     /// Tells a peer the flows of one host.
     fn tell_flows_of(&self, host: Ipv4Addr, peer: Ipv4Addr, outbox: &mut FlowOutbox) {
-        for batch in self.flows_of(host).chunks(MAX_BATCH) {
+        for batch in self.flows_of(host).chunks(MAX_BATCH_FLOWS) {
             let message = CarryMessage::Flows {
                 owner: host,
                 flows: batch.to_vec(),
--- a/crates/hyssopstaird/src/balancer/mod.rs
+++ b/crates/hyssopstaird/src/balancer/mod.rs
@@ -110,9 +110,9 @@
                 let _ = paths.node.socket.send_to(packet, host.address).await;
             }
         }
-        RouteAction::Reset { connection } => {
+        RouteAction::Reset { connection_id } => {
             let key = view.reset_secret();
-            if let Some(packet) = reset_packet(key, connection, datagram.len(), rand::random()) {
+            if let Some(packet) = reset_packet(key, connection_id, datagram.len(), rand::random()) {
                 COUNTS.resets_sent.increment();
                 let back = EntryPath {
                     source: path.destination,
@@ -147,7 +147,7 @@
         return;
     };
     let now = paths.node.clock.now();
-    paths.loads.hear(header.host, header.load, now);
+    paths.loads.record(header.host, header.load, now);
     COUNTS.packets_returned.increment();
     note_returned(header.trace, now);
     let path = EntryPath {
--- a/crates/hyssopstaird/src/control/node.rs
+++ b/crates/hyssopstaird/src/control/node.rs
@@ -99,7 +99,7 @@
             })?;
         let me = ProcessId {
             address: settings.inner,
-            incarnation: HostIncarnation::at(unix_millis()),
+            incarnation: HostIncarnation::from_unix_millis(unix_millis()),
         };
         let (role, service_name) = initial_role(&settings.role);
         let entry = MemberEntry {
@@ -213,7 +213,7 @@
     pub async fn tick(&self) {
         let version = lock(&self.config).version();
         let actions = self.change_roster(|roster, node| roster.tick(version, node.clock.now()));
-        if lock(&self.pacer).take_due(self.clock.now()) {
+        if lock(&self.pacer).take_due_build(self.clock.now()) {
             self.rebuild_view();
         }
         self.carry_out(&actions).await;
@@ -286,7 +286,7 @@
         let incarnation = roster.me().process.incarnation;
         drop(roster);
         self.note_incarnation(incarnation);
-        if changed && lock(&self.pacer).note_change(self.clock.now()) {
+        if changed && lock(&self.pacer).record_change(self.clock.now()) {
             self.rebuild_view();
         }
         result
--- a/crates/hyssopstaird/src/host/answer.rs
+++ b/crates/hyssopstaird/src/host/answer.rs
@@ -16,8 +16,8 @@
 use hyssopstair_requests::verdict::TICKET_HEADER;
 use hyssopstair_requests::verdict::VERDICT_HEADER;
 use hyssopstair_telemetry::requests::note_verdict;
+use hyssopstair_wire::peer::BackendReply;
 use hyssopstair_wire::peer::HeaderField;
-use hyssopstair_wire::peer::WholeReply;
 
 use crate::host::backend::BackendAnswer;
 
@@ -99,7 +99,7 @@
     }
 
     /// Gives a whole answer of the backend server.
-    pub async fn give_reply(self, reply: WholeReply) {
+    pub async fn give_reply(self, reply: BackendReply) {
         let status = StatusCode::from_u16(reply.status).unwrap_or(StatusCode::BAD_GATEWAY);
         let response = response_head(status, &reply.headers);
         let verdict = reply_verdict(status);
--- a/crates/hyssopstaird/src/host/backend.rs
+++ b/crates/hyssopstaird/src/host/backend.rs
@@ -24,8 +24,8 @@
 use hyssopstair_telemetry::requests::hop;
 use hyssopstair_telemetry::requests::inject;
 use hyssopstair_wire::peer::BackendCall;
+use hyssopstair_wire::peer::BackendReply;
 use hyssopstair_wire::peer::HeaderField;
-use hyssopstair_wire::peer::WholeReply;
 use hyssopstair_wire::time::MonotonicTime;
 use tokio::net::TcpStream;
 
@@ -81,7 +81,7 @@
 #[derive(Debug)]
 pub enum CollectedAnswer {
     /// The answer is whole.
-    Whole(WholeReply),
+    Whole(BackendReply),
     /// It is longer than is kept.
     Long(Box<BackendAnswer>),
     /// It broke off.
@@ -248,7 +248,7 @@
         if let Some(slot) = self.slot {
             slot.complete();
         }
-        CollectedAnswer::Whole(WholeReply {
+        CollectedAnswer::Whole(BackendReply {
             status: self.head.status.as_u16(),
             headers,
             body: self.start,
--- a/crates/hyssopstaird/src/host/ingress.rs
+++ b/crates/hyssopstaird/src/host/ingress.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use hyssopstair_routing::balancer::DropReason;
-use hyssopstair_routing::gate::HostAction;
-use hyssopstair_routing::gate::HostGate;
+use hyssopstair_routing::host::HostAction;
+use hyssopstair_routing::host::HostRouter;
 use hyssopstair_routing::reset::reset_packet;
 use hyssopstair_telemetry::counts::COUNTS;
 use hyssopstair_wire::packet::ForwardHeader;
@@ -58,11 +58,11 @@
     };
     let load = state.load();
     let now = state.node.clock.now();
-    let gate = state.gate.get_or_init(|| HostGate::new(service));
+    let gate = state.gate.get_or_init(|| HostRouter::new(service));
     let me = state.node.me().incarnation;
     match gate.receive(me, &header, datagram, &load, now) {
         HostAction::Accept => {
-            state.returns.hear(&header, now);
+            state.returns.record(&header, now);
             state.queue.push(header.caller, datagram.to_vec());
         }
         HostAction::PassOn { host, mut header } => {
@@ -80,8 +80,8 @@
                 let _ = state.node.socket.send_to(packet, host.address).await;
             }
         }
-        HostAction::Reset { connection } => {
-            send_reset(state, &header, connection, datagram.len()).await;
+        HostAction::Reset { connection_id } => {
+            send_reset(state, &header, connection_id, datagram.len()).await;
         }
         HostAction::Drop(reason) => telemetry::count_dropped(reason),
     }
--- a/crates/hyssopstaird/src/host/proxy.rs
+++ b/crates/hyssopstaird/src/host/proxy.rs
@@ -12,7 +12,7 @@
 use hyssopstair_requests::ledger::RunOutcome;
 use hyssopstair_requests::verdict::RequestVerdict;
 use hyssopstair_rules::service_rule::ServiceRule;
-use hyssopstair_wire::peer::WholeReply;
+use hyssopstair_wire::peer::BackendReply;
 use hyssopstair_wire::peer::encode_reply;
 use hyssopstair_wire::time::MonotonicTime;
 
@@ -39,7 +39,7 @@
     /// An answer of the backend server, as it comes.
     Live(Box<BackendAnswer>),
     /// A whole answer of a backend server.
-    Reply(WholeReply),
+    Reply(BackendReply),
     /// An answer of the host.
     Own(HostAnswer),
     /// As before, with one fresh ticket at least.
@@ -307,7 +307,7 @@
     }
 }
 
-fn stored(reply: &WholeReply) -> RunOutcome {
+fn stored(reply: &BackendReply) -> RunOutcome {
     RunOutcome::Done(Some(encode_reply(reply).into()))
 }
 
--- a/crates/hyssopstaird/src/host/relay.rs
+++ b/crates/hyssopstaird/src/host/relay.rs
@@ -15,13 +15,13 @@
 use hyssopstair_telemetry::requests::trace_header;
 use hyssopstair_wire::address::ProcessId;
 use hyssopstair_wire::peer::BackendCall;
+use hyssopstair_wire::peer::BackendReply;
 use hyssopstair_wire::peer::HeaderField;
 use hyssopstair_wire::peer::PeerAnswer;
 use hyssopstair_wire::peer::PeerRequest;
 use hyssopstair_wire::peer::RelayAnswer;
 use hyssopstair_wire::peer::RelayOutcome;
 use hyssopstair_wire::peer::RelayRequest;
-use hyssopstair_wire::peer::WholeReply;
 
 use crate::control::node::lock;
 use crate::host::backend;
@@ -43,7 +43,7 @@
 #[derive(Debug)]
 pub enum RelayEnd {
     /// The request ran, with this answer.
-    Reply(WholeReply),
+    Reply(BackendReply),
     /// It did not run.
     NotRun,
     /// Nobody knows whether it ran.
--- a/crates/hyssopstaird/src/host/socket.rs
+++ b/crates/hyssopstaird/src/host/socket.rs
@@ -17,7 +17,7 @@
 use std::task::Waker;
 
 use hyssopstair_telemetry::callers::CALLERS;
-use hyssopstair_wire::entry::ipv4;
+use hyssopstair_wire::entry::to_ipv4;
 use hyssopstair_wire::packet::MAX_PACKET_LENGTH;
 use hyssopstair_wire::packet::PacketKind;
 use hyssopstair_wire::packet::ReturnHeader;
@@ -95,11 +95,11 @@
     }
 
     fn try_send(&self, transmit: &Transmit<'_>) -> io::Result<()> {
-        let Some(caller) = ipv4(transmit.destination) else {
+        let Some(caller) = to_ipv4(transmit.destination) else {
             return Ok(());
         };
         let now = self.state.node.clock.now();
-        let Some(route) = self.state.returns.route(caller, now) else {
+        let Some(route) = self.state.returns.find_route(caller, now) else {
             return Ok(());
         };
         let Some(service) = self.state.service_id() else {
@@ -127,7 +127,7 @@
             .try_send_to(&buffer[..length], target)
         {
             Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => {
-                self.state.returns.lose_balancer(route.balancer);
+                self.state.returns.remove_balancer(route.balancer);
                 Ok(())
             }
             // A full buffer loses the datagram, as a network would.
--- a/crates/hyssopstaird/src/host/state.rs
+++ b/crates/hyssopstaird/src/host/state.rs
@@ -16,8 +16,8 @@
 use hyssopstair_requests::relay::RelayLog;
 use hyssopstair_requests::ticket::TicketKey;
 use hyssopstair_requests::ticket::TicketNumber;
-use hyssopstair_routing::gate::HostGate;
-use hyssopstair_routing::gate::HostLoad;
+use hyssopstair_routing::host::HostLoad;
+use hyssopstair_routing::host::HostRouter;
 use hyssopstair_routing::returns::ReturnTable;
 use hyssopstair_rules::service_rule::ServiceRule;
 use hyssopstair_rules::settings::HostSettings;
@@ -58,7 +58,7 @@
     /// The number of the last relay that was sent.
     pub relay_number: AtomicU64,
     /// The decisions about packets, from the time that the service is known.
-    pub gate: OnceLock<HostGate>,
+    pub gate: OnceLock<HostRouter>,
     /// The ways back to callers.
     pub returns: ReturnTable,
     flows: AtomicU32,
@@ -93,18 +93,18 @@
     /// Returns the rules of the service, when a configuration names it.
     pub fn service(&self) -> Option<ServiceRule> {
         let view = self.node.view();
-        let own = view.own?;
+        let own = view.own_rule?;
         view.rules.service(own.service).cloned()
     }
 
     /// Returns the number of the service, when a configuration names it.
     pub fn service_id(&self) -> Option<ServiceId> {
-        self.node.view().own.map(|own| own.service)
+        self.node.view().own_rule.map(|own| own.service)
     }
 
     /// Returns the present load.
     pub fn load(&self) -> HostLoad {
-        let own = self.node.view().own;
+        let own = self.node.view().own_rule;
         HostLoad {
             flows: self.flows(),
             pending: self.pending(),
@@ -144,7 +144,7 @@
 
     /// Returns whether the host takes nothing new.
     pub fn is_draining(&self) -> bool {
-        let takes_new = self.node.view().own.is_none_or(|own| own.takes_new);
+        let takes_new = self.node.view().own_rule.is_none_or(|own| own.takes_new);
         !takes_new || self.draining.load(Ordering::Relaxed)
     }
 
--- a/crates/hyssopstaird/src/host/tickets.rs
+++ b/crates/hyssopstaird/src/host/tickets.rs
@@ -10,7 +10,7 @@
 use hyssopstair_requests::ticket::RequestFingerprint;
 use hyssopstair_requests::ticket::RequestTicket;
 use hyssopstair_requests::ticket::TicketNumber;
-use hyssopstair_wire::peer::WholeReply;
+use hyssopstair_wire::peer::BackendReply;
 use hyssopstair_wire::peer::decode_reply;
 use hyssopstair_wire::time::MonotonicTime;
 
@@ -25,7 +25,7 @@
     /// The request may run.
     Claimed(TicketClaim),
     /// The request ran before, with this answer.
-    Reply(WholeReply),
+    Reply(BackendReply),
     /// The request ran before; its answer is not kept.
     DoneWithoutReply,
     /// The request needs a fresh ticket.
--- a/crates/hyssopstaird/src/telemetry.rs
+++ b/crates/hyssopstaird/src/telemetry.rs
@@ -21,7 +21,7 @@
 use hyssopstair_wire::control::MemberEntry;
 use hyssopstair_wire::control::MemberRole;
 use hyssopstair_wire::control::MemberState;
-use hyssopstair_wire::entry::ipv4;
+use hyssopstair_wire::entry::to_ipv4;
 use hyssopstair_wire::packet::ForwardHeader;
 use hyssopstair_wire::packet::TraceContext;
 
@@ -176,7 +176,7 @@
 impl<'a> TracedRequest<'a> {
     /// Begins; does nothing for a request that is not sampled.
     pub fn begin(state: &'a HostState, caller: SocketAddr, scope: &RequestScope) -> Self {
-        let traced = ipv4(caller).zip(scope.trace());
+        let traced = to_ipv4(caller).zip(scope.trace());
         if let Some((caller, trace)) = traced {
             CALLERS.begin(caller, trace, state.node.clock.now());
         }
--- a/crates/hyssopstaird/tests/stateless_reset.rs
+++ b/crates/hyssopstaird/tests/stateless_reset.rs
@@ -126,7 +126,7 @@
         loop {
             let (length, from) = socket.recv_from(&mut buffer).await.unwrap();
             let packet = parse_header(&buffer[..length]).unwrap();
-            let token = RouteToken::open(&ring, packet.destination).unwrap();
+            let token = RouteToken::open(&ring, packet.destination_id).unwrap();
             assert_eq!(token.host, TOKEN.host);
             // The end of a handshake may be repeated; no reset answers it.
             if packet.form == QuicForm::Handshake {
@@ -134,7 +134,7 @@
             }
             assert_eq!(packet.form, QuicForm::Short);
             let key = secret().derive(b"reset");
-            if let Some(reset) = reset_packet(&key, packet.destination, length, 1) {
+            if let Some(reset) = reset_packet(&key, packet.destination_id, length, 1) {
                 socket.send_to(&reset, from).await.unwrap();
             }
         }
--- a/crates/roster/tests/fleet/mod.rs
+++ b/crates/roster/tests/fleet/mod.rs
@@ -9,9 +9,9 @@
 use hyssopstair_routing::balancer::BalancerContext;
 use hyssopstair_routing::balancer::RouteAction;
 use hyssopstair_routing::balancer::route_packet;
-use hyssopstair_routing::gate::HostAction;
-use hyssopstair_routing::gate::HostGate;
-use hyssopstair_routing::gate::HostLoad;
+use hyssopstair_routing::host::HostAction;
+use hyssopstair_routing::host::HostLoad;
+use hyssopstair_routing::host::HostRouter;
 use hyssopstair_routing::loads::LoadTable;
 use hyssopstair_routing::view::RoutingView;
 use hyssopstair_wire::address::HostIncarnation;
@@ -83,7 +83,7 @@
 struct FleetProcess {
     roster: RosterState,
     config: ConfigState,
-    gate: Option<HostGate>,
+    gate: Option<HostRouter>,
     running: bool,
     paused_until: MonotonicTime,
     paused_since: MonotonicTime,
@@ -265,7 +265,7 @@
         FleetProcess {
             roster,
             config: ConfigState::default(),
-            gate: service.map(HostGate::new),
+            gate: service.map(HostRouter::new),
             running: true,
             paused_until: MonotonicTime::default(),
             paused_since: MonotonicTime::default(),
--- a/crates/routing/examples/placement.rs
+++ b/crates/routing/examples/placement.rs
@@ -12,10 +12,10 @@
 use hyssopstair_routing::balancer::BalancerContext;
 use hyssopstair_routing::balancer::RouteAction;
 use hyssopstair_routing::balancer::route_packet;
-use hyssopstair_routing::gate::HandoverMargin;
-use hyssopstair_routing::gate::HostAction;
-use hyssopstair_routing::gate::HostGate;
-use hyssopstair_routing::gate::HostLoad;
+use hyssopstair_routing::host::HandoverMargin;
+use hyssopstair_routing::host::HostAction;
+use hyssopstair_routing::host::HostLoad;
+use hyssopstair_routing::host::HostRouter;
 use hyssopstair_routing::loads::LoadTable;
 use hyssopstair_routing::view::RoutingView;
 use hyssopstair_rules::rule_set::RuleSet;
@@ -107,7 +107,7 @@
 
 struct TrialHost {
     process: ProcessId,
-    gate: HostGate,
+    gate: HostRouter,
     flows: u32,
     draining: bool,
     /// Flows at each of the last ticks, the latest one last.
@@ -170,7 +170,7 @@
         };
         let host = |index| TrialHost {
             process: host_process(index),
-            gate: HostGate::with_margin(ServiceId(1), margin),
+            gate: HostRouter::with_margin(ServiceId(1), margin),
             flows: 0,
             draining: false,
             history: Vec::new(),
@@ -441,7 +441,7 @@
         let now = MonotonicTime(self.now);
         self.balancers[balancer]
             .loads
-            .hear(self.hosts[host].process, report, now);
+            .record(self.hosts[host].process, report, now);
     }
 
     fn tick(&mut self) {
--- a/crates/routing/examples/routing_cost.rs
+++ b/crates/routing/examples/routing_cost.rs
@@ -11,8 +11,8 @@
 
 use hyssopstair_routing::balancer::BalancerContext;
 use hyssopstair_routing::balancer::route_packet;
-use hyssopstair_routing::gate::HostGate;
-use hyssopstair_routing::gate::HostLoad;
+use hyssopstair_routing::host::HostLoad;
+use hyssopstair_routing::host::HostRouter;
 use hyssopstair_routing::loads::LoadTable;
 use hyssopstair_routing::pace::BuildPacer;
 use hyssopstair_routing::returns::ReturnTable;
@@ -152,7 +152,7 @@
 fn measure_gate() {
     for size in SIZES {
         let me = HostIncarnation(1);
-        let gate = HostGate::new(ServiceId(0));
+        let gate = HostRouter::new(ServiceId(0));
         let load = HostLoad {
             flows: 0,
             pending: 0,
@@ -184,11 +184,11 @@
     for size in SIZES {
         let table = ReturnTable::default();
         let now = MonotonicTime::from_millis(1);
-        let hear = |number| table.hear(&header(scattered(number)), now);
+        let hear = |number| table.record(&header(scattered(number)), now);
         let insert_nanos = time_each(size, hear);
         let hear_nanos = time_each(size, hear);
         let route_nanos = time_each(size, |number| {
-            black_box(table.route(scattered(number), now));
+            black_box(table.find_route(scattered(number), now));
         });
         let footprint = table.footprint();
         println!(
@@ -236,7 +236,7 @@
             black_box(HostRule::find(black_box(&view.rules), name, host));
         });
         let read_nanos = time_each(PACKETS, |_| {
-            black_box(black_box(&view).own);
+            black_box(black_box(&view).own_rule);
         });
         println!(
             "{{\"part\":\"rules\",\"services\":{services},\"find_ns\":{find_nanos:.0},\
@@ -262,10 +262,10 @@
         for change in 0..changes {
             let time = change * micros / changes;
             while next_tick <= time {
-                builds += u64::from(pacer.take_due(MonotonicTime(next_tick)));
+                builds += u64::from(pacer.take_due_build(MonotonicTime(next_tick)));
                 next_tick += TICK_MICROS;
             }
-            builds += u64::from(pacer.note_change(MonotonicTime(time)));
+            builds += u64::from(pacer.record_change(MonotonicTime(time)));
         }
         let share = |builds: u64| builds as f64 * build_micros / micros as f64 * 100.0;
         println!(
--- a/crates/routing/src/balancer.rs
+++ b/crates/routing/src/balancer.rs
@@ -33,7 +33,7 @@
     /// Tells the caller that the flow is gone.
     Reset {
         /// The connection ID of the packet.
-        connection: &'a [u8],
+        connection_id: &'a [u8],
     },
     /// Does nothing.
     Drop(DropReason),
@@ -113,7 +113,7 @@
         version: view.version,
         trace: None,
     };
-    match RouteToken::open(&view.ring, packet.destination) {
+    match RouteToken::open(&view.ring, packet.destination_id) {
         Ok(token) => route_token(view, header, &packet, &token),
         Err(_) if packet.form == QuicForm::Opening => route_opening(context, header, &packet, now),
         Err(_) => RouteAction::Drop(DropReason::ForeignToken),
@@ -132,7 +132,7 @@
     if view.is_gone(token.host) {
         return match packet.form {
             QuicForm::Short => RouteAction::Reset {
-                connection: packet.destination,
+                connection_id: packet.destination_id,
             },
             QuicForm::Opening | QuicForm::Handshake => RouteAction::Drop(DropReason::HostGone),
         };
@@ -154,7 +154,7 @@
 ) -> RouteAction<'a> {
     let view = context.view;
     let candidates = view.candidates(header.service);
-    let choice = place_flow(candidates, packet.destination, view.placement_secret());
+    let choice = place_flow(candidates, packet.destination_id, view.placement_secret());
     let Some(choice) = choice else {
         return RouteAction::Drop(DropReason::NoHost);
     };
@@ -177,6 +177,6 @@
         process: second.host,
         weight: second.weight,
         first_weight: choice.first.weight,
-        load: loads.recent(second.host, now),
+        load: loads.recent_report(second.host, now),
     })
 }
--- a/crates/routing/src/gate.rs
+++ b/crates/routing/src/host.rs
@@ -39,7 +39,7 @@
     /// Tells the caller that the flow is gone.
     Reset {
         /// The connection ID of the packet.
-        connection: &'a [u8],
+        connection_id: &'a [u8],
     },
     /// Does nothing.
     Drop(DropReason),
@@ -106,10 +106,10 @@
 }
 
 impl OpeningKey {
-    fn new(connection: &[u8]) -> Self {
-        let length = connection.len().min(MAX_CONNECTION_LENGTH);
+    fn new(connection_id: &[u8]) -> Self {
+        let length = connection_id.len().min(MAX_CONNECTION_LENGTH);
         let mut bytes = [0; MAX_CONNECTION_LENGTH];
-        bytes[..length].copy_from_slice(&connection[..length]);
+        bytes[..length].copy_from_slice(&connection_id[..length]);
         Self {
             length: length as u8,
             bytes,
@@ -134,14 +134,14 @@
 
 /// The decisions of one host about packets.
 #[derive(Debug)]
-pub struct HostGate {
+pub struct HostRouter {
     service: ServiceId,
     margin: HandoverMargin,
     openings: ShardSet<OpeningShard>,
     pending: Mutex<PendingCount>,
 }
 
-impl HostGate {
+impl HostRouter {
     /// Creates the gate of a host of the service.
     pub fn new(service: ServiceId) -> Self {
         Self::with_margin(service, HandoverMargin::default())
@@ -179,12 +179,12 @@
             // The address had an earlier process: its flows died with it.
             Some(incarnation) if incarnation < me && packet.form == QuicForm::Short => {
                 HostAction::Reset {
-                    connection: packet.destination,
+                    connection_id: packet.destination_id,
                 }
             }
             Some(_) => HostAction::Drop(DropReason::WrongIncarnation),
             None if header.hops > MAX_HOPS => HostAction::Drop(DropReason::TooManyHops),
-            None => self.receive_opening(header, packet.destination, load, now),
+            None => self.receive_opening(header, packet.destination_id, load, now),
         }
     }
 
@@ -193,10 +193,10 @@
         lock(&self.pending).count(now)
     }
 
-    /// Notes that a handshake has ended, well or not. `connection` is the
+    /// Notes that a handshake has ended, well or not. `connection_id` is the
     /// connection ID that the caller chose for its first packets.
-    pub fn end_handshake(&self, connection: &[u8]) {
-        let key = OpeningKey::new(connection);
+    pub fn end_handshake(&self, connection_id: &[u8]) {
+        let key = OpeningKey::new(connection_id);
         let mut shard = self.openings.lock(&key.bytes);
         let Ok(index) = shard.find(&key) else {
             return;
@@ -221,11 +221,11 @@
     fn receive_opening<'a>(
         &self,
         header: &ForwardHeader,
-        connection: &[u8],
+        connection_id: &[u8],
         load: &HostLoad,
         now: MonotonicTime,
     ) -> HostAction<'a> {
-        let key = OpeningKey::new(connection);
+        let key = OpeningKey::new(connection_id);
         let mut shard = self.openings.lock(&key.bytes);
         shard.prune(now);
         let found = shard.find(&key);
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -2,11 +2,11 @@
 //! with one that it is sent.
 //!
 //! Nothing here opens a socket or reads a clock. Start with [`balancer`] for
-//! the way from callers to hosts, [`gate`] for what a host accepts, and
+//! the way from callers to hosts, [`host`] for what a host accepts, and
 //! [`returns`] for the way back.
 
 pub mod balancer;
-pub mod gate;
+pub mod host;
 pub mod loads;
 pub mod pace;
 pub mod pending;
--- a/crates/routing/src/loads.rs
+++ b/crates/routing/src/loads.rs
@@ -48,7 +48,7 @@
 
 impl LoadTable {
     /// Takes in a report.
-    pub fn hear(&self, host: ProcessId, report: LoadReport, now: MonotonicTime) {
+    pub fn record(&self, host: ProcessId, report: LoadReport, now: MonotonicTime) {
         let load = HeardLoad {
             host,
             report,
@@ -65,7 +65,7 @@
     }
 
     /// Returns the last report of a host, unless it is too old.
-    pub fn recent(&self, host: ProcessId, now: MonotonicTime) -> Option<LoadReport> {
+    pub fn recent_report(&self, host: ProcessId, now: MonotonicTime) -> Option<LoadReport> {
         let shard = self.shards.lock(&host.address.ip().octets());
         let load = shard.loads[shard.find(host.address).ok()?];
         let is_recent = load.host == host && now.since(load.heard) < REPORT_LIFETIME;
--- a/crates/routing/src/pace.rs
+++ b/crates/routing/src/pace.rs
@@ -17,13 +17,13 @@
 
 impl BuildPacer {
     /// Notes a change, and returns whether a view has to be built now.
-    pub fn note_change(&mut self, now: MonotonicTime) -> bool {
+    pub fn record_change(&mut self, now: MonotonicTime) -> bool {
         self.has_changed = true;
-        self.take_due(now)
+        self.take_due_build(now)
     }
 
     /// Returns whether a view has to be built now for changes that waited.
-    pub fn take_due(&mut self, now: MonotonicTime) -> bool {
+    pub fn take_due_build(&mut self, now: MonotonicTime) -> bool {
         let is_early = self
             .built
             .is_some_and(|built| now.since(built) < BUILD_INTERVAL);
--- a/crates/routing/src/quic.rs
+++ b/crates/routing/src/quic.rs
@@ -16,7 +16,7 @@
     /// The form of the packet.
     pub form: QuicForm,
     /// The destination connection ID.
-    pub destination: &'a [u8],
+    pub destination_id: &'a [u8],
 }
 
 /// The form of a QUIC packet.
@@ -37,14 +37,17 @@
     if first & LONG_HEADER_BIT == 0 {
         return Some(QuicHeader {
             form: QuicForm::Short,
-            destination: datagram.get(1..1 + ROUTE_TOKEN_LENGTH)?,
+            destination_id: datagram.get(1..1 + ROUTE_TOKEN_LENGTH)?,
         });
     }
     let version = u32::from_be_bytes(datagram.get(1..5)?.try_into().ok()?);
     let length = usize::from(*datagram.get(5)?);
-    let destination = datagram.get(DESTINATION_OFFSET..DESTINATION_OFFSET + length)?;
+    let destination_id = datagram.get(DESTINATION_OFFSET..DESTINATION_OFFSET + length)?;
     let form = long_form(first, version)?;
-    Some(QuicHeader { form, destination })
+    Some(QuicHeader {
+        form,
+        destination_id,
+    })
 }
 
 fn long_form(first: u8, version: u32) -> Option<QuicForm> {
--- a/crates/routing/src/reset.rs
+++ b/crates/routing/src/reset.rs
@@ -19,18 +19,18 @@
 const RANDOM_BITS: u8 = 0x3f;
 
 /// Returns the reset token of a connection ID.
-pub fn reset_token(key: &[u8; SECRET_LENGTH], connection: &[u8]) -> [u8; RESET_TOKEN_LENGTH] {
+pub fn reset_token(key: &[u8; SECRET_LENGTH], connection_id: &[u8]) -> [u8; RESET_TOKEN_LENGTH] {
     let mut hasher = SipHasher24::new_with_key(key);
-    hasher.write(connection);
+    hasher.write(connection_id);
     hasher.finish128().as_bytes()
 }
 
-/// Returns a reset packet that ends the flow of `connection`, or nothing when
+/// Returns a reset packet that ends the flow of `connection_id`, or nothing when
 /// `trigger_length`, the length of the packet that it answers, is too short for
 /// an answer that is shorter still. `filler` is random.
 pub fn reset_packet(
     key: &[u8; SECRET_LENGTH],
-    connection: &[u8],
+    connection_id: &[u8],
     trigger_length: usize,
     filler: u64,
 ) -> Option<Vec<u8>> {
@@ -39,6 +39,6 @@
     }
     let mut packet = filler.to_be_bytes()[..MIN_RESET_LENGTH - RESET_TOKEN_LENGTH].to_vec();
     packet[0] = FIXED_BITS | (packet[0] & RANDOM_BITS);
-    packet.extend_from_slice(&reset_token(key, connection));
+    packet.extend_from_slice(&reset_token(key, connection_id));
     Some(packet)
 }
--- a/crates/routing/src/returns.rs
+++ b/crates/routing/src/returns.rs
@@ -80,7 +80,7 @@
 
 impl ReturnTable {
     /// Notes that a caller was heard through a balancer.
-    pub fn hear(&self, header: &ForwardHeader, now: MonotonicTime) {
+    pub fn record(&self, header: &ForwardHeader, now: MonotonicTime) {
         let path = ReturnPath {
             caller: header.caller,
             target: header.target,
@@ -99,13 +99,13 @@
     }
 
     /// Notes that a balancer does not answer.
-    pub fn lose_balancer(&self, address: SocketAddrV4) {
+    pub fn remove_balancer(&self, address: SocketAddrV4) {
         lock(&self.balancers).retain(|balancer| balancer.address != address);
     }
 
     /// Returns where an answer to a caller is sent, or nothing when the caller
     /// was never heard.
-    pub fn route(&self, caller: SocketAddrV4, now: MonotonicTime) -> Option<ReturnRoute> {
+    pub fn find_route(&self, caller: SocketAddrV4, now: MonotonicTime) -> Option<ReturnRoute> {
         let mut shard = self.shards.lock(&caller_bytes(caller));
         let index = shard.find(caller).ok()?;
         let path = &mut shard.paths[index];
--- a/crates/routing/src/view.rs
+++ b/crates/routing/src/view.rs
@@ -73,7 +73,7 @@
     pub ring: KeyRing,
     /// What the rules say about the process itself, when it is a host of a
     /// service that they name.
-    pub own: Option<HostRule>,
+    pub own_rule: Option<HostRule>,
     placement_secret: [u8; SECRET_LENGTH],
     reset_secret: [u8; SECRET_LENGTH],
     addresses: Vec<ServiceAddress>,
@@ -98,7 +98,7 @@
             version,
             rules,
             ring,
-            own: None,
+            own_rule: None,
             placement_secret,
             reset_secret: secret.derive(b"reset"),
             addresses,
@@ -109,8 +109,8 @@
 
     /// Adds what the rules say about the host at `address`.
     pub fn with_host(self, service_name: &str, address: SocketAddrV4) -> Self {
-        let own = HostRule::find(&self.rules, service_name, address);
-        Self { own, ..self }
+        let own_rule = HostRule::find(&self.rules, service_name, address);
+        Self { own_rule, ..self }
     }
 
     /// Returns the service that callers reach at an address.
--- a/crates/routing/tests/balancer.rs
+++ b/crates/routing/tests/balancer.rs
@@ -117,8 +117,8 @@
         takes_new: true,
     };
     let heard = MonotonicTime::from_millis(900);
-    loads.hear(fixture::process(1, 5), report, heard);
-    loads.hear(fixture::process(2, 5), report, heard);
+    loads.record(fixture::process(1, 5), report, heard);
+    loads.record(fixture::process(2, 5), report, heard);
     lines.push(show(&view, &loads, LEERPLEIN, &packet));
     lines.push(show(&view, &loads, DIPLOMAKLUIS, &packet));
     expect![[r#"
--- a/crates/routing/tests/gate.rs
+++ b/crates/routing/tests/host.rs
@@ -5,10 +5,10 @@
 use expect_test::expect;
 use fixture::DIPLOMAKLUIS;
 use fixture::LEERPLEIN;
-use hyssopstair_routing::gate::HandoverMargin;
-use hyssopstair_routing::gate::HostAction;
-use hyssopstair_routing::gate::HostGate;
-use hyssopstair_routing::gate::HostLoad;
+use hyssopstair_routing::host::HandoverMargin;
+use hyssopstair_routing::host::HostAction;
+use hyssopstair_routing::host::HostLoad;
+use hyssopstair_routing::host::HostRouter;
 use hyssopstair_wire::address::HostIncarnation;
 use hyssopstair_wire::packet::ForwardHeader;
 use hyssopstair_wire::packet::LoadReport;
@@ -18,12 +18,12 @@
 const ME: HostIncarnation = HostIncarnation(5);
 const NOW: MonotonicTime = MonotonicTime::from_millis(1_000);
 
-fn gate() -> HostGate {
+fn gate() -> HostRouter {
     let margin = HandoverMargin {
         flows: 4,
         percent: 0,
     };
-    HostGate::with_margin(LEERPLEIN, margin)
+    HostRouter::with_margin(LEERPLEIN, margin)
 }
 
 fn load(flows: u32) -> HostLoad {
@@ -191,7 +191,7 @@
 #[test]
 fn handshake_stays_together_behind_a_draining_host() {
     let draining_host = gate();
-    let passing_host = HostGate::new(LEERPLEIN);
+    let passing_host = HostRouter::new(LEERPLEIN);
     let packet = fixture::initial_packet(b"caller-1");
     let mut direct = opening(report(0));
     direct.second.as_mut().unwrap().process = fixture::process(3, 5);
@@ -206,7 +206,7 @@
     let HostAction::PassOn { header, .. } = later else {
         panic!("the decision is remembered");
     };
-    let last_host = HostGate::new(LEERPLEIN);
+    let last_host = HostRouter::new(LEERPLEIN);
     let last = last_host.receive(ME, &header, &packet, &load(0), NOW);
     let lines = [show(&first), show(&later), show(&last)];
     expect![[r#"
@@ -220,7 +220,7 @@
 /// flow returns and stays, for later packets too.
 #[test]
 fn flow_handed_to_a_leaving_host_returns() {
-    let first_host = HostGate::new(LEERPLEIN);
+    let first_host = HostRouter::new(LEERPLEIN);
     let leaving_host = gate();
     let packet = fixture::initial_packet(b"caller-1");
     let direct = opening(report(0));
--- a/crates/routing/tests/host_rule.rs
+++ b/crates/routing/tests/host_rule.rs
@@ -29,7 +29,7 @@
     ] {
         let view = RoutingView::build(1, rules.clone(), &fixture::secret(), &[]);
         let view = view.with_host(name, fixture::address(host));
-        writeln!(text, "{name} {host}: {:?}", view.own).unwrap();
+        writeln!(text, "{name} {host}: {:?}", view.own_rule).unwrap();
     }
     expect![[r#"
         leerplein 10.1.0.1:7000: Some(HostRule { service: ServiceId(1), connections: 2000, takes_new: true })
--- a/crates/routing/tests/pace.rs
+++ b/crates/routing/tests/pace.rs
@@ -22,8 +22,8 @@
     ] {
         let now = MonotonicTime::from_millis(millis);
         let (name, builds) = match has_changed {
-            true => ("change", pacer.note_change(now)),
-            false => ("tick", pacer.take_due(now)),
+            true => ("change", pacer.record_change(now)),
+            false => ("tick", pacer.take_due_build(now)),
         };
         let result = if builds { "build" } else { "-" };
         lines.push(format!("{millis} ms, {name}: {result}"));
--- a/crates/routing/tests/returns.rs
+++ b/crates/routing/tests/returns.rs
@@ -14,7 +14,7 @@
         balancer: fixture::address(&format!("10.2.0.{balancer}:7000")),
         ..fixture::header(fixture::LEERPLEIN)
     };
-    table.hear(&header, MonotonicTime::from_millis(millis));
+    table.record(&header, MonotonicTime::from_millis(millis));
 }
 
 /// Shows the balancers of four answers, by their last number.
@@ -22,7 +22,7 @@
     let caller = fixture::address(&format!("192.0.2.7:{caller}"));
     let now = MonotonicTime::from_millis(millis);
     let ways: Vec<String> = (0..4)
-        .map(|_| match table.route(caller, now) {
+        .map(|_| match table.find_route(caller, now) {
             Some(route) => route.balancer.ip().octets()[3].to_string(),
             None => "none".to_owned(),
         })
@@ -46,7 +46,7 @@
     // The caller is heard through another balancer.
     hear(&table, 5_000, 3, 3_100);
     lines.push(answers(&table, 5_000, 3_200));
-    table.lose_balancer(fixture::address("10.2.0.3:7000"));
+    table.remove_balancer(fixture::address("10.2.0.3:7000"));
     lines.push(answers(&table, 5_000, 3_200));
     lines.push(answers(&table, 6_000, 3_200));
     expect![[r#"
@@ -67,7 +67,7 @@
     }
     let caller = fixture::address("192.0.2.7:5000");
     let mut ways: Vec<_> = (0..500)
-        .filter_map(|_| table.route(caller, MonotonicTime::from_millis(10_000)))
+        .filter_map(|_| table.find_route(caller, MonotonicTime::from_millis(10_000)))
         .map(|route| route.balancer.ip().octets()[3])
         .collect();
     ways.sort_unstable();
--- a/crates/routing/tests/reuse.rs
+++ b/crates/routing/tests/reuse.rs
@@ -7,9 +7,9 @@
 use hyssopstair_routing::balancer::BalancerContext;
 use hyssopstair_routing::balancer::RouteAction;
 use hyssopstair_routing::balancer::route_packet;
-use hyssopstair_routing::gate::HostAction;
-use hyssopstair_routing::gate::HostGate;
-use hyssopstair_routing::gate::HostLoad;
+use hyssopstair_routing::host::HostAction;
+use hyssopstair_routing::host::HostLoad;
+use hyssopstair_routing::host::HostRouter;
 use hyssopstair_routing::loads::LoadTable;
 use hyssopstair_routing::view::RoutingView;
 use hyssopstair_wire::address::ProcessId;
@@ -67,7 +67,7 @@
 struct FleetHost {
     process: ProcessId,
     service: ServiceId,
-    gate: HostGate,
+    gate: HostRouter,
 }
 
 impl FleetHost {
@@ -76,7 +76,7 @@
         Self {
             process,
             service,
-            gate: HostGate::new(service),
+            gate: HostRouter::new(service),
         }
     }
 }
--- a/crates/testkit/src/fabric.rs
+++ b/crates/testkit/src/fabric.rs
@@ -9,8 +9,8 @@
 
 use hyssopstair_wire::entry::EntryPath;
 use hyssopstair_wire::entry::encode_entry;
-use hyssopstair_wire::entry::ipv4;
 use hyssopstair_wire::entry::split_entry;
+use hyssopstair_wire::entry::to_ipv4;
 use parking_lot::Mutex;
 use rand::RngExt;
 use rand::SeedableRng;
@@ -140,7 +140,7 @@
         let Ok((length, caller)) = socket.recv_from(&mut buffer).await else {
             continue;
         };
-        let Some(caller) = ipv4(caller) else {
+        let Some(caller) = to_ipv4(caller) else {
             continue;
         };
         let path = EntryPath {
--- a/crates/wire/src/address.rs
+++ b/crates/wire/src/address.rs
@@ -34,7 +34,7 @@
 impl HostIncarnation {
     /// Returns the incarnation of a process that starts `unix_millis`
     /// milliseconds after the Unix epoch.
-    pub fn at(unix_millis: u64) -> Self {
+    pub fn from_unix_millis(unix_millis: u64) -> Self {
         let since_epoch = unix_millis.saturating_sub(INCARNATION_EPOCH_MILLIS);
         Self((since_epoch * INCARNATIONS_PER_SECOND / 1_000) as u32)
     }
--- a/crates/wire/src/carried.rs
+++ b/crates/wire/src/carried.rs
@@ -17,7 +17,7 @@
 pub const MAX_CANDIDATES: usize = 8;
 
 /// Flows that one message lists at most, so that it stays below 1,200 bytes.
-pub const MAX_BATCH: usize = 80;
+pub const MAX_BATCH_FLOWS: usize = 80;
 
 /// Questions that one message lists at most, so that it stays below 1,200 bytes.
 pub const MAX_QUESTIONS: usize = 56;
@@ -107,11 +107,11 @@
     /// How many hosts with a server it has heard lately.
     pub hosts: u16,
     /// Some other balancers, so that everybody gets to know all.
-    pub balancers: ArrayVec<Ipv4Addr, MAX_PEERS_TOLD>,
+    pub balancers: ArrayVec<Ipv4Addr, MAX_HELLO_BALANCERS>,
 }
 
 /// Balancers that one hello names at most.
-pub const MAX_PEERS_TOLD: usize = 16;
+pub const MAX_HELLO_BALANCERS: usize = 16;
 
 /// The role of the sender, with what belongs to it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -203,7 +203,7 @@
     Flows {
         /// The host of the flows.
         owner: Ipv4Addr,
-        /// The flows, [`MAX_BATCH`] at most.
+        /// The flows, [`MAX_BATCH_FLOWS`] at most.
         flows: Vec<FlowKey>,
     },
     /// Asks for routes newer than `known`.
--- a/crates/wire/src/entry.rs
+++ b/crates/wire/src/entry.rs
@@ -59,7 +59,7 @@
 }
 
 /// Returns the IPv4 form of an address, or nothing for IPv6.
-pub fn ipv4(address: SocketAddr) -> Option<SocketAddrV4> {
+pub fn to_ipv4(address: SocketAddr) -> Option<SocketAddrV4> {
     match address {
         SocketAddr::V4(address) => Some(address),
         SocketAddr::V6(_) => None,
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -32,7 +32,7 @@
 
 /// A whole answer of a backend server.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct WholeReply {
+pub struct BackendReply {
     /// The status.
     pub status: u16,
     /// The headers.
@@ -54,7 +54,7 @@
 /// What became of a ticket.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SettleAnswer {
-    /// The request ran; the encoded [`WholeReply`], unless it was too long to
+    /// The request ran; the encoded [`BackendReply`], unless it was too long to
     /// be kept.
     Done(Option<Vec<u8>>),
     /// The request is at work.
@@ -90,7 +90,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RelayOutcome {
     /// It ran, with this answer.
-    Done(WholeReply),
+    Done(BackendReply),
     /// It did not run and never will.
     NotRun {
         /// When the host may be asked again, in milliseconds.
@@ -190,11 +190,11 @@
 }
 
 /// Writes a whole answer.
-pub fn encode_reply(reply: &WholeReply) -> Vec<u8> {
+pub fn encode_reply(reply: &BackendReply) -> Vec<u8> {
     postcard::to_stdvec(reply).unwrap_or_default()
 }
 
 /// Reads a whole answer, or nothing when it is malformed.
-pub fn decode_reply(bytes: &[u8]) -> Option<WholeReply> {
+pub fn decode_reply(bytes: &[u8]) -> Option<BackendReply> {
     postcard::from_bytes(bytes).ok()
 }
