--- a/crates/wire/src/address.rs
+++ b/crates/wire/src/address.rs
@@ -1,7 +1,7 @@
-//! Names of the things that a packet is sent to.
+//! Identifiers of services and processes.
 //!
-//! An inner address alone does not name a process, because addresses are used
-//! again: a process is named by its address and its incarnation.
+//! Inner addresses are reused, so an address alone does not identify a process:
+//! a [`ProcessId`] combines the address with the incarnation of the process.
 
 use std::fmt;
 use std::net::SocketAddrV4;
@@ -9,7 +9,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// The number of a service, as given in the rule file.
+/// The ID of a service, as assigned in the rule file.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ServiceId(pub u16);
 
@@ -19,21 +19,22 @@
     }
 }
 
-/// The start of a process, in sixteenths of a second since 2026-01-01 UTC.
+/// The start time of a process, in sixteenths of a second since 2026-01-01 UTC.
 ///
-/// A process that starts again at the same address has a higher incarnation.
+/// A process that restarts at the same address has a higher incarnation, unless
+/// its clock was set back in between.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct HostIncarnation(pub u32);
 
-/// Milliseconds between the Unix epoch and 2026-01-01 UTC.
+/// Milliseconds from the Unix epoch to 2026-01-01 UTC.
 const INCARNATION_EPOCH_MILLIS: u64 = 1_767_225_600_000;
 
-/// Incarnations per second.
+/// Resolution of an incarnation, in units per second.
 const INCARNATIONS_PER_SECOND: u64 = 16;
 
 impl HostIncarnation {
     /// Returns the incarnation of a process that starts `unix_millis`
-    /// milliseconds after the Unix epoch.
+    /// milliseconds after the Unix epoch; zero for a start before 2026.
     pub fn from_unix_millis(unix_millis: u64) -> Self {
         let since_epoch = unix_millis.saturating_sub(INCARNATION_EPOCH_MILLIS);
         Self((since_epoch * INCARNATIONS_PER_SECOND / 1_000) as u32)
@@ -46,12 +47,12 @@
     }
 }
 
-/// One life of one process: where it listens and when it started.
+/// Identifies one run of a process by its address and its start time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ProcessId {
-    /// The inner address, for packets of flows and for control messages.
+    /// The inner address, which receives both flow packets and control messages.
     pub address: SocketAddrV4,
-    /// The life of the process at that address.
+    /// Distinguishes this process from earlier ones at the same address.
     pub incarnation: HostIncarnation,
 }
 
--- a/crates/wire/src/carried.rs
+++ b/crates/wire/src/carried.rs
@@ -1,9 +1,10 @@
-//! Messages between processes that carry flows without ending them.
+//! Messages of the carry mode, in which processes forward the packets of a flow
+//! without terminating its connection.
 //!
-//! Balancers and hosts exchange datagrams on one inner port, the same on every
-//! instance, so a process is named by its IP address. A datagram is one
-//! [`CarryMessage`]; those that carry a packet of a flow have it behind the
-//! message, byte for byte as its sender wrote it.
+//! Balancers and hosts exchange datagrams on an inner port that is the same on
+//! every instance, so the IP address alone identifies a process. Each datagram
+//! holds one [`CarryMessage`]. If the message carries a packet of a flow, the
+//! packet follows it unmodified.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddrV4;
@@ -12,226 +13,234 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Hosts that one message lists at most. It bounds the message, not the service:
-/// a longer list is worked through in several rounds.
+/// Maximum number of candidate hosts in one message. A service may have more
+/// hosts; they are tried in several rounds.
 pub const MAX_CANDIDATES: usize = 8;
 
-/// Flows that one message lists at most, so that it stays below 1,200 bytes.
+/// Maximum number of flows in one message, which keeps it below 1,200 bytes.
 pub const MAX_BATCH_FLOWS: usize = 80;
 
-/// Questions that one message lists at most, so that it stays below 1,200 bytes.
+/// Maximum number of flow questions in one message, which keeps it below 1,200
+/// bytes.
 pub const MAX_QUESTIONS: usize = 56;
 
-/// Bytes of an encoded route table in one datagram.
+/// Maximum number of bytes of an encoded route table in one datagram.
 pub const ROUTE_PART_BYTES: usize = 1_100;
 
-/// The two ends of a flow, as the caller's packets name them.
+/// Identifies a flow by the source and destination of the caller's packets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct FlowKey {
     /// The caller's address and port.
     pub caller: SocketAddrV4,
-    /// The address and port that the caller sends to.
+    /// The destination address and port.
     pub target: SocketAddrV4,
 }
 
-/// A flow whose host is looked for.
+/// A query about a flow whose host is unknown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FlowQuestion {
     /// The flow.
     pub flow: FlowKey,
-    /// Position in the server's stream up to which the caller has everything;
-    /// nothing if its packet does not say.
+    /// The acknowledgment number of the caller's packet, which is a position in
+    /// the server's stream; `None` if the packet has none.
     pub acknowledged: Option<u32>,
 }
 
-/// Hosts in the order in which they are to be tried.
+/// Candidate hosts in the order in which they are tried.
 pub type CandidateList = ArrayVec<Ipv4Addr, MAX_CANDIDATES>;
 
-/// The start of a process in milliseconds since the Unix epoch; a later start at
-/// the same address has a higher one, unless the time of day was set back.
+/// The start time of a process in milliseconds since the Unix epoch. It increases
+/// with each restart at the same address, unless the system clock was set back.
 pub type ProcessStart = u64;
 
-/// Whether a backend server takes new flows.
+/// The state of a backend server, as known to its host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ServerState {
-    /// Nothing is known about the server yet.
+    /// The state has not been determined yet.
     Unknown,
-    /// It takes new flows.
+    /// The server accepts new flows.
     Ready,
-    /// It keeps its flows and takes no new ones.
+    /// The server accepts no new flows and keeps its open ones.
     Draining,
-    /// It has ended.
+    /// The server has ended.
     Down,
 }
 
-/// How busy a host is.
+/// The load of a host and its backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct CarryLoad {
-    /// Requests that the server works on or will get within a round trip.
+    /// Requests that the server is processing or is expected to receive within
+    /// one round trip.
     pub in_progress: u16,
-    /// Mean of the requests in progress over the last second, in sixteenths.
+    /// Mean number of requests in progress over the last second, in sixteenths.
     pub mean_sixteenths: u16,
-    /// Requests that the server works on at the same time.
+    /// Number of requests that the server can process concurrently.
     pub slots: u16,
-    /// Open flows.
+    /// Number of open flows.
     pub flows: u16,
     /// Smoothed time from a request to the first data of its answer, in
-    /// microseconds; 0 while none was seen.
+    /// microseconds; 0 until one has been measured.
     pub answer_micros: u32,
 }
 
-/// What a host says of itself.
+/// The state that a host reports in a hello.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostHello {
-    /// Name of the service.
+    /// The name of the service.
     pub service: String,
-    /// What its server does.
+    /// The state of the backend server.
     pub server: ServerState,
-    /// How busy it is.
+    /// The current load.
     pub load: CarryLoad,
-    /// Whether it has lost the table of flows that its server holds.
+    /// Whether the host has lost its flow table, for example by a restart, while
+    /// its server may still hold flows.
     pub is_relearning: bool,
-    /// Whether the server has started a short while ago.
+    /// Whether the server started recently.
     pub is_server_new: bool,
-    /// Whether the process is about to stop.
+    /// Whether the process is stopping.
     pub is_stopping: bool,
 }
 
-/// What a balancer says of itself.
+/// The state that a balancer reports in a hello.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BalancerHello {
-    /// Whether it is about to stop.
+    /// Whether the process is stopping.
     pub is_stopping: bool,
-    /// Whether it asks for the tables of the others.
+    /// Whether the balancer requests the flow tables of other processes.
     pub wants_flows: bool,
-    /// How many hosts with a server it has heard lately.
+    /// Number of hosts with a server from which the balancer heard recently.
     pub hosts: u16,
-    /// Some other balancers, so that everybody gets to know all.
+    /// Addresses of other balancers, so that all processes learn of all balancers.
     pub balancers: ArrayVec<Ipv4Addr, MAX_HELLO_BALANCERS>,
 }
 
-/// Balancers that one hello names at most.
+/// Maximum number of balancers listed in one hello.
 pub const MAX_HELLO_BALANCERS: usize = 16;
 
-/// The role of the sender, with what belongs to it.
+/// The role of the sender of a hello, with the state that belongs to the role.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum HelloRole {
-    /// A process beside a backend server.
+    /// The process runs beside a backend server.
     Host(HostHello),
-    /// A process that callers' packets arrive at.
+    /// The process receives the packets of callers.
     Balancer(BalancerHello),
 }
 
-/// Greets a process, and repeats what may have changed.
+/// Introduces a process to another one and periodically reports its state.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HelloMessage {
-    /// When the sender started.
+    /// The start time of the sender.
     pub started: ProcessStart,
-    /// Counts the sender's hellos, so that a late one is known.
+    /// Sequence number of the sender's hellos, by which stale ones are detected.
     pub number: u32,
-    /// Name of the sender's availability zone.
+    /// The name of the sender's availability zone.
     pub zone: String,
-    /// Version of the routes that the sender goes by; 0 while it has none.
+    /// Version of the sender's route table; 0 if it has none.
     pub routes: u64,
-    /// Whether the sender asks for a hello in return.
+    /// Whether the receiver should answer with a hello.
     pub wants_answer: bool,
-    /// The sender's role.
+    /// The role and state of the sender.
     pub role: HelloRole,
 }
 
-/// Why a packet is sent to a host.
+/// The reason why a packet is forwarded to a host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ForwardPurpose {
-    /// It opens a flow; each host may pass it on to the next candidate.
+    /// The packet opens a flow. The host may pass it on to the next candidate.
     Open,
-    /// It opens a flow, and was passed back to the least busy of those asked.
+    /// The packet opens a flow and was sent back to the least busy of the hosts
+    /// that were tried.
     OpenHere,
-    /// The balancer has seen the flow at this host.
+    /// The balancer knows this host as the owner of the flow.
     Owner,
-    /// The balancer looks for the host of the flow; one that has lost its table
-    /// hands the packet to its server to see whether it holds the flow.
+    /// The balancer is searching for the owner of the flow. A host that has lost
+    /// its flow table passes the packet to its server to find out whether the
+    /// server holds the flow.
     Probe,
 }
 
-/// Goes before a packet on its way to a host.
+/// The header of a caller's packet that is forwarded to a host.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CarryHeader {
-    /// Why it is sent.
+    /// The reason why the packet is forwarded.
     pub purpose: ForwardPurpose,
-    /// The balancer that got it from the caller.
+    /// The balancer that received the packet from the caller.
     pub balancer: Ipv4Addr,
-    /// Version of the routes by which the balancer sent it.
+    /// Version of the route table with which the balancer chose the host.
     pub routes: u64,
-    /// The least busy host so far that could take the flow, and its requests.
+    /// The least busy of the tried hosts that can accept the flow, and its number
+    /// of requests in progress.
     pub best: Option<(Ipv4Addr, u16)>,
-    /// Hosts to try next.
+    /// The remaining candidates.
     pub next: CandidateList,
 }
 
-/// A message between processes that carry flows.
+/// A message between processes in carry mode.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CarryMessage {
-    /// Membership, load and versions.
+    /// Reports membership, load and the route table version.
     Hello(HelloMessage),
-    /// A caller's packet, which follows.
+    /// Forwards the caller's packet that follows the message to a host.
     Forward(CarryHeader),
-    /// The sender's server holds the flow, or has just taken it.
+    /// Reports that the sender's server holds the flow or has just accepted it.
     Owned {
         /// The flow.
         flow: FlowKey,
-        /// How busy the sender is.
+        /// The load of the sender.
         load: CarryLoad,
     },
-    /// None of the candidates took the packet, which follows.
+    /// Returns the packet that follows the message, because no candidate accepted
+    /// it.
     Returned {
-        /// Why it had been sent.
+        /// The purpose with which the packet was forwarded.
         purpose: ForwardPurpose,
     },
-    /// Asks which of some flows the receiver's server holds.
+    /// Asks which of the given flows the receiver's server holds.
     Locate {
-        /// The flows, [`MAX_QUESTIONS`] at most.
+        /// The flows, at most [`MAX_QUESTIONS`].
         questions: Vec<FlowQuestion>,
     },
-    /// The sender's server does not hold flows that were searched for.
+    /// Answers a search for flows that the sender's server does not hold.
     NotHeld {
         /// The flows.
         flows: Vec<FlowKey>,
-        /// Whether that is certain.
+        /// Whether the sender is certain; if not, the server may still hold them.
         is_certain: bool,
     },
-    /// Flows that `owner` holds, from the table of the sender.
+    /// Shares entries of the sender's flow table.
     Flows {
-        /// The host of the flows.
+        /// The host that owns the flows.
         owner: Ipv4Addr,
-        /// The flows, [`MAX_BATCH_FLOWS`] at most.
+        /// The flows, at most [`MAX_BATCH_FLOWS`].
         flows: Vec<FlowKey>,
     },
-    /// Asks for routes newer than `known`.
+    /// Requests a route table newer than version `known`.
     RoutesWanted {
-        /// The newest version that the sender has; 0 for none.
+        /// The version that the sender has; 0 if it has none.
         known: u64,
     },
-    /// A part of an encoded route table, which follows.
+    /// Sends the part of an encoded route table that follows the message.
     RoutesPart {
-        /// Version of the routes.
+        /// Version of the route table.
         version: u64,
-        /// Number of the part, from 0.
+        /// Index of the part, from 0.
         part: u16,
-        /// How many parts there are.
+        /// Number of parts.
         parts: u16,
     },
 }
 
 impl CarryMessage {
-    /// Appends the message to `buffer`.
+    /// Appends the encoded message to `buffer`.
     pub fn encode(&self, buffer: &mut Vec<u8>) {
-        // Writing to a vector cannot fail; an empty datagram is refused by whoever gets it.
+        // Encoding into a vector cannot fail; if it did, the buffer would be left
+        // empty, and the receiver discards an empty datagram.
         if let Ok(bytes) = postcard::to_extend(self, std::mem::take(buffer)) {
             *buffer = bytes;
         }
     }
 
-    /// Reads a message, and returns it with the bytes behind it; nothing when it
+    /// Decodes a message and returns it with the remaining bytes, or `None` if it
     /// is malformed.
     pub fn decode(datagram: &[u8]) -> Option<(Self, &[u8])> {
         postcard::take_from_bytes(datagram).ok()
--- a/crates/wire/src/control.rs
+++ b/crates/wire/src/control.rs
@@ -1,8 +1,8 @@
 //! Membership messages.
 //!
-//! Each entry is the word of one process about itself, or the suspicion of
-//! another about it. Entries are ordered by [`MemberEntry::precedence`]; of two
-//! entries about one address the higher one holds.
+//! A [`MemberEntry`] states what a process reports about itself, or what
+//! another process suspects about it. If two entries describe the same address,
+//! the one with the higher [`MemberEntry::precedence`] overrides the other.
 
 use std::net::SocketAddrV4;
 
@@ -13,58 +13,60 @@
 use crate::address::ProcessId;
 use crate::address::ServiceId;
 
-/// What a member does.
+/// The role of a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum MemberRole {
     /// Forwards packets between callers and hosts.
     Balancer,
     /// Runs beside a backend server of one service.
     Host {
-        /// The service.
+        /// The service of the backend server.
         service: ServiceId,
-        /// The availability zone, by its number in the rule file.
+        /// The availability zone, as a number from the rule file.
         zone: u8,
-        /// The share of new flows, relative to other hosts of the service.
+        /// The placement weight, relative to other hosts of the service.
         weight: u16,
     },
 }
 
-/// How a member stands. Later states override earlier ones of the same
+/// The state of a member. A later variant overrides an earlier one with the same
 /// incarnation and counter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum MemberState {
-    /// Takes new work.
+    /// The member accepts new flows.
     Alive,
-    /// Takes no new work, keeps what it has.
+    /// The member accepts no new flows and keeps its open ones.
     Draining,
-    /// Did not answer its watchers: takes no new work, and its flows wait for it.
+    /// The member did not answer the probes of other members. It gets no new
+    /// flows; packets of its open flows are still sent to it.
     Suspect,
-    /// Is no longer there.
+    /// The member has left or has failed.
     Gone,
 }
 
-/// What is known of one member.
+/// The known state of a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberEntry {
     /// The member.
     pub process: ProcessId,
-    /// Raised by the member itself with each change, within an incarnation.
+    /// Version of the entry within an incarnation. Only the member itself
+    /// increments it, with each change.
     pub counter: u32,
-    /// What the member does.
+    /// The role of the member.
     pub role: MemberRole,
-    /// How it stands.
+    /// The state of the member.
     pub state: MemberState,
 }
 
 impl MemberState {
-    /// Returns whether a member in this state answers others.
+    /// Returns whether a member in this state answers other members.
     pub fn is_present(self) -> bool {
         matches!(self, Self::Alive | Self::Draining)
     }
 }
 
 impl MemberEntry {
-    /// Returns what orders two entries about one address.
+    /// Returns the key by which entries about the same address are ordered.
     pub fn precedence(&self) -> (HostIncarnation, u32, MemberState) {
         (self.process.incarnation, self.counter, self.state)
     }
@@ -75,67 +77,69 @@
 pub struct ControlMessage {
     /// The sender.
     pub sender: ProcessId,
-    /// The highest configuration version that the sender knows.
+    /// The highest configuration version known to the sender.
     pub version: u64,
-    /// What is said.
+    /// The content of the message.
     pub body: ControlBody,
 }
 
-/// A member of a run of neighbouring addresses whose state changed.
+/// A member of a run: a sequence of nearby addresses that changed to one state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunMember {
-    /// Addresses from the member before to this one; 0 for the first.
+    /// Distance from the address of the previous member; 0 for the first one.
     pub skip: u8,
-    /// Check over the entry before the change.
+    /// Check value of the entry before the change, which identifies it.
     pub check: [u8; 2],
 }
 
-/// The kinds of membership message.
+/// The content of a membership message.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ControlBody {
-    /// Entries that changed of late.
+    /// Gossips entries that changed recently.
     Changes(Vec<MemberEntry>),
-    /// Members that all changed to one state.
+    /// Gossips, in compact form, members that all changed to the same state.
     Run {
-        /// The state.
+        /// The new state.
         state: MemberState,
         /// The address of the first member.
         first: SocketAddrV4,
-        /// The members, by address.
+        /// The members, sorted by address.
         members: Vec<RunMember>,
     },
-    /// Asks for an answer.
+    /// Probes the receiver, which answers with a [`Self::Pong`].
     Ping {
-        /// Repeated in the answer.
+        /// The number to return in the answer.
         number: u32,
-        /// The entry of the sender, and that of the receiver if it is wrong.
+        /// The sender's own entry, and the receiver's if it must be refuted.
         changes: Vec<MemberEntry>,
     },
-    /// Answers a ping.
+    /// Answers a [`Self::Ping`].
     Pong {
         /// The number of the ping.
         number: u32,
-        /// What the pinging process did not know of the two.
+        /// Newer entries for the two processes than those in the ping.
         changes: Vec<MemberEntry>,
     },
-    /// Asks the receiver to ping a member that does not answer the sender.
+    /// Requests an indirect probe: asks the receiver to ping a member that does
+    /// not answer the sender.
     PingFor {
-        /// The member.
+        /// The member to ping.
         target: ProcessId,
     },
-    /// Says that a member answered the sender.
+    /// Reports that a member answered an indirect probe.
     Heard {
-        /// The member.
+        /// The member that answered.
         target: ProcessId,
     },
-    /// Compares two rosters.
+    /// Starts a comparison of two rosters.
     Digest {
-        /// Goes into the hashes, so that a collision does not repeat.
+        /// Salt of the hashes. It differs between comparisons, so a hash
+        /// collision does not recur.
         salt: u32,
         /// One hash per bucket of addresses.
         buckets: Vec<u16>,
     },
-    /// Compares one bucket of two rosters.
+    /// Continues the comparison with the leaves of one bucket.
     Leaves {
         /// The salt of the digest.
         salt: u32,
@@ -144,35 +148,35 @@
         /// One hash per leaf of the bucket.
         leaves: Vec<u16>,
     },
-    /// All that the sender knows of some leaves; asks for what it lacks.
+    /// Sends all known entries of some leaves and asks for those that are missing.
     Fill {
         /// The bucket.
         bucket: u8,
-        /// The leaves, one bit each.
+        /// Bit mask of the leaves.
         leaves: u64,
-        /// The entries.
+        /// The entries of the leaves.
         entries: Vec<MemberEntry>,
     },
-    /// Asks for a page of the roster.
+    /// Requests a page of the roster.
     Join {
-        /// Entries with higher addresses are wanted; none for the first page.
+        /// The page starts after this address; `None` for the first page.
         after: Option<SocketAddrV4>,
     },
-    /// A page of the roster.
+    /// Sends a page of the roster.
     Page {
-        /// As in the question.
+        /// The value from the [`Self::Join`] message.
         after: Option<SocketAddrV4>,
-        /// What the sender knows of the receiver's address.
+        /// The sender's entry for the receiver's address.
         known: Option<MemberEntry>,
-        /// The entries, by address.
+        /// The entries, sorted by address.
         entries: Vec<MemberEntry>,
-        /// Whether more follow.
+        /// Whether further pages follow.
         more: bool,
     },
 }
 
 impl ControlBody {
-    /// Returns whether this is a step in the comparison of two rosters.
+    /// Returns whether the message belongs to the comparison of two rosters.
     pub fn compares_rosters(&self) -> bool {
         matches!(
             self,
@@ -181,8 +185,9 @@
     }
 }
 
-/// Longest control packet in bytes.
+/// Maximum length of a control packet in bytes.
 pub const MAX_CONTROL_LENGTH: usize = 1_200;
 
-/// Entries in one message at most: 40 of the longest form, 26 bytes each, fit.
+/// Maximum number of entries in one message. 40 entries of the maximum encoded
+/// length, 26 bytes, fit into [`MAX_CONTROL_LENGTH`].
 pub const MAX_ENTRIES: usize = 40;
--- a/crates/wire/src/entry.rs
+++ b/crates/wire/src/entry.rs
@@ -1,8 +1,9 @@
-//! Datagrams between the network fabric and a balancer.
+//! Datagrams exchanged between the network fabric and a balancer.
 //!
-//! A fabric that does not keep the caller's address in the IP header puts a
-//! PROXY protocol version 2 header before each datagram, in both directions.
-//! The source is the sender and the destination the receiver of the datagram.
+//! A fabric that does not preserve the caller's address in the IP header
+//! prepends a PROXY protocol version 2 header to each datagram, in both
+//! directions. The source address of the header is the sender of the datagram,
+//! the destination address its receiver.
 
 use std::net::SocketAddr;
 use std::net::SocketAddrV4;
@@ -15,17 +16,17 @@
 use ppp::v2::Protocol;
 use ppp::v2::Version;
 
-/// The two ends of a datagram.
+/// The original source and destination of a datagram.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EntryPath {
-    /// Who sent the datagram.
+    /// The sender.
     pub source: SocketAddrV4,
-    /// Whom it was sent to.
+    /// The receiver.
     pub destination: SocketAddrV4,
 }
 
-/// Reads the header and returns it with the datagram behind it, or nothing
-/// when the header is malformed or not one of UDP over IPv4.
+/// Decodes the PROXY header and returns its addresses and the datagram that
+/// follows it, or `None` if the header is malformed or not for UDP over IPv4.
 pub fn split_entry(packet: &[u8]) -> Option<(EntryPath, &[u8])> {
     let header = Header::try_from(packet).ok()?;
     if header.protocol != Protocol::Datagram {
@@ -42,7 +43,7 @@
     Some((path, &packet[length..]))
 }
 
-/// Writes the header and the datagram to a new vector.
+/// Returns `datagram` with a PROXY header for `path` prepended.
 pub fn encode_entry(path: &EntryPath, datagram: &[u8]) -> Vec<u8> {
     let addresses = IPv4::new(
         *path.source.ip(),
@@ -58,7 +59,7 @@
     packet
 }
 
-/// Returns the IPv4 form of an address, or nothing for IPv6.
+/// Returns the address if it is IPv4, or `None` if it is IPv6.
 pub fn to_ipv4(address: SocketAddr) -> Option<SocketAddrV4> {
     match address {
         SocketAddr::V4(address) => Some(address),
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,12 +1,12 @@
-//! The protocol between the processes of hyssopstair.
+//! Wire formats of the messages between hyssopstair processes.
 //!
-//! Everything that one process of the system sends to another is defined here,
-//! so that a change of format is a change of one package. The package holds no
-//! sockets and no clocks.
+//! All formats are defined in this crate, so a format change touches a single
+//! crate. It performs no I/O and reads no clock.
 //!
-//! Start with [`packet`] for the data path, [`token`] for the connection IDs
-//! that carry a route, [`control`] for membership messages and [`peer`] for the
-//! messages between two hosts.
+//! The main modules are [`packet`] for the data path, [`token`] for QUIC
+//! connection IDs that encode a route, [`control`] for membership messages,
+//! [`peer`] for requests between two processes, and [`carried`] for the
+//! datagrams of the carry mode.
 
 pub mod address;
 pub mod carried;
--- a/crates/wire/src/packet.rs
+++ b/crates/wire/src/packet.rs
@@ -1,7 +1,8 @@
-//! The header that balancers and hosts put before a datagram of a flow.
+//! Headers that balancers and hosts prepend to the datagrams of a flow.
 //!
-//! The datagram follows the header unchanged. A process reads the kind byte
-//! first, so that flows and control messages can share one UDP port.
+//! A packet is a version byte, a kind byte, an encoded message and an optional
+//! payload. The kind byte lets flows and control messages share one UDP port.
+//! The datagram of a flow is the payload and is not modified.
 
 use std::net::SocketAddrV4;
 
@@ -12,28 +13,28 @@
 use crate::address::ProcessId;
 use crate::address::ServiceId;
 
-/// Version of the format of this package.
+/// Version of the packet format, sent as the first byte of each packet.
 pub const WIRE_VERSION: u8 = 1;
 
-/// Longest datagram that is carried, in bytes, header included.
+/// Maximum length of a packet in bytes, including all headers.
 pub const MAX_PACKET_LENGTH: usize = 2_048;
 
-/// Most times that a packet is passed on between hosts.
+/// Maximum number of times that hosts pass on a packet among themselves.
 pub const MAX_HOPS: u8 = 2;
 
-/// What a datagram between two processes holds.
+/// The content of a packet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PacketKind {
-    /// From a caller towards a host; a [`ForwardHeader`] follows.
+    /// A datagram from a caller to a host, after a [`ForwardHeader`].
     Forward,
-    /// From a host towards a caller; a [`ReturnHeader`] follows.
+    /// A datagram from a host to a caller, after a [`ReturnHeader`].
     Return,
-    /// A [`crate::control::ControlMessage`] follows.
+    /// A [`crate::control::ControlMessage`].
     Control,
 }
 
 impl PacketKind {
-    fn byte(self) -> u8 {
+    fn to_byte(self) -> u8 {
         match self {
             Self::Forward => 1,
             Self::Return => 2,
@@ -51,105 +52,108 @@
     }
 }
 
-/// Where in a trace a packet belongs, as in the W3C `traceparent` header.
+/// Trace and span IDs, as in the W3C `traceparent` header.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TraceContext {
-    /// The trace.
+    /// The trace ID.
     pub trace: [u8; 16],
-    /// The span that caused the packet.
+    /// The ID of the parent span.
     pub span: [u8; 8],
 }
 
-/// How busy a host is, by its own count.
+/// The load that a host reports about itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Open flows.
+    /// Number of open flows, including those whose handshake is in progress.
     pub flows: u32,
-    /// Whether the host takes new flows.
+    /// Whether the host accepts new flows.
     pub takes_new: bool,
 }
 
-/// The host that the first host for a flow may hand it over to.
+/// The second choice for a new flow: the host to which the first choice may hand
+/// the flow over.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SecondHost {
     /// The host.
     pub process: ProcessId,
-    /// Its share of new flows, relative to other hosts of the service.
+    /// Its placement weight, relative to the other hosts of the service.
     pub weight: u16,
-    /// The share of the first host.
+    /// The placement weight of the first choice.
     pub first_weight: u16,
-    /// Its load, when the balancer has heard of it lately.
+    /// Its last load report, if the balancer has a recent one.
     pub load: Option<LoadReport>,
 }
 
-/// Header of a datagram on its way to a host.
+/// Header of a caller's datagram that is forwarded to a host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ForwardHeader {
-    /// The service that the datagram was sent to.
+    /// The service that the caller addressed.
     pub service: ServiceId,
-    /// The incarnation that the route names; none for a packet that opens a
-    /// flow.
+    /// The incarnation in the route token of the packet; `None` if the packet
+    /// opens a flow.
     pub incarnation: Option<HostIncarnation>,
     /// The caller.
     pub caller: SocketAddrV4,
     /// The address that the caller sent to.
     pub target: SocketAddrV4,
-    /// The balancer that received the datagram.
+    /// The balancer that received the datagram from the caller.
     pub balancer: SocketAddrV4,
-    /// Where a packet that opens a flow may be handed over to.
+    /// The host to which the receiver may hand over a packet that opens a flow.
     pub second: Option<SecondHost>,
-    /// Hosts that the datagram has passed through.
+    /// Number of hosts that have passed on the datagram.
     pub hops: u8,
-    /// The highest configuration version that the sender knows.
+    /// The highest configuration version known to the sender.
     pub version: u64,
-    /// The trace of a sampled flow.
+    /// The trace context, if the flow is sampled.
     pub trace: Option<TraceContext>,
 }
 
-/// Header of a datagram on its way to a caller.
+/// Header of a host's datagram that is returned to a caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReturnHeader {
-    /// The service that answers.
+    /// The service of the flow.
     pub service: ServiceId,
-    /// The host that answers.
+    /// The host that sends the datagram.
     pub host: ProcessId,
-    /// The load of the host.
+    /// The current load of the host.
     pub load: LoadReport,
     /// The caller.
     pub caller: SocketAddrV4,
     /// The address that the caller sent to.
     pub target: SocketAddrV4,
-    /// The highest configuration version that the sender knows.
+    /// The highest configuration version known to the sender.
     pub version: u64,
-    /// The trace of a sampled request.
+    /// The trace context, if the request is sampled.
     pub trace: Option<TraceContext>,
 }
 
-/// Why a packet cannot be read.
+/// An error in decoding or encoding a packet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum PacketError {
-    /// The first byte names another version.
-    #[error("packet has an unknown version")]
+    /// The first byte is not [`WIRE_VERSION`].
+    #[error("unsupported packet version")]
     Version,
-    /// The second byte names no kind.
-    #[error("packet has an unknown kind")]
+    /// The second byte is not a known [`PacketKind`].
+    #[error("unknown packet kind")]
     Kind,
-    /// What follows is not the expected message.
-    #[error("packet is malformed")]
+    /// The packet is truncated or its message cannot be decoded.
+    #[error("malformed packet")]
     Malformed,
-    /// The message does not fit the buffer.
-    #[error("packet is too long")]
+    /// The packet does not fit in the buffer.
+    #[error("packet does not fit in the buffer")]
     TooLong,
 }
 
-/// Bytes before the message: version and kind.
+/// Length in bytes of the version and kind that precede the message.
 const PREFIX_LENGTH: usize = 2;
 
-/// Reads the kind of a packet and returns it with the rest.
+/// Decodes the kind of a packet and returns it with the remaining bytes.
 ///
 /// # Errors
 ///
-/// Returns a [`PacketError`] when the packet is not of this protocol.
+/// Returns [`PacketError::Malformed`] if the packet is too short, and
+/// [`PacketError::Version`] or [`PacketError::Kind`] if the version or kind is
+/// not supported.
 pub fn split_kind(packet: &[u8]) -> Result<(PacketKind, &[u8]), PacketError> {
     let (prefix, rest) = packet
         .split_first_chunk::<PREFIX_LENGTH>()
@@ -161,22 +165,23 @@
     Ok((kind, rest))
 }
 
-/// Reads a message and returns it with the bytes that follow it.
+/// Decodes a message of type `T` and returns it with the remaining bytes.
 ///
 /// # Errors
 ///
-/// Returns [`PacketError::Malformed`] when the bytes are not such a message.
+/// Returns [`PacketError::Malformed`] if the bytes do not start with such a
+/// message.
 pub fn split_message<'a, T: Deserialize<'a>>(
     bytes: &'a [u8],
 ) -> Result<(T, &'a [u8]), PacketError> {
     postcard::take_from_bytes(bytes).map_err(|_| PacketError::Malformed)
 }
 
-/// Writes kind, message and payload to `buffer` and returns the length.
+/// Encodes a packet into `buffer` and returns its length in bytes.
 ///
 /// # Errors
 ///
-/// Returns [`PacketError::TooLong`] when `buffer` is too short.
+/// Returns [`PacketError::TooLong`] if the packet does not fit in `buffer`.
 pub fn write_packet<T: Serialize>(
     buffer: &mut [u8],
     kind: PacketKind,
@@ -187,7 +192,7 @@
         return Err(PacketError::TooLong);
     }
     buffer[0] = WIRE_VERSION;
-    buffer[1] = kind.byte();
+    buffer[1] = kind.to_byte();
     let written = postcard::to_slice(message, &mut buffer[PREFIX_LENGTH..])
         .map_err(|_| PacketError::TooLong)?
         .len();
@@ -198,11 +203,11 @@
     Ok(end)
 }
 
-/// Writes a packet to a new vector.
+/// Encodes a packet into a new vector.
 ///
 /// # Errors
 ///
-/// Returns [`PacketError::TooLong`] when the packet is longer than
+/// Returns [`PacketError::TooLong`] if the packet is longer than
 /// [`MAX_PACKET_LENGTH`].
 pub fn encode_packet<T: Serialize>(
     kind: PacketKind,
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -1,4 +1,4 @@
-//! Requests between two processes, carried by nng.
+//! Request and response messages between two processes, transported by nng.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,141 +6,144 @@
 use crate::address::ProcessId;
 use crate::address::ServiceId;
 
-/// A header of a request or an answer.
+/// A header field of an HTTP request or response.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeaderField {
-    /// The name.
+    /// The field name.
     pub name: String,
-    /// The value.
+    /// The field value.
     pub value: Vec<u8>,
 }
 
-/// What a backend server is asked.
+/// An HTTP request to a backend server, with its body fully buffered.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BackendCall {
-    /// The method.
+    /// The HTTP method.
     pub method: String,
     /// The path and query.
     pub path: String,
-    /// The name of the service, as the caller gave it.
+    /// The authority from the caller's request, which names the service.
     pub authority: String,
-    /// The headers.
+    /// The header fields.
     pub headers: Vec<HeaderField>,
-    /// The whole body.
+    /// The complete body.
     pub body: Vec<u8>,
 }
 
-/// A whole answer of a backend server.
+/// An HTTP response of a backend server, with its body fully buffered.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BackendReply {
-    /// The status.
+    /// The HTTP status code.
     pub status: u16,
-    /// The headers.
+    /// The header fields.
     pub headers: Vec<HeaderField>,
-    /// The whole body.
+    /// The complete body.
     pub body: Vec<u8>,
 }
 
-/// Asks the issuer of a ticket what became of it. A ticket that was not used is
-/// void afterwards.
+/// Asks the issuer of a ticket for the outcome of the request that used it.
+///
+/// An unused ticket is invalid after this request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SettleRequest {
-    /// The text form of the ticket.
+    /// The ticket in its text form.
     pub ticket: String,
-    /// The hash of the request that came with it.
+    /// The hash of the request that was sent with the ticket.
     pub fingerprint: u128,
 }
 
-/// What became of a ticket.
+/// The outcome of the request that used a ticket.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SettleAnswer {
-    /// The request ran; the encoded [`BackendReply`], unless it was too long to
-    /// be kept.
+    /// The request completed. Holds the encoded [`BackendReply`], or `None` if it
+    /// was too long to be stored.
     Done(Option<Vec<u8>>),
-    /// The request is at work.
+    /// The request is still running.
     Running,
-    /// It did not run and never will under this ticket.
+    /// The request did not run and will never run with this ticket.
     NotRun,
-    /// Nobody knows whether it ran.
+    /// It is unknown whether the request ran.
     MayHaveRun,
-    /// The ticket was used for another request.
+    /// The ticket was used for a different request.
     OtherRequest,
 }
 
-/// A request that one host hands to another of the same service.
+/// A request that a host relays to another host of the same service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RelayRequest {
-    /// The host that hands the request over.
+    /// The host that relays the request.
     pub sender: ProcessId,
-    /// The host that is to run it; no other incarnation may.
+    /// The host that runs the request. Another incarnation at the same address
+    /// must not run it.
     pub target: ProcessId,
-    /// Counts the relays of the sender's incarnation, from one.
+    /// Sequence number of the relay within the sender's incarnation, from 1.
     pub number: u64,
-    /// The service.
+    /// The service of both hosts.
     pub service: ServiceId,
     /// Whether the request may be run more than once.
     pub is_idempotent: bool,
-    /// How long the caller still waits, in milliseconds.
+    /// Time until the caller's deadline, in milliseconds.
     pub remaining_millis: u32,
-    /// What to ask.
+    /// The request to the backend server.
     pub call: BackendCall,
 }
 
-/// What became of a relayed request.
+/// The outcome of a relayed request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RelayOutcome {
-    /// It ran, with this answer.
+    /// The request completed with this reply.
     Done(BackendReply),
-    /// It did not run and never will.
+    /// The request did not run and will never run.
     NotRun {
-        /// When the host may be asked again, in milliseconds.
+        /// Delay before the host may be asked again, in milliseconds.
         retry_after_millis: u32,
     },
-    /// Nobody knows whether it ran.
+    /// It is unknown whether the request ran.
     MayHaveRun,
 }
 
-/// Answers a relayed request.
+/// The answer to a [`RelayRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RelayAnswer {
-    /// What became of the request.
+    /// The outcome of the request.
     pub outcome: RelayOutcome,
-    /// The load of the answering host, in percent of what can run at once.
+    /// Load of the answering host, in percent of the requests that it can run
+    /// concurrently.
     pub load_percent: u16,
 }
 
-/// What leads from one version of the configuration to a later one.
+/// The difference between a version of the configuration and a later one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigurationStep {
-    /// The version that the edits are made to.
+    /// The version to which the edits apply.
     pub from: u64,
-    /// The version that they make.
+    /// The version that results from the edits.
     pub to: u64,
-    /// The checksum of the later version and its text.
+    /// Checksum over the number and the text of the resulting version.
     pub checksum: u64,
     /// The encoded line edits.
     pub edits: Vec<u8>,
 }
 
-/// A question to another process of the system.
+/// A request to another process.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerRequest {
     /// Asks for the configuration if its version is higher than `above`. The
-    /// answer is the steps from there, or the whole text.
+    /// answer contains either the steps from that version or the complete text.
     Configuration {
-        /// The version that the asking process has.
+        /// The version that the sender has.
         above: u64,
     },
-    /// Asks what became of a ticket.
+    /// Asks for the outcome of the request that used a ticket.
     Settle(SettleRequest),
-    /// Hands a request over.
+    /// Relays a caller's request.
     Relay(Box<RelayRequest>),
-    /// Asks for the version of the configuration in force.
+    /// Asks for the current configuration version.
     Version,
-    /// Asks for the whole configuration if its version is higher than `above`;
-    /// sent when the edits did not fit.
+    /// Asks for the complete configuration if its version is higher than `above`.
+    /// Sent if the edits could not be applied to the sender's text.
     WholeConfiguration {
-        /// The version that the asking process has.
+        /// The version that the sender has.
         above: u64,
     },
 }
@@ -148,53 +151,53 @@
 /// The answer to a [`PeerRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerAnswer {
-    /// The whole configuration.
+    /// The complete configuration.
     Configuration {
-        /// Its version.
+        /// The version of the configuration.
         version: u64,
-        /// The text of the rule file, deflated.
+        /// The text of the rule file, compressed with DEFLATE.
         deflated_text: Vec<u8>,
     },
-    /// There is nothing newer.
+    /// The receiver has no newer configuration than the sender of the request.
     UpToDate,
-    /// What became of a ticket.
+    /// The outcome of the request that used a ticket.
     Settled(SettleAnswer),
-    /// What became of a relayed request.
+    /// The outcome of a relayed request.
     Relayed(RelayAnswer),
-    /// The process does not answer such questions; nothing was done.
+    /// The receiver does not serve this kind of request; nothing was done.
     Refused,
-    /// The version of the configuration in force.
+    /// The current configuration version.
     Version(u64),
-    /// What leads from the asked version to the one in force, in order.
+    /// The steps from the requested version to the current one, in order.
     ConfigurationSteps(Vec<ConfigurationStep>),
 }
 
-/// Writes a question.
+/// Encodes a request.
 pub fn encode_request(request: &PeerRequest) -> Vec<u8> {
     postcard::to_stdvec(request).unwrap_or_default()
 }
 
-/// Reads a question, or nothing when it is malformed.
+/// Decodes a request, or returns `None` if it is malformed.
 pub fn decode_request(bytes: &[u8]) -> Option<PeerRequest> {
     postcard::from_bytes(bytes).ok()
 }
 
-/// Writes an answer.
+/// Encodes an answer.
 pub fn encode_answer(answer: &PeerAnswer) -> Vec<u8> {
     postcard::to_stdvec(answer).unwrap_or_default()
 }
 
-/// Reads an answer, or nothing when it is malformed.
+/// Decodes an answer, or returns `None` if it is malformed.
 pub fn decode_answer(bytes: &[u8]) -> Option<PeerAnswer> {
     postcard::from_bytes(bytes).ok()
 }
 
-/// Writes a whole answer.
+/// Encodes the reply of a backend server.
 pub fn encode_reply(reply: &BackendReply) -> Vec<u8> {
     postcard::to_stdvec(reply).unwrap_or_default()
 }
 
-/// Reads a whole answer, or nothing when it is malformed.
+/// Decodes the reply of a backend server, or returns `None` if it is malformed.
 pub fn decode_reply(bytes: &[u8]) -> Option<BackendReply> {
     postcard::from_bytes(bytes).ok()
 }
--- a/crates/wire/src/time.rs
+++ b/crates/wire/src/time.rs
@@ -1,4 +1,4 @@
-//! The time that decisions are given.
+//! The clock reading that callers pass to the crates that read no clock.
 
 use std::ops::Add;
 use std::time::Duration;
@@ -6,21 +6,21 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A reading of a process's own monotonic clock, in microseconds since an
-/// origin that the process chose. Readings of two processes are unrelated.
+/// A reading of a process's monotonic clock, in microseconds since an origin
+/// chosen by that process. Readings of different processes are not comparable.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
 pub struct MonotonicTime(pub u64);
 
 impl MonotonicTime {
-    /// Returns the time `millis` milliseconds after the origin.
+    /// Returns the reading `millis` milliseconds after the origin.
     pub const fn from_millis(millis: u64) -> Self {
         Self(millis * 1_000)
     }
 
-    /// Returns the time that has passed since `earlier`, or zero when
-    /// `earlier` is later than `self`.
+    /// Returns the time elapsed since `earlier`, or zero if `earlier` is later than
+    /// `self`.
     pub fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
--- a/crates/wire/src/token.rs
+++ b/crates/wire/src/token.rs
@@ -1,14 +1,24 @@
-//! Route tokens: QUIC connection IDs that name the host of a flow.
+//! Route tokens: QUIC connection IDs that encode the host of a flow.
 //!
-//! A host issues them, and any balancer that holds the key can route a packet
-//! by its connection ID alone. The tag keeps a caller from making a token that
-//! sends packets to an address of its choice.
+//! Hosts issue the tokens, and any balancer that has the key can route a packet
+//! by its connection ID alone. The authentication tag prevents callers from
+//! forging tokens that direct packets to an address of their choice.
 //!
-//! Layout, 20 bytes, integers in network order: key number (1), service (2),
-//! IPv4 address (4), port (2), incarnation (4), nonce (3), tag (4). All between
-//! key number and tag is masked by a keystream that the tag selects, so that
-//! callers see no inner addresses and cannot tell the tokens of one host from
-//! those of another.
+//! A token is 20 bytes long; integers are in network byte order:
+//!
+//! | field        | bytes |
+//! |--------------|-------|
+//! | key number   | 1     |
+//! | service      | 2     |
+//! | IPv4 address | 4     |
+//! | port         | 2     |
+//! | incarnation  | 4     |
+//! | nonce        | 3     |
+//! | tag          | 4     |
+//!
+//! The fields between the key number and the tag are masked with a keystream
+//! derived from the tag, so callers neither see inner addresses nor can tell
+//! which tokens belong to the same host.
 
 use std::hash::Hasher;
 use std::net::Ipv4Addr;
@@ -28,16 +38,21 @@
 /// Length of a secret in bytes.
 pub const SECRET_LENGTH: usize = 16;
 
+/// Offset of the first masked byte, after the key number.
 const BODY_OFFSET: usize = 1;
+
+/// Offset of the tag, which is also the length of the authenticated bytes.
 const TAG_OFFSET: usize = 16;
+
+/// The 24 bits of a nonce.
 const NONCE_MASK: u32 = 0x00ff_ffff;
 
-/// The number of a key, as given in the rule file.
+/// The number of a key, as assigned in the rule file.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct KeyNumber(pub u8);
 
-/// The secret that the operators give to every process, from which the secrets
-/// of numbered keys are derived. Its `Debug` form hides the bytes.
+/// The secret that operators configure on every process. All other secrets and
+/// keys are derived from it. Its `Debug` output omits the bytes.
 #[derive(Clone)]
 pub struct FleetSecret([u8; SECRET_LENGTH]);
 
@@ -48,19 +63,19 @@
 }
 
 impl FleetSecret {
-    /// Wraps the bytes of a secret.
+    /// Creates a secret from its bytes.
     pub const fn new(bytes: [u8; SECRET_LENGTH]) -> Self {
         Self(bytes)
     }
 
-    /// Derives a secret for the purpose that `label` names.
+    /// Derives a secret for the purpose identified by `label`.
     pub fn derive(&self, label: &[u8]) -> [u8; SECRET_LENGTH] {
         let mut hasher = SipHasher128::new_with_key(&self.0);
         hasher.write(label);
         hasher.finish128().as_bytes()
     }
 
-    /// Returns the route key with the given number.
+    /// Derives the route key with the given number.
     pub fn route_key(&self, number: KeyNumber) -> RouteKey {
         let label = [b'r', b'o', b'u', b't', b'e', number.0];
         let mask_label = [b'm', b'a', b's', b'k', number.0];
@@ -72,7 +87,8 @@
     }
 }
 
-/// A key that seals and opens route tokens.
+/// A key that authenticates and masks route tokens. Its `Debug` output contains
+/// only the number.
 #[derive(Clone)]
 pub struct RouteKey {
     number: KeyNumber,
@@ -87,13 +103,14 @@
 }
 
 impl RouteKey {
+    /// Returns the authentication tag of `body`.
     fn tag(&self, body: &[u8]) -> [u8; ROUTE_TOKEN_LENGTH - TAG_OFFSET] {
         let mut hasher = SipHasher24::new_with_key(&self.secret);
         hasher.write(body);
         ((hasher.finish() >> 32) as u32).to_be_bytes()
     }
 
-    /// Masks what stands between key number and tag, or takes the mask off.
+    /// Masks or unmasks the bytes between the key number and the tag.
     fn apply_mask(&self, bytes: &mut [u8; ROUTE_TOKEN_LENGTH]) {
         let (body, tag) = bytes.split_at_mut(TAG_OFFSET);
         let mut hasher = SipHasher128::new_with_key(&self.mask_secret);
@@ -105,14 +122,14 @@
     }
 }
 
-/// The keys that a process honours, sorted by number.
+/// The route keys that a process accepts, sorted by number.
 #[derive(Debug, Clone, Default)]
 pub struct KeyRing {
     keys: Vec<RouteKey>,
 }
 
 impl KeyRing {
-    /// Builds a ring of the numbered keys.
+    /// Derives a key ring with the keys of the given numbers.
     pub fn derive(secret: &FleetSecret, numbers: &[KeyNumber]) -> Self {
         let mut numbers = numbers.to_vec();
         numbers.sort_unstable();
@@ -124,7 +141,7 @@
         Self { keys }
     }
 
-    /// Returns the key with the given number.
+    /// Returns the key with the given number, if it is in the ring.
     pub fn find(&self, number: KeyNumber) -> Option<&RouteKey> {
         let index = self
             .keys
@@ -133,41 +150,42 @@
         Some(&self.keys[index])
     }
 
-    /// Returns whether the ring has no key.
+    /// Returns whether the ring contains no keys.
     pub fn is_empty(&self) -> bool {
         self.keys.is_empty()
     }
 }
 
-/// Why a connection ID is not a route token of this fleet.
+/// An error in opening a route token.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum TokenError {
-    /// The connection ID has another length.
+    /// The connection ID does not have the length of a route token.
     #[error("connection ID is not {ROUTE_TOKEN_LENGTH} bytes long")]
     Length,
-    /// The key is not on the ring.
-    #[error("route key is unknown")]
+    /// The key ring does not contain the key of the token.
+    #[error("unknown key number in route token")]
     UnknownKey,
-    /// The tag does not match.
-    #[error("route token has a wrong tag")]
+    /// The authentication tag does not match.
+    #[error("authentication tag of route token does not match")]
     WrongTag,
 }
 
-/// The route of a flow, as carried by its connection IDs.
+/// The route of a flow, as encoded in its connection IDs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RouteToken {
-    /// The key that seals the token.
+    /// The number of the key that seals the token.
     pub key: KeyNumber,
     /// The service that the flow belongs to.
     pub service: ServiceId,
     /// The host that holds the flow.
     pub host: ProcessId,
-    /// Tells the tokens of one host apart; 24 bits.
+    /// Distinguishes the tokens of one host. Only the low 24 bits are encoded.
     pub nonce: u32,
 }
 
 impl RouteToken {
-    /// Encodes the token and its tag.
+    /// Encodes the token, adds its authentication tag and masks it. `key` must be
+    /// the key with the number [`Self::key`].
     pub fn seal(&self, key: &RouteKey) -> [u8; ROUTE_TOKEN_LENGTH] {
         let mut bytes = [0; ROUTE_TOKEN_LENGTH];
         bytes[0] = key.number.0;
@@ -182,12 +200,12 @@
         bytes
     }
 
-    /// Decodes a connection ID and checks its tag.
+    /// Unmasks and decodes a connection ID and verifies its authentication tag.
     ///
     /// # Errors
     ///
-    /// Returns a [`TokenError`] when the connection ID was not sealed by a key
-    /// of `ring`.
+    /// Returns a [`TokenError`] if the connection ID was not sealed with a key of
+    /// `ring`.
     pub fn open(ring: &KeyRing, bytes: &[u8]) -> Result<Self, TokenError> {
         let mut bytes: [u8; ROUTE_TOKEN_LENGTH] =
             bytes.try_into().map_err(|_| TokenError::Length)?;
--- a/crates/wire/tests/decoding.rs
+++ b/crates/wire/tests/decoding.rs
@@ -1,4 +1,4 @@
-//! Decoding of bytes that anyone may have sent.
+//! Decoding of untrusted input: route tokens, packets and PROXY headers.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddrV4;
@@ -30,7 +30,7 @@
 use proptest::proptest;
 use proptest::test_runner::RngSeed;
 
-/// Cases of each property.
+/// Number of generated cases per property.
 const CASES: u32 = 2_000;
 
 fn config() -> ProptestConfig {
@@ -146,19 +146,19 @@
     }
 
     #[test]
-    fn packet_survives_the_way(
+    fn packet_round_trips(
         header in forward_header(),
         payload in proptest::collection::vec(any::<u8>(), 0..1_500),
     ) {
         let packet = encode_packet(PacketKind::Forward, &header, &payload).unwrap();
         let (kind, rest) = split_kind(&packet).unwrap();
         prop_assert_eq!(kind, PacketKind::Forward);
-        let (read, rest) = split_message::<ForwardHeader>(rest).unwrap();
-        prop_assert_eq!((read, rest), (header, payload.as_slice()));
+        let (decoded, rest) = split_message::<ForwardHeader>(rest).unwrap();
+        prop_assert_eq!((decoded, rest), (header, payload.as_slice()));
     }
 
     #[test]
-    fn entry_survives_the_way(
+    fn entry_round_trips(
         source in address(),
         destination in address(),
         datagram in proptest::collection::vec(any::<u8>(), 0..1_500),
@@ -199,7 +199,8 @@
     )
 }
 
-/// Tokens of one host have nothing in common that a caller could see.
+/// Tokens of the same host must not share byte values by which a caller could
+/// recognize the host. An unmasked field would make its bytes constant.
 #[test]
 fn tokens_hide_the_host() {
     let token = |nonce| RouteToken {
@@ -217,6 +218,9 @@
         let mut bytes: Vec<u8> = sealed.iter().map(|token| token[index]).collect();
         bytes.sort_unstable();
         bytes.dedup();
-        assert!(bytes.len() > 128, "byte {index} takes few values");
+        assert!(
+            bytes.len() > 128,
+            "byte {index} has too few distinct values"
+        );
     }
 }
