--- a/crates/routing/src/balancer.rs
+++ b/crates/routing/src/balancer.rs
@@ -1,7 +1,8 @@
-//! Where a balancer sends a packet of a caller.
+//! Routing of callers' packets by a balancer.
 //!
-//! The decision uses the packet and the present view alone: there is no table
-//! of flows, so a balancer that has just started decides as all others do.
+//! The route depends only on the packet and the current view. There is no flow
+//! table, so a balancer that has just started makes the same decisions as all
+//! others.
 
 use std::net::SocketAddrV4;
 
@@ -20,50 +21,51 @@
 use crate::quic::parse_header;
 use crate::view::RoutingView;
 
-/// What a balancer does with a packet.
+/// The action that a balancer must take for a packet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RouteAction<'a> {
-    /// Sends it to a host.
+    /// Forward the packet to a host.
     Forward {
         /// The host.
         host: ProcessId,
-        /// The header to put before the packet.
+        /// The header to prepend to the packet.
         header: ForwardHeader,
     },
-    /// Tells the caller that the flow is gone.
+    /// Send a stateless reset to the caller, because the flow no longer exists.
     Reset {
         /// The connection ID of the packet.
         connection_id: &'a [u8],
     },
-    /// Does nothing.
+    /// Drop the packet.
     Drop(DropReason),
 }
 
-/// Why a packet is dropped.
+/// The reason why a balancer or host drops a packet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DropReason {
-    /// It is no QUIC packet.
+    /// The packet is not a valid QUIC packet.
     Malformed,
-    /// No service has the address that it was sent to.
+    /// No service has the destination address of the packet.
     UnknownService,
-    /// Its connection ID was not issued by this fleet.
+    /// The connection ID was not issued by this fleet.
     ForeignToken,
-    /// Its flow belongs to another service than the one at the address.
+    /// The flow belongs to a service other than the addressed one.
     WrongService,
-    /// The service has no host that takes new flows.
+    /// The service has no host that accepts new flows.
     NoHost,
-    /// The host that it names is gone, and no reset can be sent for it.
+    /// The host of the flow is gone, and the packet's form does not permit a
+    /// stateless reset.
     HostGone,
-    /// It was meant for an earlier process at the address.
+    /// The packet is for another incarnation of the host.
     WrongIncarnation,
-    /// The host takes no new flows.
+    /// The host accepts no new flows and cannot hand the flow over.
     Full,
-    /// It was passed on too often.
+    /// The packet was passed on more often than allowed.
     TooManyHops,
 }
 
 impl DropReason {
-    /// All reasons, in their order.
+    /// All reasons, in the order of declaration.
     pub const ALL: [Self; 9] = [
         Self::Malformed,
         Self::UnknownService,
@@ -77,18 +79,21 @@
     ];
 }
 
-/// What a balancer decides by.
+/// The state of a balancer that determines the route of a packet.
 #[derive(Debug, Clone, Copy)]
 pub struct BalancerContext<'a> {
     /// The inner address of the balancer.
     pub address: SocketAddrV4,
-    /// Rules, keys and members.
+    /// The current rules, keys and members.
     pub view: &'a RoutingView,
-    /// What hosts have said of their load.
+    /// The load reports of hosts.
     pub loads: &'a LoadTable,
 }
 
-/// Decides about one packet.
+/// Returns the action for a caller's packet.
+///
+/// A packet with a valid route token is forwarded to the host in the token. A packet
+/// without one is placed on a host if it may open a flow, and dropped otherwise.
 pub fn route_packet<'a>(
     context: &BalancerContext<'_>,
     path: &EntryPath,
@@ -120,6 +125,7 @@
     }
 }
 
+/// Returns the action for a packet whose connection ID is a valid route token.
 fn route_token<'a>(
     view: &RoutingView,
     header: ForwardHeader,
@@ -146,6 +152,7 @@
     }
 }
 
+/// Returns the action for a packet that may open a flow.
 fn route_opening<'a>(
     context: &BalancerContext<'_>,
     header: ForwardHeader,
@@ -167,6 +174,7 @@
     }
 }
 
+/// Returns the second host of a placement with its recent load report, if any.
 fn second_host(
     choice: &PlacementChoice,
     loads: &LoadTable,
--- a/crates/routing/src/host.rs
+++ b/crates/routing/src/host.rs
@@ -1,8 +1,9 @@
-//! What a host does with a packet that it is sent.
+//! Routing of packets that a host receives from balancers and other hosts.
 //!
-//! A packet of an open flow is taken if it names this life of this host. A
-//! packet that opens a flow is taken, or handed over once to the second host on
-//! the list, by the present load of the first.
+//! The host accepts a packet of an open flow if its route names the current
+//! incarnation of the host. Based on its current load, the host either accepts a
+//! packet that opens a flow, or hands the flow over to the second host named in
+//! the header.
 
 use std::sync::Mutex;
 use std::time::Duration;
@@ -24,62 +25,62 @@
 use crate::shard::TableFootprint;
 use crate::shard::lock;
 
-/// What a host does with a packet.
+/// The action that a host must take for a packet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HostAction<'a> {
-    /// Hands it to its own flows.
+    /// Process the packet on this host.
     Accept,
-    /// Sends it to another host.
+    /// Forward the packet to another host.
     PassOn {
         /// The other host.
         host: ProcessId,
-        /// The header to put before the packet.
+        /// The header to prepend to the packet.
         header: ForwardHeader,
     },
-    /// Tells the caller that the flow is gone.
+    /// Send a stateless reset to the caller, because the flow no longer exists.
     Reset {
         /// The connection ID of the packet.
         connection_id: &'a [u8],
     },
-    /// Does nothing.
+    /// Drop the packet.
     Drop(DropReason),
 }
 
-/// How long a decision about a new flow is remembered.
-pub const OPENING_MEMORY: Duration = Duration::from_secs(30);
+/// Time for which the decision about a new flow is stored.
+pub const OPENING_LIFETIME: Duration = Duration::from_secs(30);
 
-/// Locks that the decisions about new flows are spread over.
+/// Number of shards of the decisions about new flows, each with its own lock.
 const OPENING_SHARDS: usize = 256;
 
-/// Longest connection ID of QUIC version 1, in bytes.
-const MAX_CONNECTION_LENGTH: usize = 20;
+/// Maximum length of a connection ID in QUIC version 1, in bytes.
+const MAX_CONNECTION_ID_LENGTH: usize = 20;
 
-/// The load of a host at one moment.
+/// The current load of a host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HostLoad {
-    /// Open flows.
+    /// Number of open flows.
     pub flows: u32,
-    /// Flows whose handshake is under way. They count when hosts are compared,
-    /// and not against the limit, because some of them never open.
+    /// Number of flows whose handshake is in progress. They count when hosts are
+    /// compared, but not against the limit, because some of them never open.
     pub pending: u32,
-    /// Most flows that the rules allow.
+    /// Maximum number of open flows that the rules allow.
     pub limit: u32,
-    /// Whether the host takes nothing new.
+    /// Whether the host is draining and accepts no new flows.
     pub draining: bool,
 }
 
 impl HostLoad {
-    /// Returns whether the host takes new flows.
+    /// Returns whether the host accepts new flows.
     pub fn takes_new(&self) -> bool {
         !self.draining && self.flows < self.limit
     }
 
-    /// Returns the flows that count when hosts are compared.
+    /// Returns the number of open and pending flows, by which hosts are compared.
     pub fn expected_flows(&self) -> u32 {
         self.flows.saturating_add(self.pending)
     }
 
-    /// Returns what the host tells balancers.
+    /// Returns the report that the host sends to balancers.
     pub fn report(&self) -> LoadReport {
         LoadReport {
             flows: self.expected_flows(),
@@ -88,27 +89,29 @@
     }
 }
 
-/// How much busier than the second a host must be to hand a flow over. By
-/// default one flow more is enough.
+/// The load difference above which a host hands a new flow over to the second
+/// host. With the default, one flow more than the second host is enough.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct HandoverMargin {
-    /// Flows more than the second has.
+    /// Absolute part of the margin, in flows.
     pub flows: u32,
-    /// And percent more than the second has.
+    /// Relative part of the margin, in percent of the second host's flows. It is
+    /// added to the absolute part.
     pub percent: u32,
 }
 
-/// The start of the connection ID that a caller chose for its first packets.
+/// Identifies a new flow by the connection ID that the caller chose for its first
+/// packets, truncated to the maximum length of QUIC version 1.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct OpeningKey {
     length: u8,
-    bytes: [u8; MAX_CONNECTION_LENGTH],
+    bytes: [u8; MAX_CONNECTION_ID_LENGTH],
 }
 
 impl OpeningKey {
     fn new(connection_id: &[u8]) -> Self {
-        let length = connection_id.len().min(MAX_CONNECTION_LENGTH);
-        let mut bytes = [0; MAX_CONNECTION_LENGTH];
+        let length = connection_id.len().min(MAX_CONNECTION_ID_LENGTH);
+        let mut bytes = [0; MAX_CONNECTION_ID_LENGTH];
         bytes[..length].copy_from_slice(&connection_id[..length]);
         Self {
             length: length as u8,
@@ -117,22 +120,25 @@
     }
 }
 
-/// A decision about a new flow, kept for the length of its handshake.
+/// The decision about a new flow. It applies to all packets of the handshake.
 #[derive(Debug, Clone, Copy)]
 struct OpeningRecord {
     key: OpeningKey,
+    /// The host to which the flow was handed over; `None` if it was accepted here.
     passed_to: Option<ProcessId>,
     decided: MonotonicTime,
+    /// Whether the handshake is counted as pending on this host.
     is_pending: bool,
 }
 
+/// Decisions about new flows, sorted by key.
 #[derive(Debug, Default)]
 struct OpeningShard {
     records: Vec<OpeningRecord>,
     pruned: MonotonicTime,
 }
 
-/// The decisions of one host about packets.
+/// Decides which packets a host accepts, passes on, resets or drops.
 #[derive(Debug)]
 pub struct HostRouter {
     service: ServiceId,
@@ -142,12 +148,12 @@
 }
 
 impl HostRouter {
-    /// Creates the gate of a host of the service.
+    /// Creates a router for a host of `service` with the default margin.
     pub fn new(service: ServiceId) -> Self {
         Self::with_margin(service, HandoverMargin::default())
     }
 
-    /// Creates a gate that hands over by another margin.
+    /// Creates a router for a host of `service` with the given margin.
     pub fn with_margin(service: ServiceId, margin: HandoverMargin) -> Self {
         Self {
             service,
@@ -157,9 +163,11 @@
         }
     }
 
-    /// Decides about one packet. `me` is the incarnation of the host: it grows
-    /// when the host hears that an earlier process at its address had a higher
-    /// one.
+    /// Returns the action for a packet.
+    ///
+    /// `me` is the current incarnation of the host. It is passed with each call
+    /// because it may increase: the host raises it on learning that an earlier
+    /// process at its address had a higher one.
     pub fn receive<'a>(
         &self,
         me: HostIncarnation,
@@ -176,7 +184,8 @@
         };
         match header.incarnation {
             Some(incarnation) if incarnation == me => HostAction::Accept,
-            // The address had an earlier process: its flows died with it.
+            // The flow belonged to an earlier process at this address and ended
+            // with it.
             Some(incarnation) if incarnation < me && packet.form == QuicForm::Short => {
                 HostAction::Reset {
                     connection_id: packet.destination_id,
@@ -188,13 +197,13 @@
         }
     }
 
-    /// Returns the flows that the host took and whose handshake is under way.
+    /// Returns the number of accepted flows whose handshake is in progress.
     pub fn pending(&self, now: MonotonicTime) -> u32 {
         lock(&self.pending).count(now)
     }
 
-    /// Notes that a handshake has ended, well or not. `connection_id` is the
-    /// connection ID that the caller chose for its first packets.
+    /// Stops counting a handshake as pending after it has succeeded or failed.
+    /// `connection_id` is the ID that the caller chose for its first packets.
     pub fn end_handshake(&self, connection_id: &[u8]) {
         let key = OpeningKey::new(connection_id);
         let mut shard = self.openings.lock(&key.bytes);
@@ -204,11 +213,11 @@
         let record = &mut shard.records[index];
         if record.is_pending {
             record.is_pending = false;
-            lock(&self.pending).leave(record.decided);
+            lock(&self.pending).end(record.decided);
         }
     }
 
-    /// Returns what the remembered decisions take.
+    /// Returns the size of the table of decisions.
     pub fn footprint(&self) -> TableFootprint {
         let mut footprint = TableFootprint::default();
         self.openings.for_each(|shard| {
@@ -228,23 +237,25 @@
         let key = OpeningKey::new(connection_id);
         let mut shard = self.openings.lock(&key.bytes);
         shard.prune(now);
-        let found = shard.find(&key);
-        // A packet that may go no further stays, whatever was decided before:
-        // the host that the flow was handed over to has sent it back.
-        if header.hops >= MAX_HOPS && load.takes_new() && shard.gives_up(found, key, now) {
-            lock(&self.pending).enter(now);
+        let position = shard.find(&key);
+        // A packet that has reached the hop limit was sent back by the host to which
+        // the flow was handed over, so this host accepts it despite its earlier
+        // decision.
+        if header.hops >= MAX_HOPS && load.takes_new() && shard.cancel_handover(position, key, now)
+        {
+            lock(&self.pending).begin(now);
         }
         let index = match shard.find(&key) {
             Ok(index) => index,
             Err(index) => {
                 let passed_to = match decide_opening(header, load, self.margin) {
-                    OpeningVerdict::Take => None,
-                    OpeningVerdict::HandOver(host) => Some(host),
-                    OpeningVerdict::Refuse => return HostAction::Drop(DropReason::Full),
+                    OpeningDecision::Accept => None,
+                    OpeningDecision::HandOver(host) => Some(host),
+                    OpeningDecision::Refuse => return HostAction::Drop(DropReason::Full),
                 };
                 let is_pending = passed_to.is_none();
                 if is_pending {
-                    lock(&self.pending).enter(now);
+                    lock(&self.pending).begin(now);
                 }
                 let record = OpeningRecord {
                     key,
@@ -256,7 +267,7 @@
                 index
             }
         };
-        pass_or_accept(header, shard.records[index].passed_to)
+        apply_decision(header, shard.records[index].passed_to)
     }
 }
 
@@ -265,15 +276,15 @@
         self.records.binary_search_by_key(key, |record| record.key)
     }
 
-    /// Replaces the decision to hand a flow over by the one to take it, and
-    /// returns whether there was one.
-    fn gives_up(
+    /// Replaces a decision to hand a flow over with one to accept it, and returns
+    /// whether there was such a decision.
+    fn cancel_handover(
         &mut self,
-        found: Result<usize, usize>,
+        position: Result<usize, usize>,
         key: OpeningKey,
         now: MonotonicTime,
     ) -> bool {
-        let Ok(index) = found else {
+        let Ok(index) = position else {
             return false;
         };
         if self.records[index].passed_to.is_none() {
@@ -288,20 +299,21 @@
         true
     }
 
+    /// Removes expired decisions, at most once per `OPENING_LIFETIME / 8`.
     fn prune(&mut self, now: MonotonicTime) {
-        if now.since(self.pruned) < OPENING_MEMORY / 8 {
+        if now.since(self.pruned) < OPENING_LIFETIME / 8 {
             return;
         }
         self.pruned = now;
         self.records
-            .retain(|record| now.since(record.decided) < OPENING_MEMORY);
+            .retain(|record| now.since(record.decided) < OPENING_LIFETIME);
     }
 }
 
-/// What becomes of a new flow.
+/// The decision about a packet that opens a flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum OpeningVerdict {
-    Take,
+enum OpeningDecision {
+    Accept,
     HandOver(ProcessId),
     Refuse,
 }
@@ -310,36 +322,41 @@
     header: &ForwardHeader,
     load: &HostLoad,
     margin: HandoverMargin,
-) -> OpeningVerdict {
-    let second = header.second.filter(may_take_new);
+) -> OpeningDecision {
+    let second = header.second.filter(may_accept_flow);
     match second {
-        Some(second) if !load.takes_new() => OpeningVerdict::HandOver(second.process),
-        // A flow that was handed over once is sent back only if it cannot stay.
-        Some(second) if header.hops == 0 && is_busier(load, &second, margin) => {
-            OpeningVerdict::HandOver(second.process)
+        Some(second) if !load.takes_new() => OpeningDecision::HandOver(second.process),
+        // A flow that was already handed over is sent back only if this host accepts
+        // no new flows.
+        Some(second) if header.hops == 0 && exceeds_margin(load, &second, margin) => {
+            OpeningDecision::HandOver(second.process)
         }
-        _ if load.takes_new() => OpeningVerdict::Take,
-        _ => OpeningVerdict::Refuse,
+        _ if load.takes_new() => OpeningDecision::Accept,
+        _ => OpeningDecision::Refuse,
     }
 }
 
-/// Returns whether nothing is known that speaks against a host.
-fn may_take_new(second: &SecondHost) -> bool {
+/// Returns whether the second host may accept a flow. A host without a recent load
+/// report is assumed to.
+fn may_accept_flow(second: &SecondHost) -> bool {
     second.load.is_none_or(|report| report.takes_new)
 }
 
-/// Compares flows by weight. A second of unknown load is left alone.
-fn is_busier(load: &HostLoad, second: &SecondHost, margin: HandoverMargin) -> bool {
+/// Returns whether the load of this host exceeds that of the second host by more
+/// than the margin, in relation to their weights. Returns false if the load of the
+/// second host is unknown.
+fn exceeds_margin(load: &HostLoad, second: &SecondHost, margin: HandoverMargin) -> bool {
     let Some(report) = second.load else {
         return false;
     };
     let allowed = u64::from(report.flows) * u64::from(100 + margin.percent) / 100;
     let allowed = allowed + u64::from(margin.flows);
-    let own = u64::from(load.expected_flows()) * u64::from(second.weight);
-    own > allowed * u64::from(second.first_weight)
+    let weighted_flows = u64::from(load.expected_flows()) * u64::from(second.weight);
+    weighted_flows > allowed * u64::from(second.first_weight)
 }
 
-fn pass_or_accept<'a>(header: &ForwardHeader, passed_to: Option<ProcessId>) -> HostAction<'a> {
+/// Returns the action that follows from a stored decision.
+fn apply_decision<'a>(header: &ForwardHeader, passed_to: Option<ProcessId>) -> HostAction<'a> {
     let Some(host) = passed_to else {
         return HostAction::Accept;
     };
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,9 +1,9 @@
-//! Decisions about packets: where a balancer sends one, and what a host does
-//! with one that it is sent.
+//! Packet routing decisions of balancers and hosts.
 //!
-//! Nothing here opens a socket or reads a clock. Start with [`balancer`] for
-//! the way from callers to hosts, [`host`] for what a host accepts, and
-//! [`returns`] for the way back.
+//! This crate performs no I/O and reads no clock. The main modules are
+//! [`balancer`], which routes a caller's packet to a host, [`host`], which
+//! decides whether the host accepts the packet, and [`returns`], which selects
+//! the balancer for packets to the caller.
 
 pub mod balancer;
 pub mod host;
--- a/crates/routing/src/loads.rs
+++ b/crates/routing/src/loads.rs
@@ -1,8 +1,9 @@
-//! What a balancer remembers of the load of hosts.
+//! The load reports of hosts, as stored by a balancer.
 //!
-//! Hosts report their load with each packet to a caller, so reports cost no
-//! control traffic. Which host a flow goes to first never depends on them,
-//! because balancers hear different reports at different times.
+//! Hosts attach a load report to each packet that they return to a caller, so
+//! reports need no control traffic. Balancers receive different reports at
+//! different times; to keep placement consistent among balancers, the first host
+//! for a flow never depends on reports.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -13,26 +14,28 @@
 
 use crate::shard::ShardSet;
 
-/// Age at which a report is no longer passed on.
+/// Age at which a report is considered stale.
 pub const REPORT_LIFETIME: Duration = Duration::from_secs(10);
 
-/// Locks that the reports are spread over.
+/// Number of shards, each with its own lock.
 const LOAD_SHARDS: usize = 64;
 
+/// The last report of a host and the time of its receipt.
 #[derive(Debug, Clone, Copy)]
-struct HeardLoad {
+struct LoadRecord {
     host: ProcessId,
     report: LoadReport,
-    heard: MonotonicTime,
+    received: MonotonicTime,
 }
 
+/// Load records, sorted by the address of the host.
 #[derive(Debug, Default)]
 struct LoadShard {
-    loads: Vec<HeardLoad>,
+    records: Vec<LoadRecord>,
     pruned: MonotonicTime,
 }
 
-/// The last report of each host that was heard of late.
+/// The last load report of each host, except stale ones.
 #[derive(Debug)]
 pub struct LoadTable {
     shards: ShardSet<LoadShard>,
@@ -47,44 +50,47 @@
 }
 
 impl LoadTable {
-    /// Takes in a report.
+    /// Stores the report of a host, unless a later incarnation has already reported
+    /// from the same address.
     pub fn record(&self, host: ProcessId, report: LoadReport, now: MonotonicTime) {
-        let load = HeardLoad {
+        let record = LoadRecord {
             host,
             report,
-            heard: now,
+            received: now,
         };
         let mut shard = self.shards.lock(&host.address.ip().octets());
         match shard.find(host.address) {
-            // A late packet of an earlier process at the address says nothing.
-            Ok(index) if shard.loads[index].host.incarnation > host.incarnation => {}
-            Ok(index) => shard.loads[index] = load,
-            Err(index) => shard.loads.insert(index, load),
+            // A delayed packet of an earlier process at this address is stale.
+            Ok(index) if shard.records[index].host.incarnation > host.incarnation => {}
+            Ok(index) => shard.records[index] = record,
+            Err(index) => shard.records.insert(index, record),
         }
         shard.prune(now);
     }
 
-    /// Returns the last report of a host, unless it is too old.
+    /// Returns the last report of a host, or `None` if there is none younger than
+    /// [`REPORT_LIFETIME`].
     pub fn recent_report(&self, host: ProcessId, now: MonotonicTime) -> Option<LoadReport> {
         let shard = self.shards.lock(&host.address.ip().octets());
-        let load = shard.loads[shard.find(host.address).ok()?];
-        let is_recent = load.host == host && now.since(load.heard) < REPORT_LIFETIME;
-        is_recent.then_some(load.report)
+        let record = shard.records[shard.find(host.address).ok()?];
+        let is_recent = record.host == host && now.since(record.received) < REPORT_LIFETIME;
+        is_recent.then_some(record.report)
     }
 }
 
 impl LoadShard {
     fn find(&self, address: SocketAddrV4) -> Result<usize, usize> {
-        self.loads
-            .binary_search_by_key(&address, |load| load.host.address)
+        self.records
+            .binary_search_by_key(&address, |record| record.host.address)
     }
 
+    /// Removes stale records, at most once per [`REPORT_LIFETIME`].
     fn prune(&mut self, now: MonotonicTime) {
         if now.since(self.pruned) < REPORT_LIFETIME {
             return;
         }
         self.pruned = now;
-        self.loads
-            .retain(|load| now.since(load.heard) < REPORT_LIFETIME);
+        self.records
+            .retain(|record| now.since(record.received) < REPORT_LIFETIME);
     }
 }
--- a/crates/routing/src/pace.rs
+++ b/crates/routing/src/pace.rs
@@ -1,37 +1,41 @@
-//! When a view is built again after the roster has changed.
+//! Rate limit for rebuilding the routing view after roster changes.
 
 use std::time::Duration;
 
 use hyssopstair_wire::time::MonotonicTime;
 
-/// Least time between two builds for changes of the roster.
+/// Minimum time between two builds caused by roster changes.
 pub const BUILD_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Merges the builds of changes that come soon after each other. The first one
-/// is built at once.
+/// Merges changes in quick succession into a single build of the view.
+///
+/// A change causes a build at once if at least [`BUILD_INTERVAL`] has passed since
+/// the last build; otherwise the build is delayed until then.
 #[derive(Debug, Default)]
 pub struct BuildPacer {
-    built: Option<MonotonicTime>,
-    has_changed: bool,
+    last_build: Option<MonotonicTime>,
+    has_pending_change: bool,
 }
 
 impl BuildPacer {
-    /// Notes a change, and returns whether a view has to be built now.
+    /// Records a roster change and returns whether the caller must build a view
+    /// now.
     pub fn record_change(&mut self, now: MonotonicTime) -> bool {
-        self.has_changed = true;
+        self.has_pending_change = true;
         self.take_due_build(now)
     }
 
-    /// Returns whether a view has to be built now for changes that waited.
+    /// Returns whether the caller must build a view now for changes whose build was
+    /// delayed. If so, the changes are no longer pending.
     pub fn take_due_build(&mut self, now: MonotonicTime) -> bool {
-        let is_early = self
-            .built
-            .is_some_and(|built| now.since(built) < BUILD_INTERVAL);
-        if !self.has_changed || is_early {
+        let is_too_early = self
+            .last_build
+            .is_some_and(|last_build| now.since(last_build) < BUILD_INTERVAL);
+        if !self.has_pending_change || is_too_early {
             return false;
         }
-        self.has_changed = false;
-        self.built = Some(now);
+        self.has_pending_change = false;
+        self.last_build = Some(now);
         true
     }
 }
--- a/crates/routing/src/placement.rs
+++ b/crates/routing/src/placement.rs
@@ -1,9 +1,9 @@
 //! Placement of new flows by weighted rendezvous hashing.
 //!
-//! Every balancer that knows the same candidates puts a flow in the same place,
-//! without talking to the others. The method is the logarithmic one of Schindelhauer
-//! and Schomaker: the score of a host is `-weight / ln(hash)`, with the hash
-//! read as a number between 0 and 1.
+//! All balancers with the same candidates choose the same host for a flow without
+//! any coordination. The algorithm is the logarithmic method of Schindelhauer and
+//! Schomaker: the score of a host is `-weight / ln(hash)`, where the hash is
+//! mapped to the open interval from 0 to 1.
 
 use std::hash::Hasher;
 
@@ -11,19 +11,22 @@
 use hyssopstair_wire::token::SECRET_LENGTH;
 use siphasher::sip::SipHasher13;
 
-/// A host that may take new flows.
+/// A host that may receive new flows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PlacementCandidate {
     /// The host.
     pub host: ProcessId,
-    /// Its share of new flows, relative to the others.
+    /// The placement weight, relative to the other candidates. A host with weight
+    /// 0 gets no flows.
     pub weight: u16,
     seed: u64,
 }
 
 impl PlacementCandidate {
-    /// Creates a candidate. `secret` keeps callers from choosing their host. A
-    /// host that starts again at its address takes the same flows.
+    /// Creates a candidate. `secret` keeps callers from choosing their host.
+    ///
+    /// The incarnation is not part of the hash, so a host that restarts at its
+    /// address gets the same flows as before.
     pub fn new(host: ProcessId, weight: u16, secret: &[u8; SECRET_LENGTH]) -> Self {
         let mut hasher = SipHasher13::new_with_key(secret);
         hasher.write(&host.address.ip().octets());
@@ -36,17 +39,17 @@
     }
 }
 
-/// The first two hosts for a flow.
+/// The two hosts with the highest scores for a flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PlacementChoice {
-    /// The host that decides about the flow.
+    /// The host that receives the flow and decides whether to accept it.
     pub first: PlacementCandidate,
-    /// The host that it may hand the flow over to.
+    /// The host to which the first one may hand the flow over.
     pub second: Option<PlacementCandidate>,
 }
 
-/// Chooses the first two hosts for the flow that `key` names, or nothing when
-/// no candidate has a weight.
+/// Returns the two hosts with the highest scores for the flow identified by
+/// `key`, or `None` if no candidate has a positive weight.
 pub fn place_flow(
     candidates: &[PlacementCandidate],
     key: &[u8],
@@ -58,8 +61,8 @@
     let mut first: Option<ScoredCandidate> = None;
     let mut second: Option<ScoredCandidate> = None;
     for candidate in candidates.iter().filter(|item| item.weight > 0) {
-        let hash = mix(key ^ candidate.seed);
-        if second.is_some_and(|other| other.surpasses(candidate, hash)) {
+        let hash = mix_bits(key ^ candidate.seed);
+        if second.is_some_and(|other| other.certainly_ranks_above(candidate, hash)) {
             continue;
         }
         let scored = ScoredCandidate {
@@ -67,10 +70,10 @@
             hash,
             candidate: *candidate,
         };
-        if scored.beats(first.as_ref()) {
+        if scored.ranks_above(first.as_ref()) {
             second = first;
             first = Some(scored);
-        } else if scored.beats(second.as_ref()) {
+        } else if scored.ranks_above(second.as_ref()) {
             second = Some(scored);
         }
     }
@@ -88,29 +91,32 @@
 }
 
 impl ScoredCandidate {
-    /// Returns whether this one goes before `other`; of equal scores, the
-    /// higher process goes first.
-    fn beats(&self, other: Option<&Self>) -> bool {
+    /// Returns whether this candidate ranks before `other`. Ties are broken by the
+    /// higher process ID.
+    fn ranks_above(&self, other: Option<&Self>) -> bool {
         other.is_none_or(|other| {
             (self.score, self.candidate.host) > (other.score, other.candidate.host)
         })
     }
 
-    /// Returns whether a candidate has a lower score for sure. It spares most
-    /// logarithms, because most hosts of a service have the same weight.
-    fn surpasses(&self, candidate: &PlacementCandidate, hash: u64) -> bool {
+    /// Returns whether `candidate` is certain to have a lower score, because
+    /// neither its hash nor its weight is higher. This saves most of the
+    /// logarithms, since most hosts of a service have the same weight.
+    fn certainly_ranks_above(&self, candidate: &PlacementCandidate, hash: u64) -> bool {
         hash < self.hash && candidate.weight <= self.candidate.weight
     }
 }
 
-/// The finalizer of SplitMix64, which spreads each bit over the whole number.
-fn mix(number: u64) -> u64 {
+/// Applies the finalizer of SplitMix64, in which each input bit affects all output
+/// bits.
+fn mix_bits(number: u64) -> u64 {
     let number = (number ^ (number >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let number = (number ^ (number >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     number ^ (number >> 31)
 }
 
-/// Maps a hash to a number above 0 and below 1.
+/// Maps a hash to the open interval from 0 to 1, so that its logarithm is finite
+/// and negative.
 fn unit_interval(hash: u64) -> f64 {
     const MANTISSA_BITS: u32 = 53;
     let mantissa = (hash >> (u64::BITS - MANTISSA_BITS)) as f64;
--- a/crates/routing/src/returns.rs
+++ b/crates/routing/src/returns.rs
@@ -1,10 +1,11 @@
-//! How a host reaches its callers.
+//! Selection of the balancer through which a host sends packets to a caller.
 //!
-//! An answer goes through the balancer that the caller was last heard through.
-//! When that balancer is quiet, answers alternate between the balancers that
-//! the host has heard of late: QUIC repeats what was lost, and the repetition
-//! takes another way. A host cannot tell a dead balancer from callers that are
-//! silent, and an unconnected socket seldom reports a refused datagram.
+//! Packets are returned through the balancer that forwarded the caller's last
+//! packet. If the host has received nothing from that balancer recently, packets
+//! alternate between the balancers that are active, or between all known ones if
+//! none is. QUIC retransmits lost packets, and the retransmission then takes a
+//! different path. A host cannot distinguish a failed balancer from one whose
+//! callers are idle, and an unconnected socket rarely reports a refused datagram.
 
 use std::net::SocketAddrV4;
 use std::sync::Mutex;
@@ -17,53 +18,54 @@
 use crate::shard::TableFootprint;
 use crate::shard::lock;
 
-/// A balancer that was not heard for this long is quiet.
-pub const BALANCER_QUIET: Duration = Duration::from_millis(100);
+/// A balancer is inactive if nothing was received from it for longer than this.
+pub const BALANCER_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// A caller that was not heard for this long is forgotten.
-pub const CALLER_FORGOTTEN: Duration = Duration::from_secs(120);
+/// A caller expires if nothing was received from it for this long.
+pub const CALLER_LIFETIME: Duration = Duration::from_secs(120);
 
-/// Balancers that a host remembers, the last heard ones.
+/// Maximum number of known balancers; those last received from are kept.
 pub const MAX_BALANCERS: usize = 16;
 
-/// Locks that the callers are spread over.
+/// Number of shards of the callers, each with its own lock.
 const RETURN_SHARDS: usize = 256;
 
-/// The balancer that a caller was last heard through.
+/// The balancer that forwarded the last packet of a caller.
 #[derive(Debug, Clone, Copy)]
 struct ReturnPath {
     caller: SocketAddrV4,
     target: SocketAddrV4,
     balancer: SocketAddrV4,
-    heard: MonotonicTime,
-    /// Answers sent since then by other ways.
-    detours: u32,
+    received: MonotonicTime,
+    /// Number of packets returned since then while `balancer` was inactive.
+    rerouted: u32,
 }
 
-/// A balancer that packets were received from.
+/// A balancer and the time when a packet was last received from it.
 #[derive(Debug, Clone, Copy)]
-struct HeardBalancer {
+struct BalancerRecord {
     address: SocketAddrV4,
-    heard: MonotonicTime,
+    received: MonotonicTime,
 }
 
+/// Return paths, sorted by caller.
 #[derive(Debug, Default)]
 struct ReturnShard {
     paths: Vec<ReturnPath>,
     pruned: MonotonicTime,
 }
 
-/// The ways back to all callers of a host.
+/// The return paths to the callers of a host, and the known balancers.
 #[derive(Debug)]
 pub struct ReturnTable {
     shards: ShardSet<ReturnShard>,
-    balancers: Mutex<Vec<HeardBalancer>>,
+    balancers: Mutex<Vec<BalancerRecord>>,
 }
 
-/// Where an answer to a caller is sent.
+/// The route of a packet from a host to a caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReturnRoute {
-    /// The balancer.
+    /// The balancer through which the packet is sent.
     pub balancer: SocketAddrV4,
     /// The address that the caller sent to.
     pub target: SocketAddrV4,
@@ -79,14 +81,14 @@
 }
 
 impl ReturnTable {
-    /// Notes that a caller was heard through a balancer.
+    /// Records the balancer that forwarded a caller's packet with `header`.
     pub fn record(&self, header: &ForwardHeader, now: MonotonicTime) {
         let path = ReturnPath {
             caller: header.caller,
             target: header.target,
             balancer: header.balancer,
-            heard: now,
-            detours: 0,
+            received: now,
+            rerouted: 0,
         };
         let mut shard = self.shards.lock(&caller_bytes(header.caller));
         match shard.find(header.caller) {
@@ -95,16 +97,17 @@
         }
         shard.prune(now);
         drop(shard);
-        hear_balancer(&mut lock(&self.balancers), header.balancer, now);
+        record_balancer(&mut lock(&self.balancers), header.balancer, now);
     }
 
-    /// Notes that a balancer does not answer.
+    /// Removes a balancer that is known to be unreachable.
     pub fn remove_balancer(&self, address: SocketAddrV4) {
         lock(&self.balancers).retain(|balancer| balancer.address != address);
     }
 
-    /// Returns where an answer to a caller is sent, or nothing when the caller
-    /// was never heard.
+    /// Returns the route of the next packet to a caller, or `None` if the caller is
+    /// unknown. Successive calls alternate between balancers if the caller's own
+    /// balancer is inactive.
     pub fn find_route(&self, caller: SocketAddrV4, now: MonotonicTime) -> Option<ReturnRoute> {
         let mut shard = self.shards.lock(&caller_bytes(caller));
         let index = shard.find(caller).ok()?;
@@ -116,7 +119,7 @@
         })
     }
 
-    /// Returns what the records of callers take.
+    /// Returns the size of the table of callers.
     pub fn footprint(&self) -> TableFootprint {
         let mut footprint = TableFootprint::default();
         self.shards.for_each(|shard| {
@@ -132,55 +135,65 @@
         self.paths.binary_search_by_key(&caller, |path| path.caller)
     }
 
+    /// Removes expired callers, at most once per `CALLER_LIFETIME / 8`.
     fn prune(&mut self, now: MonotonicTime) {
-        if now.since(self.pruned) < CALLER_FORGOTTEN / 8 {
+        if now.since(self.pruned) < CALLER_LIFETIME / 8 {
             return;
         }
         self.pruned = now;
         self.paths
-            .retain(|path| now.since(path.heard) < CALLER_FORGOTTEN);
+            .retain(|path| now.since(path.received) < CALLER_LIFETIME);
     }
 }
 
+/// Returns the balancer of `path` if it is active; otherwise the next of the active
+/// balancers, or of all known ones if none is active.
 fn choose_balancer(
-    balancers: &[HeardBalancer],
+    balancers: &[BalancerRecord],
     path: &mut ReturnPath,
     now: MonotonicTime,
 ) -> SocketAddrV4 {
-    let is_live = |item: &&HeardBalancer| now.since(item.heard) <= BALANCER_QUIET;
-    let preferred = balancers.iter().find(|item| item.address == path.balancer);
-    if preferred.filter(is_live).is_some() {
+    let is_active = |record: &&BalancerRecord| now.since(record.received) <= BALANCER_TIMEOUT;
+    let preferred = balancers
+        .iter()
+        .find(|record| record.address == path.balancer);
+    if preferred.filter(is_active).is_some() {
         return path.balancer;
     }
-    let detour = path.detours as usize;
-    path.detours = path.detours.wrapping_add(1);
-    let live = balancers.iter().filter(is_live).count();
-    let chosen = match live {
-        0 => balancers.get(detour % balancers.len().max(1)),
-        _ => balancers.iter().filter(is_live).nth(detour % live),
+    let rerouted = path.rerouted as usize;
+    path.rerouted = path.rerouted.wrapping_add(1);
+    let active_count = balancers.iter().filter(is_active).count();
+    let chosen = match active_count {
+        0 => balancers.get(rerouted % balancers.len().max(1)),
+        _ => balancers
+            .iter()
+            .filter(is_active)
+            .nth(rerouted % active_count),
     };
-    chosen.map_or(path.balancer, |item| item.address)
+    chosen.map_or(path.balancer, |record| record.address)
 }
 
-/// Keeps the balancers sorted by address; the longest quiet one makes room.
-fn hear_balancer(balancers: &mut Vec<HeardBalancer>, address: SocketAddrV4, now: MonotonicTime) {
-    let heard = HeardBalancer {
+/// Inserts or updates a balancer in the list, which is sorted by address. If the
+/// list is full, the least recently active balancer is evicted.
+fn record_balancer(balancers: &mut Vec<BalancerRecord>, address: SocketAddrV4, now: MonotonicTime) {
+    let record = BalancerRecord {
         address,
-        heard: now,
+        received: now,
     };
     match balancers.binary_search_by_key(&address, |item| item.address) {
-        Ok(index) => balancers[index] = heard,
-        Err(index) if balancers.len() < MAX_BALANCERS => balancers.insert(index, heard),
+        Ok(index) => balancers[index] = record,
+        Err(index) if balancers.len() < MAX_BALANCERS => balancers.insert(index, record),
         Err(_) => {
-            let oldest = balancers.iter_mut().min_by_key(|item| item.heard);
+            let oldest = balancers.iter_mut().min_by_key(|item| item.received);
             if let Some(item) = oldest {
-                *item = heard;
+                *item = record;
             }
             balancers.sort_unstable_by_key(|item| item.address);
         }
     }
 }
 
+/// Returns the shard key of a caller.
 fn caller_bytes(caller: SocketAddrV4) -> [u8; 6] {
     let [a, b, c, d] = caller.ip().octets();
     let [high, low] = caller.port().to_be_bytes();
--- a/crates/routing/src/view.rs
+++ b/crates/routing/src/view.rs
@@ -1,5 +1,7 @@
-//! What a process knows at one moment: rules, keys and members, ordered for
-//! the decisions about packets.
+//! A snapshot of rules, keys and members, indexed for routing decisions.
+//!
+//! A [`RoutingView`] is immutable. A process builds a new one whenever the
+//! configuration or the roster changes.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -17,41 +19,42 @@
 
 use crate::placement::PlacementCandidate;
 
-/// The hosts of one service that may take new flows.
+/// The hosts of a service that may receive new flows.
 #[derive(Debug, Clone)]
 struct ServiceHosts {
     service: ServiceId,
     candidates: Vec<PlacementCandidate>,
 }
 
-/// The life of the process at one address.
+/// The latest known process at an address.
 #[derive(Debug, Clone, Copy)]
-struct KnownProcess {
+struct ProcessRecord {
     address: SocketAddrV4,
     incarnation: HostIncarnation,
-    gone: bool,
+    is_gone: bool,
 }
 
-/// The service that callers reach at one address.
+/// Maps an address that callers send to to its service.
 #[derive(Debug, Clone, Copy)]
 struct ServiceAddress {
     address: SocketAddrV4,
     service: ServiceId,
 }
 
-/// What the rules say about one host, looked up once for each view.
+/// The rules for one host, looked up once per view instead of for each packet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HostRule {
     /// The service of the host.
     pub service: ServiceId,
-    /// Most flows that the host takes.
+    /// Maximum number of open flows on the host.
     pub connections: u32,
-    /// Whether the host may take new flows.
+    /// Whether the rules allow the host to accept new flows.
     pub takes_new: bool,
 }
 
 impl HostRule {
-    /// Looks up a host by the name of its service.
+    /// Returns the rules for the host at address `host` of the named service, or
+    /// `None` if the rules do not define the service.
     pub fn find(rules: &RuleSet, service_name: &str, host: SocketAddrV4) -> Option<Self> {
         let service = rules.service_named(service_name)?;
         Some(Self {
@@ -62,27 +65,27 @@
     }
 }
 
-/// Rules, keys and members at one moment.
+/// An immutable snapshot of rules, keys and members.
 #[derive(Debug, Clone)]
 pub struct RoutingView {
     /// Version of the rules.
     pub version: u64,
     /// The rules.
     pub rules: Arc<RuleSet>,
-    /// The route keys that are honoured.
+    /// The accepted route keys.
     pub ring: KeyRing,
-    /// What the rules say about the process itself, when it is a host of a
-    /// service that they name.
+    /// The rules for this process, if it is a host of a service that the rules
+    /// define.
     pub own_rule: Option<HostRule>,
     placement_secret: [u8; SECRET_LENGTH],
     reset_secret: [u8; SECRET_LENGTH],
     addresses: Vec<ServiceAddress>,
     hosts: Vec<ServiceHosts>,
-    processes: Vec<KnownProcess>,
+    processes: Vec<ProcessRecord>,
 }
 
 impl RoutingView {
-    /// Orders rules and members for look-up. `members` is sorted by address.
+    /// Builds a view from rules and members. `members` must be sorted by address.
     pub fn build(
         version: u64,
         rules: Arc<RuleSet>,
@@ -92,7 +95,7 @@
         let ring = KeyRing::derive(secret, &rules.keys);
         let placement_secret = secret.derive(b"placement");
         let hosts = group_hosts(&rules, members, &placement_secret);
-        let processes = members.iter().map(known_process).collect();
+        let processes = members.iter().map(process_record).collect();
         let addresses = sort_addresses(&rules);
         Self {
             version,
@@ -107,13 +110,14 @@
         }
     }
 
-    /// Adds what the rules say about the host at `address`.
+    /// Returns the view with [`Self::own_rule`] set to the rules for the host at
+    /// `address`.
     pub fn with_host(self, service_name: &str, address: SocketAddrV4) -> Self {
         let own_rule = HostRule::find(&self.rules, service_name, address);
         Self { own_rule, ..self }
     }
 
-    /// Returns the service that callers reach at an address.
+    /// Returns the service that callers reach at `address`.
     pub fn service_at(&self, address: SocketAddrV4) -> Option<ServiceId> {
         let index = self
             .addresses
@@ -122,12 +126,12 @@
         Some(self.addresses[index].service)
     }
 
-    /// Returns the number of hosts, of all services, that may take new flows.
+    /// Returns the number of hosts of all services that may receive new flows.
     pub fn candidate_count(&self) -> usize {
         self.hosts.iter().map(|item| item.candidates.len()).sum()
     }
 
-    /// Returns the hosts of a service that may take new flows.
+    /// Returns the hosts of a service that may receive new flows.
     pub fn candidates(&self, service: ServiceId) -> &[PlacementCandidate] {
         match self
             .hosts
@@ -138,30 +142,34 @@
         }
     }
 
-    /// Returns the secret that goes into the placement of flows.
+    /// Returns the secret for the placement of flows, which keeps callers from
+    /// predicting the host of a flow.
     pub fn placement_secret(&self) -> &[u8; SECRET_LENGTH] {
         &self.placement_secret
     }
 
-    /// Returns the secret of reset tokens.
+    /// Returns the secret for stateless reset tokens.
     pub fn reset_secret(&self) -> &[u8; SECRET_LENGTH] {
         &self.reset_secret
     }
 
-    /// Returns whether a process is known to be there no longer.
+    /// Returns whether a process is known to have ended: a later incarnation runs
+    /// at its address, or its state is [`MemberState::Gone`]. Unknown processes are
+    /// assumed to be running.
     pub fn is_gone(&self, process: ProcessId) -> bool {
-        let found = self
+        let position = self
             .processes
-            .binary_search_by_key(&process.address, |known| known.address);
-        let Ok(index) = found else {
+            .binary_search_by_key(&process.address, |record| record.address);
+        let Ok(index) = position else {
             return false;
         };
-        let known = &self.processes[index];
-        known.incarnation > process.incarnation
-            || (known.incarnation == process.incarnation && known.gone)
+        let record = &self.processes[index];
+        record.incarnation > process.incarnation
+            || (record.incarnation == process.incarnation && record.is_gone)
     }
 }
 
+/// Returns the addresses of all services, sorted for binary search.
 fn sort_addresses(rules: &RuleSet) -> Vec<ServiceAddress> {
     let mut addresses: Vec<_> = rules
         .services
@@ -175,14 +183,15 @@
     addresses
 }
 
-fn known_process(entry: &MemberEntry) -> KnownProcess {
-    KnownProcess {
+fn process_record(entry: &MemberEntry) -> ProcessRecord {
+    ProcessRecord {
         address: entry.process.address,
         incarnation: entry.process.incarnation,
-        gone: entry.state == MemberState::Gone,
+        is_gone: entry.state == MemberState::Gone,
     }
 }
 
+/// Returns the candidates of each service, sorted by service.
 fn group_hosts(
     rules: &RuleSet,
     members: &[MemberEntry],
@@ -197,7 +206,7 @@
         })
         .collect();
     for entry in members {
-        let Some((service, candidate)) = candidate(rules, entry, secret) else {
+        let Some((service, candidate)) = find_candidate(rules, entry, secret) else {
             continue;
         };
         if let Ok(index) = hosts.binary_search_by_key(&service, |item| item.service) {
@@ -207,7 +216,9 @@
     hosts
 }
 
-fn candidate(
+/// Returns the candidate for a member and its service, or `None` if the member may
+/// not receive new flows.
+fn find_candidate(
     rules: &RuleSet,
     entry: &MemberEntry,
     secret: &[u8; SECRET_LENGTH],
@@ -220,7 +231,8 @@
     else {
         return None;
     };
-    // A suspect was given up by its watchers; only its open flows wait for it.
+    // A suspect did not answer its probes, so it gets no new flows. Its open flows
+    // stay assigned to it until it answers or is declared gone.
     if entry.state != MemberState::Alive || !rules.takes_new(service, entry.process.address) {
         return None;
     }
