--- a/crates/routing/tests/balancer.rs
+++ b/crates/routing/tests/balancer.rs
@@ -1,4 +1,4 @@
-//! What a balancer does with each kind of packet.
+//! The action of a balancer for each kind of packet.
 
 mod fixture;
 
@@ -20,8 +20,13 @@
 use proptest::proptest;
 use proptest::test_runner::RngSeed;
 
-/// Shows the action in one line.
-fn show(view: &RoutingView, loads: &LoadTable, service: ServiceId, datagram: &[u8]) -> String {
+/// Routes a packet and formats the action.
+fn format_action(
+    view: &RoutingView,
+    loads: &LoadTable,
+    service: ServiceId,
+    datagram: &[u8],
+) -> String {
     let context = BalancerContext {
         address: fixture::address("10.2.0.1:7000"),
         view,
@@ -57,23 +62,31 @@
     let loads = LoadTable::default();
     let mut lines = Vec::new();
     let mut case = |name: &str, service, datagram: Vec<u8>| {
-        let action = show(&view, &loads, service, &datagram);
+        let action = format_action(&view, &loads, service, &datagram);
         lines.push(format!("{name}: {action}"));
     };
     let host = fixture::process(1, 5);
     let token = |key, service, host| fixture::seal(key, service, host, 1);
-    let own = token(2, LEERPLEIN, host);
-    case("newest key", LEERPLEIN, fixture::short_packet(&own));
-    case("handshake", LEERPLEIN, fixture::handshake_packet(&own));
+    let newest = token(2, LEERPLEIN, host);
+    case("newest key", LEERPLEIN, fixture::short_packet(&newest));
+    case(
+        "newest key, handshake",
+        LEERPLEIN,
+        fixture::handshake_packet(&newest),
+    );
     let old = token(1, LEERPLEIN, host);
     case("old key", LEERPLEIN, fixture::short_packet(&old));
     let retired = token(3, LEERPLEIN, host);
     case(
-        "key off the ring",
+        "key not in the ring",
         LEERPLEIN,
         fixture::short_packet(&retired),
     );
-    case("other address", DIPLOMAKLUIS, fixture::short_packet(&own));
+    case(
+        "address of another service",
+        DIPLOMAKLUIS,
+        fixture::short_packet(&newest),
+    );
     let unknown = token(1, LEERPLEIN, fixture::process(9, 5));
     case(
         "host not yet known",
@@ -81,28 +94,36 @@
         fixture::short_packet(&unknown),
     );
     let earlier = token(1, LEERPLEIN, fixture::process(1, 4));
-    case("earlier life", LEERPLEIN, fixture::short_packet(&earlier));
+    case(
+        "earlier incarnation",
+        LEERPLEIN,
+        fixture::short_packet(&earlier),
+    );
     let gone = token(1, DIPLOMAKLUIS, fixture::process(3, 5));
-    case("gone", DIPLOMAKLUIS, fixture::short_packet(&gone));
+    case("host gone", DIPLOMAKLUIS, fixture::short_packet(&gone));
     case(
-        "gone in handshake",
+        "host gone, handshake",
         DIPLOMAKLUIS,
         fixture::handshake_packet(&gone),
     );
-    case("no QUIC", LEERPLEIN, vec![0x40; 5]);
-    case("no service", ServiceId(7), fixture::short_packet(&own));
+    case("not QUIC", LEERPLEIN, vec![0x40; 5]);
+    case(
+        "unknown service",
+        ServiceId(7),
+        fixture::short_packet(&newest),
+    );
     expect![[r#"
         newest key: to 10.1.0.1:7000/5, incarnation Some(5), second None
-        handshake: to 10.1.0.1:7000/5, incarnation Some(5), second None
+        newest key, handshake: to 10.1.0.1:7000/5, incarnation Some(5), second None
         old key: to 10.1.0.1:7000/5, incarnation Some(5), second None
-        key off the ring: drop ForeignToken
-        other address: drop WrongService
+        key not in the ring: drop ForeignToken
+        address of another service: drop WrongService
         host not yet known: to 10.1.0.9:7000/5, incarnation Some(5), second None
-        earlier life: reset
-        gone: reset
-        gone in handshake: drop HostGone
-        no QUIC: drop Malformed
-        no service: drop UnknownService"#]]
+        earlier incarnation: reset
+        host gone: reset
+        host gone, handshake: drop HostGone
+        not QUIC: drop Malformed
+        unknown service: drop UnknownService"#]]
     .assert_eq(&lines.join("\n"));
 }
 
@@ -111,16 +132,16 @@
     let view = two_hosts();
     let loads = LoadTable::default();
     let packet = fixture::initial_packet(b"caller-1");
-    let mut lines = vec![show(&view, &loads, LEERPLEIN, &packet)];
+    let mut lines = vec![format_action(&view, &loads, LEERPLEIN, &packet)];
     let report = LoadReport {
         flows: 40,
         takes_new: true,
     };
-    let heard = MonotonicTime::from_millis(900);
-    loads.record(fixture::process(1, 5), report, heard);
-    loads.record(fixture::process(2, 5), report, heard);
-    lines.push(show(&view, &loads, LEERPLEIN, &packet));
-    lines.push(show(&view, &loads, DIPLOMAKLUIS, &packet));
+    let received = MonotonicTime::from_millis(900);
+    loads.record(fixture::process(1, 5), report, received);
+    loads.record(fixture::process(2, 5), report, received);
+    lines.push(format_action(&view, &loads, LEERPLEIN, &packet));
+    lines.push(format_action(&view, &loads, DIPLOMAKLUIS, &packet));
     expect![[r#"
         to 10.1.0.1:7000/5, incarnation None, second Some("10.1.0.2:7000/5 load None")
         to 10.1.0.1:7000/5, incarnation None, second Some("10.1.0.2:7000/5 load Some(40)")
@@ -135,16 +156,17 @@
         ..ProptestConfig::with_cases(5_000)
     })]
 
-    /// Without a token of the fleet a packet reaches members only.
+    /// A caller without a valid token must not be able to direct a packet to an
+    /// address that is not a member.
     #[test]
-    fn any_datagram_goes_to_members_alone(
+    fn datagram_without_token_goes_only_to_members(
         first in any::<u8>(),
         datagram in proptest::collection::vec(any::<u8>(), 0..60),
     ) {
         let view = two_hosts();
         let datagram = [&[first], datagram.as_slice()].concat();
         let loads = LoadTable::default();
-        let action = show(&view, &loads, LEERPLEIN, &datagram);
+        let action = format_action(&view, &loads, LEERPLEIN, &datagram);
         let is_member = action.starts_with("to 10.1.0.1:7000/5, incarnation None")
             || action.starts_with("to 10.1.0.2:7000/5, incarnation None");
         prop_assert!(is_member || action.starts_with("drop"), "{action}");
--- a/crates/routing/tests/host.rs
+++ b/crates/routing/tests/host.rs
@@ -1,4 +1,4 @@
-//! What a host does with each kind of packet.
+//! The action of a host for each kind of packet.
 
 mod fixture;
 
@@ -15,10 +15,10 @@
 use hyssopstair_wire::packet::SecondHost;
 use hyssopstair_wire::time::MonotonicTime;
 
-const ME: HostIncarnation = HostIncarnation(5);
+const OWN_INCARNATION: HostIncarnation = HostIncarnation(5);
 const NOW: MonotonicTime = MonotonicTime::from_millis(1_000);
 
-fn gate() -> HostRouter {
+fn router() -> HostRouter {
     let margin = HandoverMargin {
         flows: 4,
         percent: 0,
@@ -42,8 +42,9 @@
     }
 }
 
-/// A header whose second host has the given load.
-fn opening(second: Option<LoadReport>) -> ForwardHeader {
+/// Returns the header of a packet that opens a flow, with a second host that has
+/// reported the given load.
+fn opening_header(second: Option<LoadReport>) -> ForwardHeader {
     ForwardHeader {
         second: Some(SecondHost {
             process: fixture::process(2, 5),
@@ -62,7 +63,7 @@
     })
 }
 
-fn show(action: &HostAction<'_>) -> String {
+fn format_action(action: &HostAction<'_>) -> String {
     match action {
         HostAction::Accept => "accept".to_owned(),
         HostAction::PassOn { host, header } => {
@@ -75,7 +76,7 @@
 
 #[test]
 fn packets_of_open_flows() {
-    let gate = gate();
+    let router = router();
     let token = fixture::seal(1, LEERPLEIN, fixture::process(1, 5), 1);
     let short = fixture::short_packet(&token);
     let handshake = fixture::handshake_packet(&token);
@@ -85,22 +86,22 @@
             incarnation: Some(HostIncarnation(incarnation)),
             ..fixture::header(service)
         };
-        let action = gate.receive(ME, &header, datagram, &draining(), NOW);
-        lines.push(format!("{name}: {}", show(&action)));
+        let action = router.receive(OWN_INCARNATION, &header, datagram, &draining(), NOW);
+        lines.push(format!("{name}: {}", format_action(&action)));
     };
-    case("this life, while draining", 5, LEERPLEIN, &short);
-    case("earlier life", 4, LEERPLEIN, &short);
-    case("earlier life, handshake", 4, LEERPLEIN, &handshake);
-    case("later life", 6, LEERPLEIN, &short);
+    case("current incarnation, while draining", 5, LEERPLEIN, &short);
+    case("earlier incarnation", 4, LEERPLEIN, &short);
+    case("earlier incarnation, handshake", 4, LEERPLEIN, &handshake);
+    case("later incarnation", 6, LEERPLEIN, &short);
     case("another service", 5, DIPLOMAKLUIS, &short);
-    case("no QUIC", 5, LEERPLEIN, &[0x40]);
+    case("not QUIC", 5, LEERPLEIN, &[0x40]);
     expect![[r#"
-        this life, while draining: accept
-        earlier life: reset
-        earlier life, handshake: drop WrongIncarnation
-        later life: drop WrongIncarnation
+        current incarnation, while draining: accept
+        earlier incarnation: reset
+        earlier incarnation, handshake: drop WrongIncarnation
+        later incarnation: drop WrongIncarnation
         another service: drop WrongService
-        no QUIC: drop Malformed"#]]
+        not QUIC: drop Malformed"#]]
     .assert_eq(&lines.join("\n"));
 }
 
@@ -109,74 +110,101 @@
     let mut lines = Vec::new();
     let mut case = |name: &str, header: &ForwardHeader, load: HostLoad| {
         let packet = fixture::initial_packet(name.as_bytes());
-        let gate = gate();
-        let action = show(&gate.receive(ME, header, &packet, &load, NOW));
+        let router = router();
+        let action = format_action(&router.receive(OWN_INCARNATION, header, &packet, &load, NOW));
         lines.push(format!("{name}: {action}"));
     };
-    let alone = fixture::header(LEERPLEIN);
-    case("alone", &alone, load(99));
-    case("alone, full", &alone, load(100));
-    case("alone, draining", &alone, draining());
-    case("second unknown", &opening(None), load(99));
-    case("within the margin", &opening(report(10)), load(14));
-    case("over the margin", &opening(report(10)), load(15));
-    case("full", &opening(report(100)), load(100));
-    case("draining", &opening(None), draining());
-    let closed = LoadReport {
+    let no_second = fixture::header(LEERPLEIN);
+    case("no second host", &no_second, load(99));
+    case("no second host, full", &no_second, load(100));
+    case("no second host, draining", &no_second, draining());
+    case(
+        "load of second host unknown",
+        &opening_header(None),
+        load(99),
+    );
+    case("within the margin", &opening_header(report(10)), load(14));
+    case("over the margin", &opening_header(report(10)), load(15));
+    case("full", &opening_header(report(100)), load(100));
+    case("draining", &opening_header(None), draining());
+    let no_new_flows = LoadReport {
         flows: 0,
         takes_new: false,
     };
-    case("second closed", &opening(Some(closed)), load(50));
-    case("both closed", &opening(Some(closed)), draining());
-    let passed = ForwardHeader { hops: 1, ..alone };
+    case(
+        "second host accepts no flows",
+        &opening_header(Some(no_new_flows)),
+        load(50),
+    );
+    case(
+        "neither host accepts flows",
+        &opening_header(Some(no_new_flows)),
+        draining(),
+    );
+    let passed = ForwardHeader {
+        hops: 1,
+        ..no_second
+    };
     case("passed on", &passed, load(99));
     case("passed on, full", &passed, load(100));
     case(
         "passed on twice",
-        &ForwardHeader { hops: 2, ..alone },
+        &ForwardHeader {
+            hops: 2,
+            ..no_second
+        },
         load(0),
     );
     case("another service", &fixture::header(DIPLOMAKLUIS), load(0));
-    let mut half = opening(report(10));
-    half.second.as_mut().unwrap().weight = 50;
-    case("second of half the weight", &half, load(28));
-    case("over half the weight", &half, load(29));
+    let mut half_weight = opening_header(report(10));
+    half_weight.second.as_mut().unwrap().weight = 50;
+    case(
+        "within the margin, second host has half the weight",
+        &half_weight,
+        load(28),
+    );
+    case(
+        "over the margin, second host has half the weight",
+        &half_weight,
+        load(29),
+    );
     expect![[r#"
-        alone: accept
-        alone, full: drop Full
-        alone, draining: drop Full
-        second unknown: accept
+        no second host: accept
+        no second host, full: drop Full
+        no second host, draining: drop Full
+        load of second host unknown: accept
         within the margin: accept
         over the margin: pass on to 10.1.0.2:7000/5, hops 1
         full: pass on to 10.1.0.2:7000/5, hops 1
         draining: pass on to 10.1.0.2:7000/5, hops 1
-        second closed: accept
-        both closed: drop Full
+        second host accepts no flows: accept
+        neither host accepts flows: drop Full
         passed on: accept
         passed on, full: drop Full
         passed on twice: accept
         another service: drop WrongService
-        second of half the weight: accept
-        over half the weight: pass on to 10.1.0.2:7000/5, hops 1"#]]
+        within the margin, second host has half the weight: accept
+        over the margin, second host has half the weight: pass on to 10.1.0.2:7000/5, hops 1"#]]
     .assert_eq(&lines.join("\n"));
 }
 
-/// All packets of a handshake follow its first one, whatever the load does.
+/// All packets of a handshake must go to the host of the first one, even if the
+/// load changes in between; otherwise the handshake fails.
 #[test]
 fn decision_is_remembered_for_the_handshake() {
-    let gate = gate();
+    let router = router();
     let packet = fixture::initial_packet(b"caller-1");
     let mut lines = Vec::new();
     let mut at = |millis: u64, header: &ForwardHeader, load: HostLoad| {
         let now = MonotonicTime::from_millis(millis);
-        let action = gate.receive(ME, header, &packet, &load, now);
-        lines.push(format!("{millis} ms: {}", show(&action)));
+        let action = router.receive(OWN_INCARNATION, header, &packet, &load, now);
+        lines.push(format!("{millis} ms: {}", format_action(&action)));
     };
-    at(1_000, &opening(report(0)), load(50));
-    at(1_500, &opening(report(99)), load(0));
-    at(20_000, &opening(None), load(0));
-    at(40_000, &opening(None), load(0));
-    at(40_500, &opening(report(0)), draining());
+    at(1_000, &opening_header(report(0)), load(50));
+    at(1_500, &opening_header(report(99)), load(0));
+    at(20_000, &opening_header(None), load(0));
+    at(40_000, &opening_header(None), load(0));
+    at(40_500, &opening_header(report(0)), draining());
     expect![[r#"
         1000 ms: pass on to 10.1.0.2:7000/5, hops 1
         1500 ms: pass on to 10.1.0.2:7000/5, hops 1
@@ -186,29 +214,34 @@
     .assert_eq(&lines.join("\n"));
 }
 
-/// A draining host may pass on a packet to a host that has passed on the rest
-/// of the handshake before.
+/// A draining host may pass on a packet to a host that has already handed over the
+/// other packets of the handshake. The packet must follow them to the third host;
+/// otherwise the handshake is split between two hosts.
 #[test]
 fn handshake_stays_together_behind_a_draining_host() {
-    let draining_host = gate();
+    let draining_host = router();
     let passing_host = HostRouter::new(LEERPLEIN);
     let packet = fixture::initial_packet(b"caller-1");
-    let mut direct = opening(report(0));
+    let mut direct = opening_header(report(0));
     direct.second.as_mut().unwrap().process = fixture::process(3, 5);
-    let first = passing_host.receive(ME, &direct, &packet, &load(50), NOW);
-    let header = opening(None);
+    let first = passing_host.receive(OWN_INCARNATION, &direct, &packet, &load(50), NOW);
+    let header = opening_header(None);
     let HostAction::PassOn { header, .. } =
-        draining_host.receive(ME, &header, &packet, &draining(), NOW)
+        draining_host.receive(OWN_INCARNATION, &header, &packet, &draining(), NOW)
     else {
-        panic!("a draining host passes on");
+        panic!("the draining host must pass the packet on");
     };
-    let later = passing_host.receive(ME, &header, &packet, &load(50), NOW);
+    let later = passing_host.receive(OWN_INCARNATION, &header, &packet, &load(50), NOW);
     let HostAction::PassOn { header, .. } = later else {
-        panic!("the decision is remembered");
+        panic!("the host must apply its earlier decision");
     };
     let last_host = HostRouter::new(LEERPLEIN);
-    let last = last_host.receive(ME, &header, &packet, &load(0), NOW);
-    let lines = [show(&first), show(&later), show(&last)];
+    let last = last_host.receive(OWN_INCARNATION, &header, &packet, &load(0), NOW);
+    let lines = [
+        format_action(&first),
+        format_action(&later),
+        format_action(&last),
+    ];
     expect![[r#"
         pass on to 10.1.0.3:7000/5, hops 1
         pass on to 10.1.0.3:7000/5, hops 2
@@ -216,36 +249,37 @@
     .assert_eq(&lines.join("\n"));
 }
 
-/// A host that leaves may be handed a flow by one that has not heard of it: the
-/// flow returns and stays, for later packets too.
+/// A host may hand a flow over to a leaving host because it has not yet learned of
+/// the leave. The leaving host sends the flow back; the first host must then accept
+/// it, including its later packets, instead of passing them on in a loop.
 #[test]
 fn flow_handed_to_a_leaving_host_returns() {
     let first_host = HostRouter::new(LEERPLEIN);
-    let leaving_host = gate();
+    let leaving_host = router();
     let packet = fixture::initial_packet(b"caller-1");
-    let direct = opening(report(0));
+    let direct = opening_header(report(0));
     let mut lines = Vec::new();
-    let action = first_host.receive(ME, &direct, &packet, &load(50), NOW);
-    lines.push(show(&action));
+    let action = first_host.receive(OWN_INCARNATION, &direct, &packet, &load(50), NOW);
+    lines.push(format_action(&action));
     let HostAction::PassOn { mut header, .. } = action else {
-        panic!("a busier host hands over");
+        panic!("the busier host must hand the flow over");
     };
-    header.second = opening(report(50)).second;
+    header.second = opening_header(report(50)).second;
     header.second.as_mut().unwrap().process = fixture::process(1, 5);
-    let action = leaving_host.receive(ME, &header, &packet, &draining(), NOW);
-    lines.push(show(&action));
+    let action = leaving_host.receive(OWN_INCARNATION, &header, &packet, &draining(), NOW);
+    lines.push(format_action(&action));
     let HostAction::PassOn { header, .. } = action else {
-        panic!("a leaving host sends back");
+        panic!("the leaving host must send the flow back");
     };
-    lines.push(show(&first_host.receive(
-        ME,
+    lines.push(format_action(&first_host.receive(
+        OWN_INCARNATION,
         &header,
         &packet,
         &load(50),
         NOW,
     )));
-    lines.push(show(&first_host.receive(
-        ME,
+    lines.push(format_action(&first_host.receive(
+        OWN_INCARNATION,
         &direct,
         &packet,
         &load(50),
@@ -260,78 +294,81 @@
 }
 
 /// A host whose clock was set back starts with a lower incarnation than the
-/// process before it, and takes a higher one when it hears of that.
+/// previous process at its address, and raises it on learning of that process.
+/// Packets must be checked against the raised incarnation from then on.
 #[test]
-fn raised_incarnation_holds_at_once() {
-    let gate = gate();
-    let me = HostIncarnation(9);
-    let token = fixture::seal(1, LEERPLEIN, fixture::process(1, me.0), 1);
+fn raised_incarnation_applies_at_once() {
+    let router = router();
+    let raised = HostIncarnation(9);
+    let token = fixture::seal(1, LEERPLEIN, fixture::process(1, raised.0), 1);
     let header = ForwardHeader {
-        incarnation: Some(me),
+        incarnation: Some(raised),
         ..fixture::header(LEERPLEIN)
     };
     let packet = fixture::short_packet(&token);
-    let before = gate.receive(ME, &header, &packet, &load(0), NOW);
-    let after = gate.receive(me, &header, &packet, &load(0), NOW);
+    let before = router.receive(OWN_INCARNATION, &header, &packet, &load(0), NOW);
+    let after = router.receive(raised, &header, &packet, &load(0), NOW);
     expect!["drop WrongIncarnation, accept"].assert_eq(&format!(
         "{}, {}",
-        show(&before),
-        show(&after)
+        format_action(&before),
+        format_action(&after)
     ));
 }
 
-/// A flow counts from its first packet to its end, whatever ends its handshake.
+/// A handshake counts as pending from its first packet until it ends or expires.
+/// Retransmissions, flows that were handed over and repeated ends must not change
+/// the count, nor must the late end of an expired handshake whose slot was reused.
 #[test]
 fn handshakes_count_as_load() {
-    let gate = gate();
+    let router = router();
     let mut lines = Vec::new();
-    let mut note = |name: &str, millis: u64| {
+    let mut record = |name: &str, millis: u64| {
         let now = MonotonicTime::from_millis(millis);
         lines.push(format!(
             "{name}, {millis} ms: {} pending",
-            gate.pending(now)
+            router.pending(now)
         ));
     };
-    let open = |connection: &[u8], header: &ForwardHeader, millis: u64| {
-        let packet = fixture::initial_packet(connection);
+    let open = |connection_id: &[u8], header: &ForwardHeader, millis: u64| {
+        let packet = fixture::initial_packet(connection_id);
         let now = MonotonicTime::from_millis(millis);
-        gate.receive(ME, header, &packet, &load(50), now);
+        router.receive(OWN_INCARNATION, header, &packet, &load(50), now);
     };
-    let alone = fixture::header(LEERPLEIN);
-    note("none", 900);
-    open(b"caller-1", &alone, 1_000);
-    open(b"caller-2", &alone, 1_001);
-    open(b"caller-3", &alone, 2_000);
-    note("three opened", 2_000);
-    open(b"caller-1", &alone, 2_001);
-    note("one repeated", 2_001);
-    open(b"caller-4", &opening(report(0)), 2_002);
-    note("one handed over", 2_002);
-    gate.end_handshake(b"caller-1");
-    gate.end_handshake(b"caller-1");
-    gate.end_handshake(b"caller-4");
-    gate.end_handshake(b"caller-9");
-    note("one ended", 2_003);
-    note("before the lifetime", 4_900);
-    note("one too old", 5_000);
-    note("both too old", 6_000);
-    open(b"caller-5", &alone, 9_100);
-    gate.end_handshake(b"caller-3");
-    note("slot used again", 9_100);
+    let no_second = fixture::header(LEERPLEIN);
+    record("no flow", 900);
+    open(b"caller-1", &no_second, 1_000);
+    open(b"caller-2", &no_second, 1_001);
+    open(b"caller-3", &no_second, 2_000);
+    record("three opened", 2_000);
+    open(b"caller-1", &no_second, 2_001);
+    record("one retransmitted", 2_001);
+    open(b"caller-4", &opening_header(report(0)), 2_002);
+    record("one handed over", 2_002);
+    router.end_handshake(b"caller-1");
+    router.end_handshake(b"caller-1");
+    router.end_handshake(b"caller-4");
+    router.end_handshake(b"caller-9");
+    record("one ended", 2_003);
+    record("before expiry", 4_900);
+    record("one expired", 5_000);
+    record("both expired", 6_000);
+    open(b"caller-5", &no_second, 9_100);
+    router.end_handshake(b"caller-3");
+    record("slot reused", 9_100);
     expect![[r#"
-        none, 900 ms: 0 pending
+        no flow, 900 ms: 0 pending
         three opened, 2000 ms: 3 pending
-        one repeated, 2001 ms: 3 pending
+        one retransmitted, 2001 ms: 3 pending
         one handed over, 2002 ms: 3 pending
         one ended, 2003 ms: 2 pending
-        before the lifetime, 4900 ms: 2 pending
-        one too old, 5000 ms: 1 pending
-        both too old, 6000 ms: 0 pending
-        slot used again, 9100 ms: 1 pending"#]]
+        before expiry, 4900 ms: 2 pending
+        one expired, 5000 ms: 1 pending
+        both expired, 6000 ms: 0 pending
+        slot reused, 9100 ms: 1 pending"#]]
     .assert_eq(&lines.join("\n"));
 }
 
-/// Handshakes count for the comparison and not for the limit.
+/// Pending handshakes count when hosts are compared, but not against the limit.
 #[test]
 fn comparison_counts_handshakes() {
     let mut lines = Vec::new();
@@ -341,11 +378,11 @@
             pending,
             ..load(flows)
         };
-        let action = show(&gate().receive(ME, header, &packet, &load, NOW));
+        let action = format_action(&router().receive(OWN_INCARNATION, header, &packet, &load, NOW));
         lines.push(format!("{name}: {action}, {:?}", load.report()));
     };
-    case("within the margin", &opening(report(10)), 10, 4);
-    case("over the margin", &opening(report(10)), 10, 5);
+    case("within the margin", &opening_header(report(10)), 10, 4);
+    case("over the margin", &opening_header(report(10)), 10, 5);
     case("below the limit", &fixture::header(LEERPLEIN), 99, 500);
     case("at the limit", &fixture::header(LEERPLEIN), 100, 0);
     expect![[r#"
--- a/crates/routing/tests/host_rule.rs
+++ b/crates/routing/tests/host_rule.rs
@@ -1,4 +1,4 @@
-//! What a view says about the host that holds it.
+//! The rule in a view for the host that owns the view.
 
 mod fixture;
 
@@ -18,7 +18,7 @@
 ";
 
 #[test]
-fn rules_of_the_host_itself() {
+fn view_contains_rule_of_its_host() {
     let rules = Arc::new(RuleSet::parse(RULES).unwrap());
     let mut text = String::new();
     for (name, host) in [
--- a/crates/routing/tests/pace.rs
+++ b/crates/routing/tests/pace.rs
@@ -1,11 +1,13 @@
-//! Which changes of the roster lead to a new view, and when.
+//! Rate limit for rebuilding the view after roster changes.
 
 use expect_test::expect;
 use hyssopstair_routing::pace::BuildPacer;
 use hyssopstair_wire::time::MonotonicTime;
 
+/// A change within the interval after a build must not be lost: the next tick after
+/// the interval causes a build for it.
 #[test]
-fn changes_are_merged_and_none_is_forgotten() {
+fn changes_are_merged_and_none_is_lost() {
     let mut pacer = BuildPacer::default();
     let mut lines = Vec::new();
     for (millis, has_changed) in [
@@ -21,11 +23,11 @@
         (1_000, true),
     ] {
         let now = MonotonicTime::from_millis(millis);
-        let (name, builds) = match has_changed {
+        let (name, is_build_due) = match has_changed {
             true => ("change", pacer.record_change(now)),
             false => ("tick", pacer.take_due_build(now)),
         };
-        let result = if builds { "build" } else { "-" };
+        let result = if is_build_due { "build" } else { "-" };
         lines.push(format!("{millis} ms, {name}: {result}"));
     }
     expect![[r#"
--- a/crates/routing/tests/placement.rs
+++ b/crates/routing/tests/placement.rs
@@ -1,4 +1,4 @@
-//! The shares of hosts under weighted rendezvous hashing.
+//! Distribution of flows by weighted rendezvous hashing.
 
 mod fixture;
 
@@ -16,8 +16,8 @@
     weights.iter().enumerate().map(candidate).collect()
 }
 
-/// Returns the hosts for each flow, first and second, by number; 0 for none.
-fn choices(weights: &[u16]) -> Vec<[u8; 2]> {
+/// Returns the first and second host of each flow by number, or 0 for no host.
+fn choose_hosts(weights: &[u16]) -> Vec<[u8; 2]> {
     let candidates = candidates(weights);
     let number = |item: PlacementCandidate| item.host.address.ip().octets()[3];
     (0..FLOWS)
@@ -28,10 +28,11 @@
         .collect()
 }
 
-/// Shows the share of each host in percent.
-fn shares(choices: &[[u8; 2]], place: usize, hosts: u8) -> String {
+/// Formats the share of flows of each host in percent. `rank` is 0 for first hosts
+/// and 1 for second hosts.
+fn format_shares(choices: &[[u8; 2]], rank: usize, hosts: u8) -> String {
     let share = |host: u8| {
-        let count = choices.iter().filter(|item| item[place] == host).count();
+        let count = choices.iter().filter(|item| item[rank] == host).count();
         format!("{:.1}", count as f64 * 100.0 / f64::from(FLOWS))
     };
     (1..=hosts).map(share).collect::<Vec<_>>().join(" ")
@@ -39,12 +40,12 @@
 
 #[test]
 fn shares_follow_weights() {
-    let equal = choices(&[100; 5]);
-    let unequal = choices(&[100, 50, 0, 100, 150]);
+    let equal = choose_hosts(&[100; 5]);
+    let unequal = choose_hosts(&[100, 50, 0, 100, 150]);
     let lines = [
-        format!("equal: {}", shares(&equal, 0, 5)),
-        format!("equal, second: {}", shares(&equal, 1, 5)),
-        format!("unequal: {}", shares(&unequal, 0, 5)),
+        format!("equal: {}", format_shares(&equal, 0, 5)),
+        format!("equal, second: {}", format_shares(&equal, 1, 5)),
+        format!("unequal: {}", format_shares(&unequal, 0, 5)),
     ];
     expect![[r#"
         equal: 19.8 19.8 20.1 20.4 20.0
@@ -53,11 +54,12 @@
     .assert_eq(&lines.join("\n"));
 }
 
-/// When a host leaves, its flows alone move, each to its second host.
+/// If a host leaves, only its flows move, each to its second host. A hash that
+/// depends on the number of hosts would move other flows as well.
 #[test]
 fn only_flows_of_a_lost_host_move() {
-    let before = choices(&[100; 5]);
-    let after = choices(&[100, 100, 0, 100, 100]);
+    let before = choose_hosts(&[100; 5]);
+    let after = choose_hosts(&[100, 100, 0, 100, 100]);
     for (before, after) in before.iter().zip(&after) {
         let expected = if before[0] == 3 { before[1] } else { before[0] };
         assert_eq!(after[0], expected);
--- a/crates/routing/tests/reuse.rs
+++ b/crates/routing/tests/reuse.rs
@@ -1,4 +1,8 @@
-//! Addresses that are used again while balancers act on older rosters.
+//! Model test of address reuse while balancers route by stale rosters.
+//!
+//! Another process, possibly of another service, may start at an address that a
+//! balancer still associates with the previous one. A packet must then reach neither
+//! a host of another service nor another incarnation than the one that holds its flow.
 
 mod fixture;
 
@@ -28,37 +32,43 @@
 
 #[derive(Debug, Clone)]
 enum FleetStep {
-    /// Another process starts at an address.
-    Restart { address: u8, is_archive: bool },
-    /// A balancer learns the present roster.
-    Learn { balancer: usize },
-    /// A caller opens a flow.
-    Open { balancer: usize, is_archive: bool },
-    /// A caller sends a packet of an open flow, to either service's address.
+    /// Replaces the process at an address.
+    Restart {
+        address: u8,
+        is_second_service: bool,
+    },
+    /// Updates the view of a balancer to the current roster.
+    UpdateView { balancer: usize },
+    /// Opens a flow through a balancer.
+    Open {
+        balancer: usize,
+        is_second_service: bool,
+    },
+    /// Sends a packet of an open flow to the address of either service.
     Send {
         balancer: usize,
         flow: usize,
-        is_archive: bool,
+        is_second_service: bool,
     },
 }
 
 fn step() -> impl Strategy<Value = FleetStep> {
     use proptest::bool::ANY;
     prop_oneof![
-        (1..=ADDRESSES, ANY).prop_map(|(address, is_archive)| FleetStep::Restart {
+        (1..=ADDRESSES, ANY).prop_map(|(address, is_second_service)| FleetStep::Restart {
             address,
-            is_archive
+            is_second_service
         }),
-        (0..BALANCERS).prop_map(|balancer| FleetStep::Learn { balancer }),
-        (0..BALANCERS, ANY).prop_map(|(balancer, is_archive)| FleetStep::Open {
+        (0..BALANCERS).prop_map(|balancer| FleetStep::UpdateView { balancer }),
+        (0..BALANCERS, ANY).prop_map(|(balancer, is_second_service)| FleetStep::Open {
             balancer,
-            is_archive
+            is_second_service
         }),
-        (0..BALANCERS, 0_usize..64, ANY).prop_map(|(balancer, flow, is_archive)| {
+        (0..BALANCERS, 0_usize..64, ANY).prop_map(|(balancer, flow, is_second_service)| {
             FleetStep::Send {
                 balancer,
                 flow,
-                is_archive,
+                is_second_service,
             }
         }),
     ]
@@ -67,7 +77,7 @@
 struct FleetHost {
     process: ProcessId,
     service: ServiceId,
-    gate: HostRouter,
+    router: HostRouter,
 }
 
 impl FleetHost {
@@ -76,12 +86,12 @@
         Self {
             process,
             service,
-            gate: HostRouter::new(service),
+            router: HostRouter::new(service),
         }
     }
 }
 
-/// A flow, with the host that holds it and the service that it was opened to.
+/// A flow with the host that accepted it and the service that it was opened to.
 struct OpenFlow {
     host: ProcessId,
     service: ServiceId,
@@ -92,12 +102,16 @@
     hosts: Vec<FleetHost>,
     views: Vec<RoutingView>,
     flows: Vec<OpenFlow>,
-    starts: u32,
-    accepted: u32,
+    last_incarnation: u32,
+    accepted_packets: u32,
 }
 
-fn service(is_archive: bool) -> ServiceId {
-    if is_archive { DIPLOMAKLUIS } else { LEERPLEIN }
+fn service(is_second_service: bool) -> ServiceId {
+    if is_second_service {
+        DIPLOMAKLUIS
+    } else {
+        LEERPLEIN
+    }
 }
 
 impl FleetModel {
@@ -109,50 +123,51 @@
             hosts,
             views: Vec::new(),
             flows: Vec::new(),
-            starts: 1,
-            accepted: 0,
+            last_incarnation: 1,
+            accepted_packets: 0,
         };
-        model.views = vec![model.present_view(); BALANCERS];
+        model.views = vec![model.current_view(); BALANCERS];
         model
     }
 
-    fn present_view(&self) -> RoutingView {
+    fn current_view(&self) -> RoutingView {
         let member =
             |host: &FleetHost| fixture::member(host.process, host.service, MemberState::Alive);
         let members: Vec<_> = self.hosts.iter().map(member).collect();
         fixture::view(&[1], &members)
     }
 
-    fn run(&mut self, step: &FleetStep) {
+    fn apply_step(&mut self, step: &FleetStep) {
         match *step {
             FleetStep::Restart {
                 address,
-                is_archive,
+                is_second_service,
             } => {
-                self.starts += 1;
-                let host = FleetHost::start(address, self.starts, service(is_archive));
+                self.last_incarnation += 1;
+                let host =
+                    FleetHost::start(address, self.last_incarnation, service(is_second_service));
                 self.hosts[usize::from(address) - 1] = host;
             }
-            FleetStep::Learn { balancer } => self.views[balancer] = self.present_view(),
+            FleetStep::UpdateView { balancer } => self.views[balancer] = self.current_view(),
             FleetStep::Open {
                 balancer,
-                is_archive,
+                is_second_service,
             } => {
                 let name = format!("caller-{}", self.flows.len());
                 let packet = fixture::initial_packet(name.as_bytes());
-                if let Some(host) = self.deliver(balancer, service(is_archive), &packet) {
-                    self.open(host, service(is_archive));
+                if let Some(host) = self.deliver(balancer, service(is_second_service), &packet) {
+                    self.record_flow(host, service(is_second_service));
                 }
             }
             FleetStep::Send {
                 balancer,
                 flow,
-                is_archive,
-            } => self.send(balancer, flow, service(is_archive)),
+                is_second_service,
+            } => self.send_packet(balancer, flow, service(is_second_service)),
         }
     }
 
-    fn open(&mut self, host: ProcessId, service: ServiceId) {
+    fn record_flow(&mut self, host: ProcessId, service: ServiceId) {
         self.flows.push(OpenFlow {
             host,
             service,
@@ -160,21 +175,21 @@
         });
     }
 
-    fn send(&mut self, balancer: usize, flow: usize, target: ServiceId) {
+    fn send_packet(&mut self, balancer: usize, flow: usize, target: ServiceId) {
         if self.flows.is_empty() {
             return;
         }
         let flow = &self.flows[flow % self.flows.len()];
         let (host, service) = (flow.host, flow.service);
         let packet = fixture::short_packet(&flow.token);
-        let taken = self.deliver(balancer, target, &packet);
-        let lives = self.hosts.iter().any(|other| other.process == host);
-        let expected = (lives && service == target).then_some(host);
-        assert_eq!(taken, expected, "a packet of an open flow");
+        let receiver = self.deliver(balancer, target, &packet);
+        let is_running = self.hosts.iter().any(|other| other.process == host);
+        let expected = (is_running && service == target).then_some(host);
+        assert_eq!(receiver, expected, "a packet of an open flow");
     }
 
-    /// Carries a packet to the host that takes it, and checks that the host is
-    /// one of the service that the packet was sent to.
+    /// Routes a packet through a balancer and returns the host that accepts it, if
+    /// any. Asserts that the host belongs to the service that the packet was sent to.
     fn deliver(&mut self, balancer: usize, target: ServiceId, packet: &[u8]) -> Option<ProcessId> {
         let loads = LoadTable::default();
         let context = BalancerContext {
@@ -187,16 +202,18 @@
         let RouteAction::Forward { host, header } = action else {
             return None;
         };
-        let taken = self.receive(host, &header, packet, now)?;
+        let receiver = self.receive(host, &header, packet, now)?;
         assert_eq!(
-            taken.service, target,
+            receiver.service, target,
             "a host took a packet of another service"
         );
-        let taken = taken.process;
-        self.accepted += 1;
-        Some(taken)
+        let receiver = receiver.process;
+        self.accepted_packets += 1;
+        Some(receiver)
     }
 
+    /// Returns the host that accepts a packet sent to `host`, following hosts that
+    /// pass it on.
     fn receive(
         &self,
         host: ProcessId,
@@ -215,7 +232,7 @@
             draining: false,
         };
         match host
-            .gate
+            .router
             .receive(host.process.incarnation, header, packet, &load, now)
         {
             HostAction::Accept => Some(host),
@@ -233,12 +250,12 @@
     })]
 
     #[test]
-    fn no_packet_reaches_another_service_or_life(
+    fn no_packet_reaches_another_service_or_incarnation(
         steps in proptest::collection::vec(step(), 1..120),
     ) {
         let mut model = FleetModel::new();
         for step in &steps {
-            model.run(step);
+            model.apply_step(step);
         }
     }
 }
