--- a/crates/routing/examples/placement.rs
+++ b/crates/routing/examples/placement.rs
@@ -1,8 +1,12 @@
-//! Measures ways of placing new flows: imbalance and lost handshakes.
+//! Simulates placement methods for new flows and measures load imbalance and lost
+//! handshakes.
 //!
-//! Drives the decisions of balancers and hosts in simulated time, with fixed
-//! seeds. Each packet goes to a random balancer. A handshake is lost when its
-//! packets reach different hosts, or none. Prints one line of JSON per run.
+//! The simulation runs the routing decisions of balancers and hosts in simulated time
+//! with fixed seeds. Each packet goes to a random balancer. A handshake is lost if its
+//! packets reach different hosts or no host. Each run prints one line of JSON.
+//!
+//! With `--margins`, the handover margins are compared instead of the methods. With
+//! `--bursts`, flows arrive in bursts instead of one by one.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -36,57 +40,65 @@
 
 const BALANCERS: usize = 3;
 const HOSTS: usize = 7;
-const CONNECTIONS: u32 = 2_000;
-/// Mean time that a flow is open, in microseconds.
-const LIFETIME: f64 = 20_000_000.0;
-/// Time before measurement and time of measurement, in lifetimes.
-const WARM_UP: f64 = 4.0;
-const MEASURED: f64 = 8.0;
-/// Packets that a flow sends back, per microsecond.
-const RETURN_RATE: f64 = 0.5e-6;
-const TICK: u64 = 10_000;
-const SAMPLE: u64 = 1_000_000;
-/// Time between two changes of the roster, in microseconds.
-const CHANGE: u64 = 10_000_000;
-/// Time between two bursts, in microseconds.
-const BURST_PERIOD: u64 = 30_000_000;
-/// Time from a burst to its measurement, in microseconds.
-const BURST_SAMPLE: u64 = 3_000_000;
-/// Time that the flows of a burst are open, in microseconds.
-const BURST_LIFETIME: u64 = 10_000_000;
-/// Bursts of a run.
-const BURSTS: u64 = 100;
-/// Time from a host to a balancer, in microseconds.
-const INNER_LATENCY: u64 = 500;
-/// Longest time until a balancer learns of a change, in microseconds.
-const LEARN: u64 = 2_000_000;
-/// Age of load reports under [`PlacementMethod::TwoChoices`], in ticks.
-const REPORT_LAG: usize = 200;
-/// Time between two such reports, in ticks.
-const REPORT_INTERVAL: u64 = 50;
-
+/// Maximum number of open flows per host.
+const MAX_FLOWS: u32 = 2_000;
+/// Mean duration of a flow, in microseconds.
+const LIFETIME_MICROS: f64 = 20_000_000.0;
+/// Simulated time before the measurement starts, in flow lifetimes.
+const WARM_UP_LIFETIMES: f64 = 4.0;
+/// Simulated time of the measurement, in flow lifetimes.
+const MEASURED_LIFETIMES: f64 = 8.0;
+/// Packets per microsecond that a host returns on each flow.
+const RETURNS_PER_MICRO: f64 = 0.5e-6;
+/// Interval of simulation ticks, in microseconds.
+const TICK_MICROS: u64 = 10_000;
+/// Interval between samples of the load, in microseconds.
+const SAMPLE_MICROS: u64 = 1_000_000;
+/// Interval between roster changes, in microseconds.
+const CHANGE_MICROS: u64 = 10_000_000;
+/// Interval between bursts, in microseconds.
+const BURST_PERIOD_MICROS: u64 = 30_000_000;
+/// Delay from a burst to the sample of its load, in microseconds.
+const BURST_SAMPLE_MICROS: u64 = 3_000_000;
+/// Duration of the flows of a burst, in microseconds.
+const BURST_LIFETIME_MICROS: u64 = 10_000_000;
+/// Number of bursts per run.
+const BURST_COUNT: u64 = 100;
+/// One-way latency between a host and a balancer, in microseconds.
+const INNER_LATENCY_MICROS: u64 = 500;
+/// Maximum delay until a balancer learns of a roster change, in microseconds.
+const MAX_LEARN_MICROS: u64 = 2_000_000;
+/// Age of the load reports for [`PlacementMethod::TwoChoices`], in ticks.
+const REPORT_LAG_TICKS: usize = 200;
+/// Interval between these reports, in ticks.
+const REPORT_INTERVAL_TICKS: u64 = 50;
+
+/// A method for choosing the host of a new flow.
 #[derive(Debug, Clone, Copy)]
 enum PlacementMethod {
-    /// The first host of the list.
+    /// The flow goes to the first host by rendezvous hashing.
     Hashing,
-    /// The first host decides by its own load.
+    /// The first host may hand the flow over, based on its own load.
     HandOver(HandoverMargin),
-    /// The balancer chooses between two hosts by late reports.
+    /// The balancer chooses the less loaded of two hosts by delayed load reports.
     TwoChoices,
 }
 
+/// The parameters of a run.
 #[derive(Debug, Clone, Copy)]
 struct TrialPlan {
-    name: &'static str,
+    deployment: &'static str,
     method: PlacementMethod,
+    /// Mean number of open flows, or number of flows per burst.
     flows: u32,
-    /// One-way time between callers and hosts, in microseconds.
+    /// One-way latency between callers and hosts, in microseconds.
     latency: u64,
     /// Whether host 0 always reports that it has no flows.
-    has_liar: bool,
+    has_false_reports: bool,
+    /// Whether hosts are drained and restored during the run.
     has_changes: bool,
-    /// Time in which all flows arrive together, in microseconds; without it
-    /// they arrive one by one.
+    /// Duration in microseconds within which all flows of a burst arrive; `None` if
+    /// flows arrive one by one.
     burst: Option<u64>,
     seed: u64,
 }
@@ -102,21 +114,22 @@
     Tick,
     Sample,
     Change,
-    Learn { balancer: usize },
+    UpdateView { balancer: usize },
 }
 
 struct TrialHost {
     process: ProcessId,
-    gate: HostRouter,
+    router: HostRouter,
     flows: u32,
     draining: bool,
-    /// Flows at each of the last ticks, the latest one last.
+    /// Number of flows at each tick, in order of time.
     history: Vec<u32>,
 }
 
 struct TrialBalancer {
     view: RoutingView,
     loads: LoadTable,
+    /// Delayed load reports for [`PlacementMethod::TwoChoices`], one per host.
     reports: Vec<u32>,
 }
 
@@ -126,6 +139,8 @@
     is_lost: bool,
 }
 
+/// The results of a run. `max_over_mean` and `variation` are sums over the samples
+/// until the run ends, and means afterwards.
 #[derive(Debug, Default)]
 struct TrialResult {
     opened: u64,
@@ -140,6 +155,7 @@
     plan: TrialPlan,
     random: StdRng,
     now: u64,
+    /// Pending events, ordered by time and sequence number.
     queue: BinaryHeap<Reverse<(u64, u64, TrialEvent)>>,
     sequence: u64,
     rules: Arc<RuleSet>,
@@ -162,7 +178,7 @@
         let rules = Arc::new(RuleSet::parse(text).expect("the rules are valid"));
         let margin = match plan.method {
             PlacementMethod::HandOver(margin) => margin,
-            // Hands over at full or draining hosts only.
+            // With this margin, only full or draining hosts hand flows over.
             PlacementMethod::Hashing | PlacementMethod::TwoChoices => HandoverMargin {
                 flows: u32::MAX,
                 percent: 0,
@@ -170,7 +186,7 @@
         };
         let host = |index| TrialHost {
             process: host_process(index),
-            gate: HostRouter::with_margin(ServiceId(1), margin),
+            router: HostRouter::with_margin(ServiceId(1), margin),
             flows: 0,
             draining: false,
             history: Vec::new(),
@@ -187,7 +203,7 @@
             flows: Vec::new(),
             result: TrialResult::default(),
         };
-        let view = trial.view();
+        let view = trial.build_view();
         let balancer = |_| TrialBalancer {
             view: view.clone(),
             loads: LoadTable::default(),
@@ -197,7 +213,8 @@
         trial
     }
 
-    fn view(&self) -> RoutingView {
+    /// Returns a view of the current state of the hosts.
+    fn build_view(&self) -> RoutingView {
         let member = |host: &TrialHost| MemberEntry {
             process: host.process,
             counter: 0,
@@ -223,26 +240,27 @@
         self.queue.push(Reverse(entry));
     }
 
-    fn exponential(&mut self, mean: f64) -> u64 {
+    /// Returns an exponentially distributed random number with the given mean.
+    fn draw_exponential(&mut self, mean: f64) -> u64 {
         let unit: f64 = self.random.random_range(f64::MIN_POSITIVE..1.0);
         (-unit.ln() * mean) as u64
     }
 
     fn run(mut self) -> TrialResult {
         let end = match self.plan.burst {
-            Some(_) => BURSTS * BURST_PERIOD,
-            None => ((WARM_UP + MEASURED) * LIFETIME) as u64,
+            Some(_) => BURST_COUNT * BURST_PERIOD_MICROS,
+            None => ((WARM_UP_LIFETIMES + MEASURED_LIFETIMES) * LIFETIME_MICROS) as u64,
         };
         self.schedule(0, TrialEvent::Tick);
         match self.plan.burst {
             Some(_) => self.schedule(0, TrialEvent::Burst),
             None => {
                 self.schedule(0, TrialEvent::Arrive);
-                self.schedule(SAMPLE, TrialEvent::Sample);
+                self.schedule(SAMPLE_MICROS, TrialEvent::Sample);
             }
         }
         if self.plan.has_changes {
-            self.schedule(CHANGE, TrialEvent::Change);
+            self.schedule(CHANGE_MICROS, TrialEvent::Change);
         }
         while let Some(Reverse((time, _, event))) = self.queue.pop() {
             if time > end {
@@ -258,59 +276,63 @@
     }
 
     fn is_measured(&self) -> bool {
-        self.plan.burst.is_some() || self.now as f64 > WARM_UP * LIFETIME
+        self.plan.burst.is_some() || self.now as f64 > WARM_UP_LIFETIMES * LIFETIME_MICROS
     }
 
     fn step(&mut self, event: TrialEvent) {
         match event {
-            TrialEvent::Arrive => self.arrive(),
-            TrialEvent::Burst => self.burst(),
-            TrialEvent::Reply { host, flows } => self.reply(host, flows),
+            TrialEvent::Arrive => self.start_flow(),
+            TrialEvent::Burst => self.start_burst(),
+            TrialEvent::Reply { host, flows } => self.receive_reply(host, flows),
             TrialEvent::Packet { flow, is_first } => self.deliver(flow, is_first),
             TrialEvent::Established { flow } => self.establish(flow),
             TrialEvent::Depart { host } => self.hosts[host].flows -= 1,
             TrialEvent::Tick => self.tick(),
-            TrialEvent::Sample => self.sample(),
-            TrialEvent::Change => self.change(),
-            TrialEvent::Learn { balancer } => self.balancers[balancer].view = self.view(),
+            TrialEvent::Sample => self.sample_load(),
+            TrialEvent::Change => self.change_roster(),
+            TrialEvent::UpdateView { balancer } => {
+                self.balancers[balancer].view = self.build_view()
+            }
         }
     }
 
-    /// The first flight of a caller has two packets; a twentieth of the callers
-    /// repeat one after a second.
-    fn arrive(&mut self) {
-        const SECOND_PACKET: u64 = 200;
-        const REPETITION: u64 = 1_000_000;
+    /// Starts a flow. A caller's first flight has two packets; a twentieth of the
+    /// callers retransmit one after a second.
+    fn start_flow(&mut self) {
+        const SECOND_PACKET_MICROS: u64 = 200;
+        const RETRANSMIT_MICROS: u64 = 1_000_000;
         let flow = self.flows.len();
         self.flows.push(TrialFlow::default());
         let packet = |is_first| TrialEvent::Packet { flow, is_first };
         self.schedule(0, packet(true));
-        self.schedule(SECOND_PACKET, packet(false));
+        self.schedule(SECOND_PACKET_MICROS, packet(false));
         if self.random.random_bool(0.05) {
-            self.schedule(REPETITION, packet(false));
+            self.schedule(RETRANSMIT_MICROS, packet(false));
         }
         if self.plan.burst.is_none() {
-            let next = self.exponential(LIFETIME / f64::from(self.plan.flows));
-            self.schedule(next, TrialEvent::Arrive);
+            let delay = self.draw_exponential(LIFETIME_MICROS / f64::from(self.plan.flows));
+            self.schedule(delay, TrialEvent::Arrive);
         }
     }
 
-    fn burst(&mut self) {
+    fn start_burst(&mut self) {
         let spread = self.plan.burst.unwrap_or(0);
         for _ in 0..self.plan.flows {
             let delay = self.random.random_range(0..=spread);
             self.schedule(delay, TrialEvent::Arrive);
         }
-        self.schedule(BURST_SAMPLE, TrialEvent::Sample);
-        self.schedule(BURST_PERIOD, TrialEvent::Burst);
+        self.schedule(BURST_SAMPLE_MICROS, TrialEvent::Sample);
+        self.schedule(BURST_PERIOD_MICROS, TrialEvent::Burst);
     }
 
-    /// A report that rides on the first packet that a host sends back.
-    fn reply(&mut self, host: usize, flows: u32) {
+    /// Stores the load report in the first packet that a host returns on a flow.
+    fn receive_reply(&mut self, host: usize, flows: u32) {
         let balancer = self.random.random_range(0..BALANCERS);
         self.report(host, flows, balancer);
     }
 
+    /// Delivers a packet of a flow's first flight to the host that accepts it, and
+    /// counts the handshake as lost if its packets have different hosts.
     fn deliver(&mut self, flow: usize, is_first: bool) {
         let host = self.route(flow, is_first);
         if is_first {
@@ -319,24 +341,25 @@
             self.result.opened += u64::from(self.is_measured());
             if let Some(host) = host {
                 let flows = self.load(host).report().flows;
-                self.schedule(INNER_LATENCY, TrialEvent::Reply { host, flows });
+                self.schedule(INNER_LATENCY_MICROS, TrialEvent::Reply { host, flows });
             }
         }
-        let is_parted = host.is_none() || self.flows[flow].host != host;
-        if is_parted && !self.flows[flow].is_lost {
+        let is_split = host.is_none() || self.flows[flow].host != host;
+        if is_split && !self.flows[flow].is_lost {
             self.flows[flow].is_lost = true;
             self.result.lost += u64::from(self.is_measured());
         }
     }
 
-    /// The connection ID that the caller of a flow chose.
-    fn connection(&self, flow: usize) -> [u8; 8] {
+    /// Returns the connection ID that the caller of a flow chose.
+    fn connection_id(&self, flow: usize) -> [u8; 8] {
         (flow as u64 ^ self.plan.seed << 32).to_be_bytes()
     }
 
+    /// Routes a packet through a random balancer and returns the host that accepts it.
     fn route(&mut self, flow: usize, is_first: bool) -> Option<usize> {
         let mut datagram = vec![0xc0, 0, 0, 0, 1, 8];
-        datagram.extend_from_slice(&self.connection(flow));
+        datagram.extend_from_slice(&self.connection_id(flow));
         let index = self.random.random_range(0..BALANCERS);
         let balancer = &self.balancers[index];
         let context = BalancerContext {
@@ -371,6 +394,7 @@
         }
     }
 
+    /// Passes a packet on to `host` and returns the host that accepts it.
     fn pass_on(
         &self,
         host: ProcessId,
@@ -395,7 +419,7 @@
     ) -> HostAction<'a> {
         let host = &self.hosts[index];
         let load = self.load(index);
-        host.gate
+        host.router
             .receive(host.process.incarnation, header, datagram, &load, now)
     }
 
@@ -403,28 +427,29 @@
         let host = &self.hosts[index];
         HostLoad {
             flows: host.flows,
-            pending: host.gate.pending(MonotonicTime(self.now)),
-            limit: CONNECTIONS,
+            pending: host.router.pending(MonotonicTime(self.now)),
+            limit: MAX_FLOWS,
             draining: host.draining,
         }
     }
 
+    /// Ends the handshake of a flow and opens it, unless the handshake is lost.
     fn establish(&mut self, flow: usize) {
-        let connection = self.connection(flow);
+        let connection_id = self.connection_id(flow);
         let flow = self.flows[flow];
         let Some(host) = flow.host else {
             return;
         };
-        // A lost handshake has a packet at this host all the same; its QUIC
-        // waits for the rest, so it counts until its lifetime is over.
+        // The host has received a packet of the lost handshake, and its QUIC endpoint
+        // waits for the others, so the handshake stays pending until it expires.
         if flow.is_lost {
             return;
         }
-        self.hosts[host].gate.end_handshake(&connection);
+        self.hosts[host].router.end_handshake(&connection_id);
         self.hosts[host].flows += 1;
         let lifetime = match self.plan.burst {
-            Some(_) => BURST_LIFETIME,
-            None => self.exponential(LIFETIME),
+            Some(_) => BURST_LIFETIME_MICROS,
+            None => self.draw_exponential(LIFETIME_MICROS),
         };
         self.schedule(lifetime, TrialEvent::Depart { host });
         let balancer = self.random.random_range(0..BALANCERS);
@@ -432,10 +457,11 @@
         self.report(host, flows, balancer);
     }
 
+    /// Sends a load report of a host to a balancer.
     fn report(&self, host: usize, flows: u32, balancer: usize) {
-        let is_lie = self.plan.has_liar && host == 0;
+        let is_false_report = self.plan.has_false_reports && host == 0;
         let report = LoadReport {
-            flows: if is_lie { 0 } else { flows },
+            flows: if is_false_report { 0 } else { flows },
             takes_new: !self.hosts[host].draining,
         };
         let now = MonotonicTime(self.now);
@@ -444,12 +470,13 @@
             .record(self.hosts[host].process, report, now);
     }
 
+    /// Sends the load reports that are due.
     fn tick(&mut self) {
-        let tick = self.now / TICK;
+        let tick = self.now / TICK_MICROS;
         for host in 0..HOSTS {
             let flows = self.hosts[host].flows;
             self.hosts[host].history.push(flows);
-            let rate = f64::from(flows) * RETURN_RATE * TICK as f64 / BALANCERS as f64;
+            let rate = f64::from(flows) * RETURNS_PER_MICRO * TICK_MICROS as f64 / BALANCERS as f64;
             for balancer in 0..BALANCERS {
                 if self.random.random_bool(1.0 - (-rate).exp()) {
                     let reported = self.load(host).report().flows;
@@ -458,49 +485,50 @@
             }
         }
         for balancer in 0..BALANCERS {
-            let phase = balancer as u64 * REPORT_INTERVAL / BALANCERS as u64;
-            if tick % REPORT_INTERVAL == phase {
-                self.take_late_reports(balancer);
+            let phase = balancer as u64 * REPORT_INTERVAL_TICKS / BALANCERS as u64;
+            if tick % REPORT_INTERVAL_TICKS == phase {
+                self.update_delayed_reports(balancer);
             }
         }
-        self.schedule(TICK, TrialEvent::Tick);
+        self.schedule(TICK_MICROS, TrialEvent::Tick);
     }
 
-    fn take_late_reports(&mut self, balancer: usize) {
+    fn update_delayed_reports(&mut self, balancer: usize) {
         for host in 0..HOSTS {
             let history = &self.hosts[host].history;
-            let late = history.len().checked_sub(1 + REPORT_LAG);
-            let is_lie = self.plan.has_liar && host == 0;
-            let flows = late.map_or(0, |index| history[index]);
-            self.balancers[balancer].reports[host] = if is_lie { 0 } else { flows };
+            let delayed = history.len().checked_sub(1 + REPORT_LAG_TICKS);
+            let is_false_report = self.plan.has_false_reports && host == 0;
+            let flows = delayed.map_or(0, |index| history[index]);
+            self.balancers[balancer].reports[host] = if is_false_report { 0 } else { flows };
         }
     }
 
-    fn sample(&mut self) {
+    /// Adds the current imbalance of the hosts to the result.
+    fn sample_load(&mut self) {
         if self.plan.burst.is_none() {
-            self.schedule(SAMPLE, TrialEvent::Sample);
+            self.schedule(SAMPLE_MICROS, TrialEvent::Sample);
         }
         if !self.is_measured() {
             return;
         }
-        let open: Vec<f64> = self
+        let loads: Vec<f64> = self
             .hosts
             .iter()
             .filter(|host| !host.draining)
             .map(|host| f64::from(host.flows))
             .collect();
-        let mean = open.iter().sum::<f64>() / open.len() as f64;
-        let max = open.iter().copied().fold(0.0, f64::max);
-        let squares = open.iter().map(|flows| (flows - mean).powi(2));
-        let deviation = (squares.sum::<f64>() / open.len() as f64).sqrt();
+        let mean = loads.iter().sum::<f64>() / loads.len() as f64;
+        let max = loads.iter().copied().fold(0.0, f64::max);
+        let squares = loads.iter().map(|flows| (flows - mean).powi(2));
+        let deviation = (squares.sum::<f64>() / loads.len() as f64).sqrt();
         self.result.samples += 1;
         self.result.max_over_mean += max / mean;
         self.result.variation += deviation / mean;
     }
 
-    /// Drains a host, or takes back the one that is drained.
-    fn change(&mut self) {
-        self.schedule(CHANGE, TrialEvent::Change);
+    /// Drains a random host, or ends the drain of the host that is draining.
+    fn change_roster(&mut self) {
+        self.schedule(CHANGE_MICROS, TrialEvent::Change);
         match self.hosts.iter().position(|host| host.draining) {
             Some(index) => self.hosts[index].draining = false,
             None => {
@@ -509,22 +537,23 @@
             }
         }
         for balancer in 0..BALANCERS {
-            let delay = self.random.random_range(0..LEARN);
-            self.schedule(delay, TrialEvent::Learn { balancer });
+            let delay = self.random.random_range(0..MAX_LEARN_MICROS);
+            self.schedule(delay, TrialEvent::UpdateView { balancer });
         }
     }
 }
 
+/// Runs a trial and prints its result as a line of JSON.
 fn print_trial(plan: TrialPlan) {
     let result = PlacementTrial::new(plan).run();
     println!(
         "{{\"deployment\":\"{}\",\"method\":\"{:?}\",\"flows\":{},\"liar\":{},\"changes\":{},\
          \"burst_us\":{},\"max_over_mean\":{:.4},\"variation\":{:.4},\"opened\":{},\"handed_over\":{},\
          \"lost_handshakes\":{}}}",
-        plan.name,
+        plan.deployment,
         plan.method,
         plan.flows,
-        plan.has_liar,
+        plan.has_false_reports,
         plan.has_changes,
         plan.burst.unwrap_or(0),
         result.max_over_mean,
@@ -535,13 +564,13 @@
     );
 }
 
-fn margin(flows: u32, percent: u32) -> PlacementMethod {
+fn hand_over(flows: u32, percent: u32) -> PlacementMethod {
     PlacementMethod::HandOver(HandoverMargin { flows, percent })
 }
 
 fn main() {
-    let tunes = std::env::args().any(|argument| argument == "--margins");
-    let methods = if tunes {
+    let compares_margins = std::env::args().any(|argument| argument == "--margins");
+    let methods = if compares_margins {
         let margins = [
             (0, 0),
             (1, 0),
@@ -552,29 +581,29 @@
             (0, 5),
             (1, 5),
         ];
-        let method = |pair: &(u32, u32)| margin(pair.0, pair.1);
+        let method = |pair: &(u32, u32)| hand_over(pair.0, pair.1);
         margins.iter().map(method).collect()
     } else {
-        let chosen = PlacementMethod::HandOver(HandoverMargin::default());
+        let default_method = PlacementMethod::HandOver(HandoverMargin::default());
         vec![
             PlacementMethod::Hashing,
-            chosen,
+            default_method,
             PlacementMethod::TwoChoices,
         ]
     };
-    let bursts = std::env::args().any(|argument| argument == "--bursts");
-    for (name, latency) in [("foundation", 3_500), ("hydroflow", 1_500)] {
+    let has_bursts = std::env::args().any(|argument| argument == "--bursts");
+    for (deployment, latency) in [("foundation", 3_500), ("hydroflow", 1_500)] {
         let plan = |method: PlacementMethod, flows: u32| TrialPlan {
-            name,
+            deployment,
             method,
             flows,
             latency,
-            has_liar: false,
+            has_false_reports: false,
             has_changes: false,
             burst: None,
             seed: 1,
         };
-        if bursts {
+        if has_bursts {
             print_bursts(&methods, plan);
         } else {
             print_arrivals(&methods, plan);
@@ -582,13 +611,13 @@
     }
 }
 
-/// Prints trials with flows that arrive one by one.
+/// Runs and prints the trials in which flows arrive one by one.
 fn print_arrivals(methods: &[PlacementMethod], plan: impl Fn(PlacementMethod, u32) -> TrialPlan) {
     for flows in [70, 700, 7_000, 12_000] {
-        for (has_liar, has_changes) in [(false, false), (true, false), (false, true)] {
+        for (has_false_reports, has_changes) in [(false, false), (true, false), (false, true)] {
             for method in methods {
                 print_trial(TrialPlan {
-                    has_liar,
+                    has_false_reports,
                     has_changes,
                     ..plan(*method, flows)
                 });
@@ -597,7 +626,7 @@
     }
 }
 
-/// Prints trials with flows that arrive together at hosts without flows.
+/// Runs and prints the trials in which flows arrive in bursts at idle hosts.
 fn print_bursts(methods: &[PlacementMethod], plan: impl Fn(PlacementMethod, u32) -> TrialPlan) {
     for flows in [70, 700, 7_000] {
         for spread in [1_000, 20_000, 200_000] {
--- a/crates/routing/examples/routing_cost.rs
+++ b/crates/routing/examples/routing_cost.rs
@@ -1,8 +1,8 @@
-//! Measures what the decisions about packets cost, as lines of JSON.
+//! Benchmarks routing decisions and prints the results as lines of JSON.
 //!
-//! An argument runs one part alone: `route`, `gate`, `returns`, `view`,
-//! `rules` or `pace`. With
-//! `valgrind --tool=callgrind` the instruction counts can be repeated.
+//! Without an argument all parts run. An argument selects a single part: `route`,
+//! `gate` (the decisions of a host), `returns`, `view`, `rules` or `pace`. Run it
+//! under `valgrind --tool=callgrind` for reproducible instruction counts.
 
 use std::hint::black_box;
 use std::net::SocketAddrV4;
@@ -35,14 +35,16 @@
 use hyssopstair_wire::token::KeyNumber;
 use hyssopstair_wire::token::RouteToken;
 
-const SIZES: [u32; 3] = [50_000, 100_000, 200_000];
+/// Numbers of table records for which the tables are measured.
+const TABLE_SIZES: [u32; 3] = [50_000, 100_000, 200_000];
 
 fn secret() -> FleetSecret {
     FleetSecret::new([1; 16])
 }
 
-/// Spreads numbers over addresses, so that insertions hit all places.
-fn scattered(number: u32) -> SocketAddrV4 {
+/// Maps consecutive numbers to scattered addresses, so that insertions into a sorted
+/// table hit all positions.
+fn scattered_address(number: u32) -> SocketAddrV4 {
     let mixed = number.wrapping_mul(0x9e37_79b1);
     SocketAddrV4::new(mixed.into(), (mixed >> 16) as u16)
 }
@@ -58,7 +60,7 @@
     Arc::new(RuleSet::parse(&text).expect("the rules are valid"))
 }
 
-/// Members that are spread over the services in turn.
+/// Returns `count` host members, assigned to the services in turn.
 fn members(count: u32, services: u32) -> Vec<MemberEntry> {
     let member = |index: u32| MemberEntry {
         process: ProcessId {
@@ -90,8 +92,9 @@
     }
 }
 
-/// Runs `step` with the numbers below `count` and returns nanoseconds per run.
-fn time_each(count: u32, mut step: impl FnMut(u32)) -> f64 {
+/// Calls `step` with each number below `count` and returns the mean time per call in
+/// nanoseconds.
+fn measure_nanos(count: u32, mut step: impl FnMut(u32)) -> f64 {
     let start = Instant::now();
     for number in 0..count {
         step(number);
@@ -99,7 +102,7 @@
     start.elapsed().as_nanos() as f64 / f64::from(count)
 }
 
-/// One packet: the decision, and the header in front of the datagram.
+/// Measures the routing of a packet and the encoding of its header.
 fn measure_route() {
     const PACKETS: u32 = 200_000;
     const DATAGRAM_LENGTH: usize = 1_200;
@@ -113,7 +116,7 @@
             loads: &loads,
         };
         let path = EntryPath {
-            source: scattered(1),
+            source: scattered_address(1),
             destination: SocketAddrV4::new(0x0a00_0000.into(), 443),
         };
         let token = RouteToken {
@@ -122,22 +125,22 @@
             host: all[0].process,
             nonce: 1,
         };
-        let connection = token.seal(&secret().route_key(KeyNumber(1)));
+        let connection_id = token.seal(&secret().route_key(KeyNumber(1)));
         let mut short = vec![0x40; DATAGRAM_LENGTH];
-        short[1..21].copy_from_slice(&connection);
+        short[1..21].copy_from_slice(&connection_id);
         let mut opening = vec![0; DATAGRAM_LENGTH];
         opening[..6].copy_from_slice(&[0xc0, 0, 0, 0, 1, 8]);
         let now = MonotonicTime::from_millis(1);
-        let token_nanos = time_each(PACKETS, |_| {
+        let token_nanos = measure_nanos(PACKETS, |_| {
             black_box(route_packet(&context, &path, black_box(&short), now));
         });
-        let opening_nanos = time_each(PACKETS / 20, |number| {
+        let opening_nanos = measure_nanos(PACKETS / 20, |number| {
             opening[6..10].copy_from_slice(&number.to_be_bytes());
             black_box(route_packet(&context, &path, black_box(&opening), now));
         });
         let mut buffer = vec![0; MAX_PACKET_LENGTH];
-        let header = header(scattered(1));
-        let write_nanos = time_each(PACKETS, |_| {
+        let header = header(scattered_address(1));
+        let write_nanos = measure_nanos(PACKETS, |_| {
             let written = write_packet(&mut buffer, PacketKind::Forward, &header, &short);
             black_box(written).expect("the buffer is long enough");
         });
@@ -149,27 +152,28 @@
     }
 }
 
-fn measure_gate() {
-    for size in SIZES {
-        let me = HostIncarnation(1);
-        let gate = HostRouter::new(ServiceId(0));
+/// Measures a host's decisions about new flows.
+fn measure_host() {
+    for size in TABLE_SIZES {
+        let incarnation = HostIncarnation(1);
+        let router = HostRouter::new(ServiceId(0));
         let load = HostLoad {
             flows: 0,
             pending: 0,
             limit: u32::MAX,
             draining: false,
         };
-        let header = header(scattered(1));
+        let header = header(scattered_address(1));
         let now = MonotonicTime::from_millis(1);
         let mut opening = vec![0; 1_200];
         opening[..6].copy_from_slice(&[0xc0, 0, 0, 0, 1, 8]);
         let mut receive = |number: u32| {
             opening[6..10].copy_from_slice(&number.wrapping_mul(0x9e37_79b1).to_be_bytes());
-            black_box(gate.receive(me, &header, &opening, &load, now));
+            black_box(router.receive(incarnation, &header, &opening, &load, now));
         };
-        let insert_nanos = time_each(size, &mut receive);
-        let find_nanos = time_each(size, &mut receive);
-        let footprint = gate.footprint();
+        let insert_nanos = measure_nanos(size, &mut receive);
+        let find_nanos = measure_nanos(size, &mut receive);
+        let footprint = router.footprint();
         println!(
             "{{\"part\":\"gate\",\"handshakes\":{},\"insert_ns\":{insert_nanos:.0},\
              \"find_ns\":{find_nanos:.0},\"bytes\":{},\"bytes_each\":{:.1}}}",
@@ -180,20 +184,21 @@
     }
 }
 
+/// Measures the table of return paths.
 fn measure_returns() {
-    for size in SIZES {
+    for size in TABLE_SIZES {
         let table = ReturnTable::default();
         let now = MonotonicTime::from_millis(1);
-        let hear = |number| table.record(&header(scattered(number)), now);
-        let insert_nanos = time_each(size, hear);
-        let hear_nanos = time_each(size, hear);
-        let route_nanos = time_each(size, |number| {
-            black_box(table.find_route(scattered(number), now));
+        let record = |number| table.record(&header(scattered_address(number)), now);
+        let insert_nanos = measure_nanos(size, record);
+        let update_nanos = measure_nanos(size, record);
+        let route_nanos = measure_nanos(size, |number| {
+            black_box(table.find_route(scattered_address(number), now));
         });
         let footprint = table.footprint();
         println!(
             "{{\"part\":\"returns\",\"callers\":{},\"insert_ns\":{insert_nanos:.0},\
-             \"hear_ns\":{hear_nanos:.0},\"route_ns\":{route_nanos:.0},\"bytes\":{},\
+             \"hear_ns\":{update_nanos:.0},\"route_ns\":{route_nanos:.0},\"bytes\":{},\
              \"bytes_each\":{:.1}}}",
             footprint.records,
             footprint.bytes,
@@ -202,20 +207,21 @@
     }
 }
 
-/// Nanoseconds that one build of a view takes.
-fn build_nanos(hosts: u32, services: u32) -> f64 {
+/// Returns the mean time for building a view, in nanoseconds.
+fn measure_build(hosts: u32, services: u32) -> f64 {
     const REPEATS: u32 = 20;
     let all = members(hosts, services);
     let rules = rules(services);
-    time_each(REPEATS, |_| {
+    measure_nanos(REPEATS, |_| {
         let view = RoutingView::build(1, rules.clone(), &secret(), black_box(&all));
         black_box(view);
     })
 }
 
+/// Measures the time for building a view.
 fn measure_view() {
     for (hosts, services) in [(20, 2), (5_000, 870), (50_000, 8_700)] {
-        let millis = build_nanos(hosts, services) / 1e6;
+        let millis = measure_build(hosts, services) / 1e6;
         println!(
             "{{\"part\":\"view\",\"hosts\":{hosts},\"services\":{services},\
              \"build_ms\":{millis:.3}}}"
@@ -223,19 +229,19 @@
     }
 }
 
-/// What a host must know of the rules for each packet: looked up by name, and
-/// read from the view.
+/// Measures access to the rules that a host needs for each packet: a look-up by
+/// service name compared with reading the rule from the view.
 fn measure_rules() {
     const PACKETS: u32 = 1_000_000;
     for services in [2, 870, 8_700] {
         let name = format!("s{}", services / 2);
-        let host = scattered(1);
+        let host = scattered_address(1);
         let view = RoutingView::build(1, rules(services), &secret(), &[]).with_host(&name, host);
-        let find_nanos = time_each(PACKETS, |_| {
+        let find_nanos = measure_nanos(PACKETS, |_| {
             let name = black_box(name.as_str());
             black_box(HostRule::find(black_box(&view.rules), name, host));
         });
-        let read_nanos = time_each(PACKETS, |_| {
+        let read_nanos = measure_nanos(PACKETS, |_| {
             black_box(black_box(&view).own_rule);
         });
         println!(
@@ -245,12 +251,12 @@
     }
 }
 
-/// Builds of the view and their share of a core, at 50,000 hosts and 8,700
-/// services, with changes at even distances and a look at what is due each 50 ms.
+/// Measures how many views are built and the share of a core that the builds take,
+/// with 50,000 hosts, 8,700 services, evenly spaced changes and a tick every 50 ms.
 fn measure_pace() {
     const TICK_MICROS: u64 = 50_000;
     const DAY_MICROS: u64 = 86_400_000_000;
-    let build_micros = build_nanos(50_000, 8_700) / 1e3;
+    let build_micros = measure_build(50_000, 8_700) / 1e3;
     for (name, changes, micros) in [
         ("a day", 33_500, DAY_MICROS),
         ("a zone, spread by gossip", 14_000, 311_000_000),
@@ -267,35 +273,35 @@
             }
             builds += u64::from(pacer.record_change(MonotonicTime(time)));
         }
-        let share = |builds: u64| builds as f64 * build_micros / micros as f64 * 100.0;
+        let percent = |builds: u64| builds as f64 * build_micros / micros as f64 * 100.0;
         println!(
             "{{\"part\":\"pace\",\"case\":\"{name}\",\"changes\":{changes},\"builds\":{builds},\
              \"percent_each_change\":{:.2},\"percent_merged\":{:.2}}}",
-            share(changes),
-            share(builds),
+            percent(changes),
+            percent(builds),
         );
     }
 }
 
 fn main() {
     let part = std::env::args().nth(1);
-    let runs = |name: &str| part.as_deref().is_none_or(|part| part == name);
-    if runs("route") {
+    let is_selected = |name: &str| part.as_deref().is_none_or(|part| part == name);
+    if is_selected("route") {
         measure_route();
     }
-    if runs("gate") {
-        measure_gate();
+    if is_selected("gate") {
+        measure_host();
     }
-    if runs("returns") {
+    if is_selected("returns") {
         measure_returns();
     }
-    if runs("view") {
+    if is_selected("view") {
         measure_view();
     }
-    if runs("pace") {
+    if is_selected("pace") {
         measure_pace();
     }
-    if runs("rules") {
+    if is_selected("rules") {
         measure_rules();
     }
 }
