--- a/crates/hyssopstaird/src/host/state.rs
+++ b/crates/hyssopstaird/src/host/state.rs
@@ -144,7 +144,11 @@
 
     /// Returns whether the host takes nothing new.
     pub fn is_draining(&self) -> bool {
-        let takes_new = self.node.view().own_rule.is_none_or(|own| own.takes_new);
+        let takes_new = self
+            .node
+            .view()
+            .own_rule
+            .is_none_or(|own| own.accepts_new_flows);
         !takes_new || self.draining.load(Ordering::Relaxed)
     }
 
--- a/crates/routing/src/host.rs
+++ b/crates/routing/src/host.rs
@@ -71,7 +71,7 @@
 
 impl HostLoad {
     /// Returns whether the host accepts new flows.
-    pub fn takes_new(&self) -> bool {
+    pub fn accepts_new_flows(&self) -> bool {
         !self.draining && self.flows < self.limit
     }
 
@@ -84,7 +84,7 @@
     pub fn report(&self) -> LoadReport {
         LoadReport {
             flows: self.expected_flows(),
-            takes_new: self.takes_new(),
+            takes_new: self.accepts_new_flows(),
         }
     }
 }
@@ -241,7 +241,9 @@
         // A packet that has reached the hop limit was sent back by the host to which
         // the flow was handed over, so this host accepts it despite its earlier
         // decision.
-        if header.hops >= MAX_HOPS && load.takes_new() && shard.cancel_handover(position, key, now)
+        if header.hops >= MAX_HOPS
+            && load.accepts_new_flows()
+            && shard.cancel_handover(position, key, now)
         {
             lock(&self.pending).begin(now);
         }
@@ -325,13 +327,13 @@
 ) -> OpeningDecision {
     let second = header.second.filter(may_accept_flow);
     match second {
-        Some(second) if !load.takes_new() => OpeningDecision::HandOver(second.process),
+        Some(second) if !load.accepts_new_flows() => OpeningDecision::HandOver(second.process),
         // A flow that was already handed over is sent back only if this host accepts
         // no new flows.
         Some(second) if header.hops == 0 && exceeds_margin(load, &second, margin) => {
             OpeningDecision::HandOver(second.process)
         }
-        _ if load.takes_new() => OpeningDecision::Accept,
+        _ if load.accepts_new_flows() => OpeningDecision::Accept,
         _ => OpeningDecision::Refuse,
     }
 }
--- a/crates/routing/src/view.rs
+++ b/crates/routing/src/view.rs
@@ -49,7 +49,7 @@
     /// Maximum number of open flows on the host.
     pub connections: u32,
     /// Whether the rules allow the host to accept new flows.
-    pub takes_new: bool,
+    pub accepts_new_flows: bool,
 }
 
 impl HostRule {
@@ -60,7 +60,7 @@
         Some(Self {
             service: service.id,
             connections: service.connections,
-            takes_new: rules.takes_new(service.id, host),
+            accepts_new_flows: rules.takes_new(service.id, host),
         })
     }
 }
--- a/crates/routing/tests/host_rule.rs
+++ b/crates/routing/tests/host_rule.rs
@@ -32,9 +32,9 @@
         writeln!(text, "{name} {host}: {:?}", view.own_rule).unwrap();
     }
     expect![[r#"
-        leerplein 10.1.0.1:7000: Some(HostRule { service: ServiceId(1), connections: 2000, takes_new: true })
-        leerplein 10.1.0.2:7000: Some(HostRule { service: ServiceId(1), connections: 2000, takes_new: false })
-        diplomakluis 10.1.0.1:7000: Some(HostRule { service: ServiceId(2), connections: 2000, takes_new: false })
+        leerplein 10.1.0.1:7000: Some(HostRule { service: ServiceId(1), connections: 2000, accepts_new_flows: true })
+        leerplein 10.1.0.2:7000: Some(HostRule { service: ServiceId(1), connections: 2000, accepts_new_flows: false })
+        diplomakluis 10.1.0.1:7000: Some(HostRule { service: ServiceId(2), connections: 2000, accepts_new_flows: false })
         unknown 10.1.0.1:7000: None
     "#]].assert_eq(&text);
 }
