--- a/crates/roster/tests/fleet/mod.rs
+++ b/crates/roster/tests/fleet/mod.rs
@@ -9,9 +9,9 @@
 use hyssopstair_routing::balancer::BalancerContext;
 use hyssopstair_routing::balancer::RouteAction;
 use hyssopstair_routing::balancer::route_packet;
-use hyssopstair_routing::gate::HostAction;
-use hyssopstair_routing::gate::HostGate;
-use hyssopstair_routing::gate::HostLoad;
+use hyssopstair_routing::host::HostAction;
+use hyssopstair_routing::host::HostLoad;
+use hyssopstair_routing::host::HostRouter;
 use hyssopstair_routing::loads::LoadTable;
 use hyssopstair_routing::view::RoutingView;
 use hyssopstair_wire::address::HostIncarnation;
@@ -89,7 +89,7 @@
 struct FleetProcess {
     roster: RosterState,
     config: ConfigState,
-    host: Option<HostGate>,
+    host: Option<HostRouter>,
     running: bool,
     paused_until: MonotonicTime,
     paused_since: MonotonicTime,
@@ -287,7 +287,7 @@
         FleetProcess {
             roster,
             config: ConfigState::default(),
-            host: service.map(HostGate::new),
+            host: service.map(HostRouter::new),
             running: true,
             paused_until: MonotonicTime::default(),
             paused_since: MonotonicTime::default(),
--- a/crates/routing/tests/host_rule.rs
+++ b/crates/routing/tests/host_rule.rs
@@ -1,4 +1,4 @@
-//! What a view says about the host that holds it.
+//! The rule in a view for the host that owns the view.
 
 mod fixture;
 
@@ -18,7 +18,7 @@
 ";
 
 #[test]
-fn rules_of_the_host_itself() {
+fn view_contains_rule_of_its_host() {
     let rules = Arc::new(RuleSet::parse(RULES).unwrap());
     let mut text = String::new();
     for (name, host) in [
@@ -29,12 +29,12 @@
     ] {
         let view = RoutingView::build(1, rules.clone(), &fixture::secret(), &[]);
         let view = view.with_host(name, fixture::address(host));
-        writeln!(text, "{name} {host}: {:?}", view.own).unwrap();
+        writeln!(text, "{name} {host}: {:?}", view.own_rule).unwrap();
     }
     expect![[r#"
-        leerplein 10.1.0.1:7000: Some(HostRule { service: ServiceId(1), connections: 2000, takes_new: true })
-        leerplein 10.1.0.2:7000: Some(HostRule { service: ServiceId(1), connections: 2000, takes_new: false })
-        diplomakluis 10.1.0.1:7000: Some(HostRule { service: ServiceId(2), connections: 2000, takes_new: false })
+        leerplein 10.1.0.1:7000: Some(HostRule { service: ServiceId(1), connections: 2000, accepts_new_flows: true })
+        leerplein 10.1.0.2:7000: Some(HostRule { service: ServiceId(1), connections: 2000, accepts_new_flows: false })
+        diplomakluis 10.1.0.1:7000: Some(HostRule { service: ServiceId(2), connections: 2000, accepts_new_flows: false })
         unknown 10.1.0.1:7000: None
     "#]].assert_eq(&text);
 }
