--- a/crates/flows/src/gate/mod.rs
+++ b/crates/flows/src/host/mod.rs
@@ -24,12 +24,12 @@
 
 use crate::event::BreakReason;
 use crate::event::FlowEvent;
-use crate::gate::load::LoadMeter;
-use crate::gate::records::FlowPhase;
-use crate::gate::records::FlowRecord;
-pub use crate::gate::server::CheckResult;
-pub use crate::gate::server::ServerCheck;
-use crate::gate::server::ServerWatch;
+use crate::host::load::LoadMeter;
+use crate::host::records::FlowPhase;
+use crate::host::records::FlowRecord;
+pub use crate::host::server::CheckResult;
+pub use crate::host::server::ServerCheck;
+use crate::host::server::ServerWatch;
 use crate::members::MemberTable;
 use crate::outbox::Destination;
 use crate::outbox::FlowOutbox;
@@ -39,7 +39,7 @@
 use crate::table::FlowTable;
 
 /// Time between two ticks.
-pub const GATE_TICK: Duration = Duration::from_millis(50);
+pub const HOST_TICK: Duration = Duration::from_millis(50);
 
 /// Time after its start in which a host hears from a server that lives: two
 /// heartbeats, which come every 1.2 s, and some more.
@@ -50,7 +50,7 @@
 
 /// What a host is told at its start.
 #[derive(Debug, Clone)]
-pub struct GateIdentity {
+pub struct HostIdentity {
     /// Its address.
     pub address: Ipv4Addr,
     /// Its availability zone.
@@ -65,8 +65,8 @@
 
 /// The decisions of one host.
 #[derive(Debug)]
-pub struct FlowGate {
-    identity: GateIdentity,
+pub struct FlowHost {
+    identity: HostIdentity,
     created: MonotonicTime,
     routes: RouteKeeper,
     members: MemberTable,
@@ -81,10 +81,10 @@
     ticked: MonotonicTime,
 }
 
-impl FlowGate {
+impl FlowHost {
     /// Creates the gate of a host that knows the addresses of some balancers.
-    pub fn new(identity: GateIdentity, contacts: Vec<Ipv4Addr>, now: MonotonicTime) -> Self {
-        let mut gate = Self {
+    pub fn new(identity: HostIdentity, contacts: Vec<Ipv4Addr>, now: MonotonicTime) -> Self {
+        let mut host = Self {
             identity,
             created: now,
             routes: RouteKeeper::default(),
@@ -100,8 +100,8 @@
             next_hello: now,
             ticked: now,
         };
-        gate.add_contacts(&contacts);
-        gate
+        host.add_contacts(&contacts);
+        host
     }
 
     /// Returns the routes in force.
--- a/crates/flows/src/gate/opening.rs
+++ b/crates/flows/src/host/opening.rs
@@ -17,9 +17,9 @@
 
 use crate::event::DropReason;
 use crate::event::FlowEvent;
-use crate::gate::FlowGate;
-use crate::gate::records::FlowPhase;
-use crate::gate::records::FlowRecord;
+use crate::host::FlowHost;
+use crate::host::records::FlowPhase;
+use crate::host::records::FlowRecord;
 use crate::outbox::FlowOutbox;
 use crate::packet::RawPacket;
 
@@ -42,7 +42,7 @@
     Refuse,
 }
 
-impl FlowGate {
+impl FlowHost {
     pub(super) fn receive_opening(
         &mut self,
         header: &CarryHeader,
--- a/crates/flows/src/gate/peers.rs
+++ b/crates/flows/src/host/peers.rs
@@ -10,15 +10,15 @@
 use hyssopstair_wire::time::MonotonicTime;
 
 use crate::event::FlowEvent;
-use crate::gate::FlowGate;
-use crate::gate::GATE_TICK;
-use crate::gate::records::FlowRecord;
+use crate::host::FlowHost;
+use crate::host::HOST_TICK;
+use crate::host::records::FlowRecord;
 use crate::members::HelloOutcome;
 use crate::outbox::FlowOutbox;
 use crate::packet::RawPacket;
 use crate::routes::RouteTable;
 
-impl FlowGate {
+impl FlowHost {
     /// Decides about a message of a peer. `packet` is the packet behind it,
     /// `behind` its bytes or those of another part.
     pub fn receive_peer(
@@ -85,7 +85,7 @@
 
     /// Returns when the next tick is due.
     pub fn next_tick(&self) -> MonotonicTime {
-        self.next_hello.min(self.ticked + GATE_TICK)
+        self.next_hello.min(self.ticked + HOST_TICK)
     }
 
     /// Returns how busy the server is.
--- a/crates/flows/src/gate/records.rs
+++ b/crates/flows/src/host/records.rs
@@ -11,8 +11,8 @@
 
 use crate::event::BreakReason;
 use crate::event::FlowEvent;
-use crate::gate::FlowGate;
-use crate::gate::SWEPT_SHARDS;
+use crate::host::FlowHost;
+use crate::host::SWEPT_SHARDS;
 use crate::outbox::FlowOutbox;
 use crate::packet::FlowPacket;
 
@@ -215,7 +215,7 @@
     }
 }
 
-impl FlowGate {
+impl FlowHost {
     pub(super) fn set_phase(&mut self, flow: &FlowKey, phase: FlowPhase) {
         let Some(record) = self.flows.get_mut(flow) else {
             return;
--- a/crates/flows/src/gate/server.rs
+++ b/crates/flows/src/host/server.rs
@@ -7,11 +7,11 @@
 
 use crate::event::FlowEvent;
 use crate::event::ServerEvidence;
-use crate::gate::FlowGate;
 use crate::heartbeat::HeartbeatLog;
 use crate::heartbeat::HeartbeatOrder;
 use crate::heartbeat::HeartbeatVerdict;
 use crate::heartbeat::ServerHeartbeat;
+use crate::host::FlowHost;
 use crate::outbox::FlowOutbox;
 
 /// Silence of a server that was handed a packet after which the host tries to
@@ -105,7 +105,7 @@
     }
 }
 
-impl FlowGate {
+impl FlowHost {
     /// Takes a heartbeat of the server.
     pub fn receive_heartbeat(
         &mut self,
--- a/crates/flows/src/lib.rs
+++ b/crates/flows/src/lib.rs
@@ -7,14 +7,14 @@
 //! takes it.
 //!
 //! Nothing here opens a socket or reads a clock. Read [`balancer`] for what a
-//! balancer does with a caller's packet, and [`gate`] for what a host does with
+//! balancer does with a caller's packet, and [`host`] for what a host does with
 //! it; [`outbox`] holds what either wants sent.
 
 pub mod balancer;
 pub mod event;
-pub mod gate;
 pub mod heartbeat;
 pub mod holding;
+pub mod host;
 pub mod members;
 pub mod outbox;
 pub mod packet;
--- a/crates/flows/tests/gate_restart.rs
+++ b/crates/flows/tests/gate_restart.rs
@@ -3,7 +3,7 @@
 mod fixture;
 
 use expect_test::expect;
-use hyssopstair_flows::gate::CheckResult;
+use hyssopstair_flows::host::CheckResult;
 use hyssopstair_flows::outbox::FlowOutbox;
 use hyssopstair_wire::carried::CarryHeader;
 use hyssopstair_wire::carried::CarryMessage;
--- a/crates/flows/tests/model/world/mod.rs
+++ b/crates/flows/tests/model/world/mod.rs
@@ -10,10 +10,10 @@
 
 use hyssopstair_flows::balancer::BalancerIdentity;
 use hyssopstair_flows::balancer::FlowBalancer;
-use hyssopstair_flows::gate::CheckResult;
-use hyssopstair_flows::gate::FlowGate;
-use hyssopstair_flows::gate::GateIdentity;
-use hyssopstair_flows::gate::ServerCheck;
+use hyssopstair_flows::host::CheckResult;
+use hyssopstair_flows::host::FlowHost;
+use hyssopstair_flows::host::HostIdentity;
+use hyssopstair_flows::host::ServerCheck;
 use hyssopstair_flows::members::HostRecord;
 use hyssopstair_flows::outbox::Destination;
 use hyssopstair_flows::outbox::FlowOutbox;
@@ -196,7 +196,7 @@
 #[derive(Debug)]
 enum Part {
     Balancer(FlowBalancer),
-    Host(FlowGate),
+    Host(FlowHost),
 }
 
 #[derive(Debug)]
@@ -422,14 +422,14 @@
             Part::Balancer(balancer)
         } else {
             let service = self.service_of(address.octets()[3]).to_owned();
-            let identity = GateIdentity {
+            let identity = HostIdentity {
                 address,
                 zone,
                 service,
                 started,
                 max_flow_age,
             };
-            let mut gate = FlowGate::new(identity, contacts, now);
+            let mut gate = FlowHost::new(identity, contacts, now);
             gate.set_routes(table, &mut self.outbox);
             Part::Host(gate)
         };
--- a/crates/hyssopstaird/src/carry/checks.rs
+++ b/crates/hyssopstaird/src/carry/checks.rs
@@ -6,8 +6,8 @@
 use http_body_util::Empty;
 use hyper::client::conn::http1;
 use hyper_util::rt::TokioIo;
-use hyssopstair_flows::gate::CheckResult;
-use hyssopstair_flows::gate::ServerCheck;
+use hyssopstair_flows::host::CheckResult;
+use hyssopstair_flows::host::ServerCheck;
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
--- a/crates/hyssopstaird/src/carry/command.rs
+++ b/crates/hyssopstaird/src/carry/command.rs
@@ -6,8 +6,8 @@
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
 
-use hyssopstair_flows::gate::CheckResult;
 use hyssopstair_flows::heartbeat::ServerHeartbeat;
+use hyssopstair_flows::host::CheckResult;
 use hyssopstair_flows::routes::RouteTable;
 use tokio::sync::oneshot;
 
--- a/crates/hyssopstaird/src/carry/part.rs
+++ b/crates/hyssopstaird/src/carry/part.rs
@@ -3,7 +3,7 @@
 use std::net::Ipv4Addr;
 
 use hyssopstair_flows::balancer::FlowBalancer;
-use hyssopstair_flows::gate::FlowGate;
+use hyssopstair_flows::host::FlowHost;
 use hyssopstair_flows::outbox::FlowOutbox;
 use hyssopstair_flows::packet::RawPacket;
 use hyssopstair_flows::routes::RouteTable;
@@ -16,7 +16,7 @@
     /// Those of a balancer.
     Balancer(Box<FlowBalancer>),
     /// Those of a host.
-    Host(Box<FlowGate>),
+    Host(Box<FlowHost>),
 }
 
 impl CarryPart {
--- a/crates/hyssopstaird/src/carry/process.rs
+++ b/crates/hyssopstaird/src/carry/process.rs
@@ -14,9 +14,9 @@
 use hyssopstair_flows::balancer::FlowBalancer;
 use hyssopstair_flows::event::DropReason;
 use hyssopstair_flows::event::FlowEvent;
-use hyssopstair_flows::gate::FlowGate;
-use hyssopstair_flows::gate::GateIdentity;
 use hyssopstair_flows::heartbeat::HeartbeatVerdict;
+use hyssopstair_flows::host::FlowHost;
+use hyssopstair_flows::host::HostIdentity;
 use hyssopstair_flows::outbox::Destination;
 use hyssopstair_flows::outbox::FlowOutbox;
 use hyssopstair_flows::packet::RawPacket;
@@ -442,14 +442,14 @@
     let max_flow_age = settings.max_flow_age();
     match &settings.server {
         Some(server) if settings.role == CarryRole::Host => {
-            let identity = GateIdentity {
+            let identity = HostIdentity {
                 address,
                 zone: settings.zone.clone(),
                 service: server.service.clone(),
                 started: unix_millis(),
                 max_flow_age,
             };
-            CarryPart::Host(Box::new(FlowGate::new(identity, contacts, now)))
+            CarryPart::Host(Box::new(FlowHost::new(identity, contacts, now)))
         }
         _ => {
             let identity = BalancerIdentity {
