--- a/crates/flows/examples/carry_cost.rs
+++ b/crates/flows/examples/carry_cost.rs
@@ -10,7 +10,7 @@
 use hyssopstair_flows::balancer::BalancerIdentity;
 use hyssopstair_flows::balancer::FlowBalancer;
 use hyssopstair_flows::outbox::FlowOutbox;
-use hyssopstair_flows::packet::FlowPacket;
+use hyssopstair_flows::packet::PacketHeader;
 use hyssopstair_flows::packet::RawPacket;
 use hyssopstair_flows::routes::RequestKind;
 use hyssopstair_flows::routes::RouteRule;
@@ -34,9 +34,9 @@
     Ipv4Addr::from(0x0a01_0000 + number)
 }
 
-fn packet(flow: u32, is_open: bool) -> FlowPacket {
+fn packet(flow: u32, is_open: bool) -> PacketHeader {
     let caller = Ipv4Addr::from(0x6440_0000 + flow / 50_000);
-    FlowPacket {
+    PacketHeader {
         source: SocketAddrV4::new(caller, 1_024 + (flow % 50_000) as u16),
         destination: target(),
         is_open,
--- a/crates/flows/src/balancer/mod.rs
+++ b/crates/flows/src/balancer/mod.rs
@@ -177,7 +177,7 @@
             self.receive_opening(packet, now, outbox);
         } else if header.is_open {
             // Only servers answer an opening packet.
-            outbox.note(FlowEvent::Dropped {
+            outbox.record_event(FlowEvent::Dropped {
                 reason: DropReason::Malformed,
             });
         } else {
@@ -250,7 +250,7 @@
         outbox: &mut FlowOutbox,
     ) {
         let header = self.header(purpose);
-        outbox.send_message(host, &CarryMessage::Forward(header), bytes);
+        outbox.enqueue_message(host, &CarryMessage::Forward(header), bytes);
     }
 
     fn header(&self, purpose: ForwardPurpose) -> CarryHeader {
@@ -297,7 +297,7 @@
             if !self.members.balancers().is_empty() {
                 self.contacts.retain(|contact| *contact != peer);
             }
-            outbox.note(FlowEvent::PeerLost {
+            outbox.record_event(FlowEvent::PeerLost {
                 peer,
                 silent_millis: silence.as_millis() as u32,
             });
--- a/crates/flows/src/balancer/opening.rs
+++ b/crates/flows/src/balancer/opening.rs
@@ -16,8 +16,8 @@
 use crate::event::FlowEvent;
 use crate::event::RefusalReason;
 use crate::holding::HeldFlow;
-use crate::holding::copy_age;
-use crate::holding::hold_limit;
+use crate::holding::max_hold_time;
+use crate::holding::opening_age;
 use crate::outbox::FlowOutbox;
 use crate::packet::RawPacket;
 use crate::placing::order_candidates;
@@ -102,7 +102,9 @@
         let new = NewFlow {
             flow,
             arrived: pending.map_or(now, |opening| opening.arrived),
-            age: pending.map_or(copy_age(packet.header.acknowledged), |opening| opening.age),
+            age: pending.map_or(opening_age(packet.header.acknowledged), |opening| {
+                opening.age
+            }),
             attempt: pending.map_or(0, |opening| opening.attempt),
             tried: pending.map_or_else(Default::default, |opening| opening.tried.clone()),
             bytes: packet.bytes.to_vec(),
@@ -114,7 +116,7 @@
     /// Offers a flow to the best hosts that were not asked before.
     fn offer(&mut self, new: NewFlow, now: MonotonicTime, outbox: &mut FlowOutbox) {
         if self.routes.table().version() == 0 {
-            outbox.note(FlowEvent::Dropped {
+            outbox.record_event(FlowEvent::Dropped {
                 reason: DropReason::NotReady,
             });
             return;
@@ -134,7 +136,7 @@
             next: next.iter().copied().collect(),
             ..self.header(ForwardPurpose::Open)
         };
-        outbox.send_message(first, &CarryMessage::Forward(header), &new.bytes);
+        outbox.enqueue_message(first, &CarryMessage::Forward(header), &new.bytes);
         self.openings.push(PendingOpening {
             flow: new.flow,
             host: first,
@@ -220,7 +222,7 @@
         for held in self.held.take_expired(now) {
             self.refuse(held.flow, RefusalReason::NoCapacity, outbox);
         }
-        if let Some(held) = self.held.take_first(now, |_| true) {
+        if let Some(held) = self.held.take_next(now, |_| true) {
             self.offer(NewFlow::from(held), now, outbox);
         }
     }
@@ -231,7 +233,7 @@
             return;
         };
         let routes = self.routes.table();
-        let next = self.held.take_first(now, |held| {
+        let next = self.held.take_next(now, |held| {
             let route = routes.route(held.flow.target);
             route.and_then(|route| route.service_of(&held.flow)) == Some(service.as_str())
         });
@@ -253,9 +255,9 @@
         } else {
             RefusalReason::NoCapacity
         };
-        let until = new.arrived + hold_limit(facts.timeout, has_settled);
+        let deadline = new.arrived + max_hold_time(facts.timeout, has_settled);
         let is_hopeless = has_settled && reason == RefusalReason::NoHost;
-        if is_hopeless || now >= until {
+        if is_hopeless || now >= deadline {
             self.refuse(new.flow, reason, outbox);
             return;
         }
@@ -264,7 +266,7 @@
             priority: facts.priority,
             arrived: new.arrived,
             age: new.age,
-            until,
+            deadline,
             bytes: new.bytes,
         });
         if let Some(held) = refused {
@@ -294,8 +296,8 @@
     }
 
     fn refuse(&self, flow: FlowKey, reason: RefusalReason, outbox: &mut FlowOutbox) {
-        outbox.send_reset(flow, 0);
-        outbox.note(FlowEvent::Refused {
+        outbox.enqueue_reset(flow, 0);
+        outbox.record_event(FlowEvent::Refused {
             flow,
             reason,
             routes: self.routes.table().version(),
@@ -315,7 +317,7 @@
             return;
         };
         record.sent_since = record.sent_since.saturating_add(1);
-        outbox.note(FlowEvent::Placed {
+        outbox.record_event(FlowEvent::Placed {
             flow,
             host,
             routes,
--- a/crates/flows/src/balancer/peers.rs
+++ b/crates/flows/src/balancer/peers.rs
@@ -81,7 +81,7 @@
                 }
             }
             CarryMessage::Forward(_) | CarryMessage::Locate { .. } => {
-                outbox.note(FlowEvent::Dropped {
+                outbox.record_event(FlowEvent::Dropped {
                     reason: DropReason::Malformed,
                 })
             }
@@ -123,11 +123,11 @@
         }
         let is_new = outcome == HelloOutcome::Met;
         if is_new {
-            outbox.note(FlowEvent::PeerMet { peer: from });
+            outbox.record_event(FlowEvent::PeerMet { peer: from });
         }
         if is_new || hello.wants_answer {
             let answer = self.hello(false, now);
-            outbox.send_message(from, &CarryMessage::Hello(answer), &[]);
+            outbox.enqueue_message(from, &CarryMessage::Hello(answer), &[]);
         }
         match &hello.role {
             HelloRole::Host(host) => {
@@ -167,7 +167,7 @@
         let plain = CarryMessage::Hello(self.hello(false, now));
         let question = CarryMessage::Hello(self.hello(true, now));
         for host in self.members.hosts() {
-            outbox.send_message(host.peer.address, &plain, &[]);
+            outbox.enqueue_message(host.peer.address, &plain, &[]);
         }
         for contact in &self.contacts {
             let message = if self.members.has_balancer(*contact) {
@@ -175,7 +175,7 @@
             } else {
                 &question
             };
-            outbox.send_message(*contact, message, &[]);
+            outbox.enqueue_message(*contact, message, &[]);
         }
     }
 
@@ -238,7 +238,7 @@
                 owner: host,
                 flows: batch.to_vec(),
             };
-            outbox.send_message(peer, &message, &[]);
+            outbox.enqueue_message(peer, &message, &[]);
         }
     }
 
--- a/crates/flows/src/balancer/search.rs
+++ b/crates/flows/src/balancer/search.rs
@@ -25,7 +25,7 @@
 use crate::balancer::FlowBalancer;
 use crate::event::BreakReason;
 use crate::event::FlowEvent;
-use crate::event::SilentHost;
+use crate::event::UnresponsiveHost;
 use crate::members::MemberTable;
 use crate::members::UNREACHABLE_AFTER;
 use crate::outbox::FlowOutbox;
@@ -178,7 +178,7 @@
         if self.searches.len() >= MAX_SEARCHES {
             return;
         }
-        outbox.note(FlowEvent::Searching {
+        outbox.record_event(FlowEvent::Searching {
             flow,
             hosts: self.members.hosts().len() as u16,
         });
@@ -304,10 +304,10 @@
             Some(now.since(record.peer.heard).as_millis() as u32)
         };
         let undecided = search.undecided().take(MAX_NAMED);
-        outbox.note(FlowEvent::Unowned {
+        outbox.record_event(FlowEvent::Unowned {
             flow: search.flow,
             undecided: undecided
-                .map(|host| SilentHost {
+                .map(|host| UnresponsiveHost {
                     host,
                     silent_millis: silence(host),
                 })
@@ -329,7 +329,7 @@
             for batch in questions.chunks(MAX_QUESTIONS) {
                 self.questions_allowed = self.questions_allowed + QUESTION_PACE;
                 let questions = batch.to_vec();
-                outbox.send_message(host, &CarryMessage::Locate { questions }, &[]);
+                outbox.enqueue_message(host, &CarryMessage::Locate { questions }, &[]);
             }
         }
     }
@@ -375,7 +375,7 @@
         while search.probing.len() < MAX_PROBES && !search.doubtful.is_empty() {
             let host = search.doubtful.remove(0);
             search.asked = now;
-            outbox.send_message(host, &message, &search.packets[0]);
+            outbox.enqueue_message(host, &message, &search.packets[0]);
             search.probing.push(host);
         }
     }
@@ -437,8 +437,8 @@
             return;
         }
         let search = self.searches.remove(index);
-        outbox.send_reset(search.flow, search.acknowledged.unwrap_or_default());
-        outbox.note(FlowEvent::Broken {
+        outbox.enqueue_reset(search.flow, search.acknowledged.unwrap_or_default());
+        outbox.record_event(FlowEvent::Broken {
             flow: search.flow,
             reason: BreakReason::ServerForgot,
         });
--- a/crates/flows/src/event.rs
+++ b/crates/flows/src/event.rs
@@ -71,7 +71,7 @@
         /// The flow.
         flow: FlowKey,
         /// Hosts that did not answer, four at most.
-        undecided: Vec<SilentHost>,
+        undecided: Vec<UnresponsiveHost>,
     },
     /// A host measured how long its server took to answer.
     Answered {
@@ -96,7 +96,7 @@
         /// The state now.
         state: ServerState,
         /// What told so.
-        source: ServerEvidence,
+        source: ServerStateSource,
     },
     /// A peer was met, or met again after a restart.
     PeerMet {
@@ -126,7 +126,7 @@
 
 /// A host that did not say whether it holds a flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct SilentHost {
+pub struct UnresponsiveHost {
     /// Its address.
     pub host: Ipv4Addr,
     /// Time since it was heard last, in milliseconds; nothing if it is not known
@@ -187,7 +187,7 @@
     ];
 
     /// Returns the name of the kind's counter.
-    pub fn metric(self) -> &'static str {
+    pub fn metric_name(self) -> &'static str {
         match self {
             Self::Placed => "hyssopstair.flow.placed",
             Self::PassedOn => "hyssopstair.flow.passed_on",
@@ -207,7 +207,7 @@
     }
 
     /// Returns what the counter counts.
-    pub fn description(self) -> &'static str {
+    pub fn metric_description(self) -> &'static str {
         match self {
             Self::Placed => "New flows sent to hosts",
             Self::PassedOn => "New flows passed on to other hosts",
@@ -271,7 +271,7 @@
 
 /// What told a host about its server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ServerEvidence {
+pub enum ServerStateSource {
     /// A heartbeat.
     Heartbeat,
     /// A health check.
--- a/crates/flows/src/heartbeat.rs
+++ b/crates/flows/src/heartbeat.rs
@@ -14,7 +14,7 @@
     /// Name of this life of the server.
     pub id: String,
     /// Start of this life, in milliseconds since the Unix epoch, by its clock.
-    pub born_unix_millis: u64,
+    pub started_unix_millis: u64,
     /// Counts the heartbeats of this life.
     pub sequence: u64,
     /// Name of the service.
@@ -24,7 +24,7 @@
     /// Requests that it works on at the same time.
     pub slots: u16,
     /// How much longer it stays slow after its start, in milliseconds.
-    pub cold_millis: u32,
+    pub cold_remaining_millis: u32,
 }
 
 /// What a host does with a heartbeat.
@@ -38,7 +38,7 @@
 
 /// The heartbeats of one server, in order.
 #[derive(Debug, Default)]
-pub struct HeartbeatLog {
+pub struct HeartbeatTracker {
     last: Option<ServerHeartbeat>,
     /// When it came.
     heard: MonotonicTime,
@@ -53,12 +53,12 @@
     /// not noticed.
     Next,
     /// The first one of a new life.
-    NewLife,
+    NewIncarnation,
     /// One that was overtaken.
     Late,
 }
 
-impl HeartbeatLog {
+impl HeartbeatTracker {
     /// Returns the newest heartbeat.
     pub fn last(&self) -> Option<&ServerHeartbeat> {
         self.last.as_ref()
@@ -77,7 +77,9 @@
                     HeartbeatOrder::Late
                 }
             }
-            Some(last) if beat.born_unix_millis > last.born_unix_millis => HeartbeatOrder::NewLife,
+            Some(last) if beat.started_unix_millis > last.started_unix_millis => {
+                HeartbeatOrder::NewIncarnation
+            }
             Some(_) => self.compare_earlier(beat, now),
         };
         if order == HeartbeatOrder::Late {
@@ -105,5 +107,5 @@
 }
 
 fn is_same_life(one: &ServerHeartbeat, other: &ServerHeartbeat) -> bool {
-    one.id == other.id && one.born_unix_millis == other.born_unix_millis
+    one.id == other.id && one.started_unix_millis == other.started_unix_millis
 }
--- a/crates/flows/src/holding.rs
+++ b/crates/flows/src/holding.rs
@@ -49,13 +49,13 @@
     /// Age of the flow at that time.
     pub age: Duration,
     /// Until when it waits.
-    pub until: MonotonicTime,
+    pub deadline: MonotonicTime,
     /// Its opening packet.
     pub bytes: Vec<u8>,
 }
 
 /// Returns the age of a flow whose opening packet is copy number `copy`, from 0.
-pub fn copy_age(copy: u32) -> Duration {
+pub fn opening_age(copy: u32) -> Duration {
     let last = COPY_AGES.len() - 1;
     COPY_AGES[(copy as usize).min(last)]
 }
@@ -63,7 +63,7 @@
 /// Returns how long a flow may wait whose requests have `timeout` in all. While
 /// hosts are still being met nobody knows that it cannot be served, and it waits
 /// as long as its caller does.
-pub fn hold_limit(timeout: Duration, has_settled: bool) -> Duration {
+pub fn max_hold_time(timeout: Duration, has_settled: bool) -> Duration {
     if has_settled {
         (timeout / HOLD_DIVISOR).min(LONGEST_HOLD)
     } else {
@@ -98,7 +98,7 @@
     }
 
     /// Takes the flow that goes first of those for which `matches` holds.
-    pub fn take_first(
+    pub fn take_next(
         &mut self,
         now: MonotonicTime,
         matches: impl Fn(&HeldFlow) -> bool,
@@ -116,7 +116,7 @@
     pub fn take_expired(&mut self, now: MonotonicTime) -> Vec<HeldFlow> {
         let (expired, held) = std::mem::take(&mut self.held)
             .into_iter()
-            .partition(|held| now >= held.until);
+            .partition(|held| now >= held.deadline);
         self.held = held;
         expired
     }
--- a/crates/flows/src/host/mod.rs
+++ b/crates/flows/src/host/mod.rs
@@ -152,7 +152,7 @@
     }
 
     /// Decides about a caller's packet that a balancer or a host sent.
-    pub fn receive_forwarded(
+    pub fn receive_forwarded_packet(
         &mut self,
         header: &CarryHeader,
         packet: &RawPacket<'_>,
@@ -173,7 +173,7 @@
     }
 
     /// Decides about a packet that the server sent.
-    pub fn receive_server(
+    pub fn receive_server_packet(
         &mut self,
         packet: &RawPacket<'_>,
         now: MonotonicTime,
@@ -186,7 +186,7 @@
         }
         let header = &packet.header;
         let flow = header.server_flow();
-        outbox.send_packet(Destination::Caller(*flow.caller.ip()), packet.bytes);
+        outbox.enqueue_packet(Destination::Caller(*flow.caller.ip()), packet.bytes);
         self.note_answer(&flow, packet, now, outbox);
     }
 
@@ -202,7 +202,7 @@
                 if !self.members.balancers().is_empty() {
                     self.contacts.retain(|contact| *contact != peer);
                 }
-                outbox.note(FlowEvent::PeerLost {
+                outbox.record_event(FlowEvent::PeerLost {
                     peer,
                     silent_millis: silence.as_millis() as u32,
                 });
@@ -244,7 +244,7 @@
                 return;
             }
             FlowPhase::Broken => {
-                outbox.send_reset(flow, packet.header.acknowledged);
+                outbox.enqueue_reset(flow, packet.header.acknowledged);
                 return;
             }
             FlowPhase::Offered if !record.continues(acknowledged) => {
@@ -304,11 +304,11 @@
             },
             purpose => {
                 let message = CarryMessage::Returned { purpose };
-                outbox.send_message(header.balancer, &message, packet.bytes);
+                outbox.enqueue_message(header.balancer, &message, packet.bytes);
                 return;
             }
         };
-        outbox.send_message(header.balancer, &message, &[]);
+        outbox.enqueue_message(header.balancer, &message, &[]);
     }
 
     /// Tells a balancer which of the flows that it looks for the server holds.
@@ -345,7 +345,7 @@
         for (flows, is_certain) in [(denied, true), (doubtful, false)] {
             if !flows.is_empty() {
                 let message = CarryMessage::NotHeld { flows, is_certain };
-                outbox.send_message(from, &message, &[]);
+                outbox.enqueue_message(from, &message, &[]);
             }
         }
     }
@@ -358,7 +358,7 @@
         now: MonotonicTime,
         outbox: &mut FlowOutbox,
     ) {
-        outbox.send_packet(Destination::Server, packet.bytes);
+        outbox.enqueue_packet(Destination::Server, packet.bytes);
         self.server.note_delivered(now);
         let Some(record) = self.flows.get_mut(flow) else {
             return;
@@ -441,13 +441,13 @@
     ) {
         if is_answer {
             self.load.end_request(took);
-            outbox.note(FlowEvent::Answered {
+            outbox.record_event(FlowEvent::Answered {
                 flow: *flow,
                 micros: took.as_micros() as u32,
             });
         } else {
             self.load.fail_request();
-            outbox.note(FlowEvent::Unanswered {
+            outbox.record_event(FlowEvent::Unanswered {
                 flow: *flow,
                 waited_millis: took.as_millis() as u32,
                 is_closed: true,
@@ -479,8 +479,8 @@
             }
             FlowPhase::Open => {
                 self.set_phase(&flow, FlowPhase::Broken);
-                outbox.send_reset(flow, packet.header.acknowledged);
-                outbox.note(FlowEvent::Broken {
+                outbox.enqueue_reset(flow, packet.header.acknowledged);
+                outbox.record_event(FlowEvent::Broken {
                     flow,
                     reason: BreakReason::ServerForgot,
                 });
@@ -500,6 +500,6 @@
             return;
         }
         let load = self.report(now);
-        outbox.send_message(balancer, &CarryMessage::Owned { flow, load }, &[]);
+        outbox.enqueue_message(balancer, &CarryMessage::Owned { flow, load }, &[]);
     }
 }
--- a/crates/flows/src/host/opening.rs
+++ b/crates/flows/src/host/opening.rs
@@ -57,7 +57,7 @@
         }
         let known = self.flows.get(&flow);
         if known.is_some_and(|record| record.is_reopened_by(&packet.header)) {
-            outbox.note(FlowEvent::Dropped {
+            outbox.record_event(FlowEvent::Dropped {
                 reason: DropReason::Repeated,
             });
             return;
@@ -154,7 +154,7 @@
             FlowRecord::offered(header.clone(), &packet.header, now),
         );
         self.load.begin_offer(now);
-        outbox.note(FlowEvent::Offered {
+        outbox.record_event(FlowEvent::Offered {
             flow,
             balancer: header.balancer,
             in_progress: self.load.in_progress(now),
@@ -199,7 +199,7 @@
                 let message = CarryMessage::Returned {
                     purpose: header.purpose,
                 };
-                outbox.send_message(header.balancer, &message, packet.bytes);
+                outbox.enqueue_message(header.balancer, &message, packet.bytes);
             }
         }
     }
@@ -212,12 +212,12 @@
         now: MonotonicTime,
         outbox: &mut FlowOutbox,
     ) {
-        outbox.note(FlowEvent::PassedOn {
+        outbox.record_event(FlowEvent::PassedOn {
             flow: packet.header.caller_flow(),
             host,
             server: self.server.state(),
             in_progress: self.load.in_progress(now),
         });
-        outbox.send_message(host, &CarryMessage::Forward(header), packet.bytes);
+        outbox.enqueue_message(host, &CarryMessage::Forward(header), packet.bytes);
     }
 }
--- a/crates/flows/src/host/peers.rs
+++ b/crates/flows/src/host/peers.rs
@@ -33,7 +33,7 @@
         match message {
             CarryMessage::Forward(header) => {
                 if let Some(packet) = packet {
-                    self.receive_forwarded(header, packet, now, outbox);
+                    self.receive_forwarded_packet(header, packet, now, outbox);
                 }
             }
             CarryMessage::Locate { questions } => {
@@ -108,7 +108,7 @@
         self.hello_number += 1;
         for contact in &self.contacts {
             let hello = self.hello(!self.members.has_balancer(*contact), now);
-            outbox.send_message(*contact, &CarryMessage::Hello(hello), &[]);
+            outbox.enqueue_message(*contact, &CarryMessage::Hello(hello), &[]);
         }
     }
 
@@ -142,14 +142,14 @@
             return;
         }
         if outcome == HelloOutcome::Met {
-            outbox.note(FlowEvent::PeerMet { peer: from });
+            outbox.record_event(FlowEvent::PeerMet { peer: from });
         }
         if let HelloRole::Balancer(balancer) = &hello.role {
             self.add_contacts(&balancer.balancers);
             self.add_contacts(&[from]);
             if outcome == HelloOutcome::Met {
                 let answer = CarryMessage::Hello(self.hello(false, now));
-                outbox.send_message(from, &answer, &[]);
+                outbox.enqueue_message(from, &answer, &[]);
             }
         }
         self.routes.ask(from, hello.routes, now, outbox);
--- a/crates/flows/src/host/records.rs
+++ b/crates/flows/src/host/records.rs
@@ -14,7 +14,7 @@
 use crate::host::FlowHost;
 use crate::host::SWEPT_SHARDS;
 use crate::outbox::FlowOutbox;
-use crate::packet::FlowPacket;
+use crate::packet::PacketHeader;
 
 /// Time for which a flow that has ended is known, for packets that are still on
 /// their way; the longest pause between two repetitions is 1.6 s.
@@ -78,7 +78,7 @@
 
 impl FlowRecord {
     /// A flow whose opening packet the server gets.
-    pub(super) fn offered(origin: CarryHeader, opening: &FlowPacket, now: MonotonicTime) -> Self {
+    pub(super) fn offered(origin: CarryHeader, opening: &PacketHeader, now: MonotonicTime) -> Self {
         Self {
             phase: FlowPhase::Offered,
             opened_at: Some(opening.sequence),
@@ -139,7 +139,7 @@
 
     /// Returns whether an opening packet is a late copy of the one that opened this
     /// flow. A new flow from the same port starts at another position.
-    pub(super) fn is_reopened_by(&self, header: &FlowPacket) -> bool {
+    pub(super) fn is_reopened_by(&self, header: &PacketHeader) -> bool {
         let is_past = matches!(
             self.phase,
             FlowPhase::Open | FlowPhase::Closed | FlowPhase::Broken
@@ -168,13 +168,13 @@
 
     /// Returns whether a server's packet ends its stream behind data that the caller
     /// does not have yet. The end may overtake the data.
-    pub(super) fn ends_with_answer(&self, header: &FlowPacket) -> bool {
+    pub(super) fn ends_with_answer(&self, header: &PacketHeader) -> bool {
         header.is_finish && header.sequence.wrapping_sub(self.acknowledged) as i32 > 0
     }
 
     /// Returns whether the packet has data that the server was not handed before,
     /// and notes it as handed over.
-    pub(super) fn hand_new_data(&mut self, header: &FlowPacket) -> bool {
+    pub(super) fn hand_new_data(&mut self, header: &PacketHeader) -> bool {
         let end = header.sequence.wrapping_add(u32::from(header.data_length));
         // The difference as a signed number orders positions across the wrap.
         let is_new = self
@@ -247,7 +247,7 @@
                 flows: vec![*flow],
                 is_certain: true,
             };
-            outbox.send_message(record.balancer, &message, &[]);
+            outbox.enqueue_message(record.balancer, &message, &[]);
         }
     }
 
@@ -262,8 +262,8 @@
                 record.phase = FlowPhase::Broken;
             }
             if let Some(position) = position.filter(|_| was_open) {
-                outbox.send_reset(*flow, position);
-                outbox.note(FlowEvent::Broken {
+                outbox.enqueue_reset(*flow, position);
+                outbox.record_event(FlowEvent::Broken {
                     flow: *flow,
                     reason: BreakReason::ServerEnded,
                 });
@@ -281,7 +281,7 @@
             if let Some(waited) = waited.filter(|waited| *waited >= REQUEST_MEMORY) {
                 record.asked_at = None;
                 load.drop_request();
-                outbox.note(FlowEvent::Unanswered {
+                outbox.record_event(FlowEvent::Unanswered {
                     flow: *flow,
                     waited_millis: waited.as_millis() as u32,
                     is_closed: false,
--- a/crates/flows/src/host/server.rs
+++ b/crates/flows/src/host/server.rs
@@ -6,9 +6,9 @@
 use hyssopstair_wire::time::MonotonicTime;
 
 use crate::event::FlowEvent;
-use crate::event::ServerEvidence;
-use crate::heartbeat::HeartbeatLog;
+use crate::event::ServerStateSource;
 use crate::heartbeat::HeartbeatOrder;
+use crate::heartbeat::HeartbeatTracker;
 use crate::heartbeat::HeartbeatVerdict;
 use crate::heartbeat::ServerHeartbeat;
 use crate::host::FlowHost;
@@ -38,7 +38,7 @@
     /// Nothing listens there.
     Refused,
     /// There was no answer.
-    Silent,
+    NoResponse,
 }
 
 /// Which attempt the host is to make next.
@@ -54,7 +54,7 @@
 #[derive(Debug)]
 pub(super) struct ServerWatch {
     state: ServerState,
-    beats: HeartbeatLog,
+    beats: HeartbeatTracker,
     heard: MonotonicTime,
     delivered: Option<MonotonicTime>,
     checked: Option<MonotonicTime>,
@@ -68,7 +68,7 @@
     pub(super) fn new(now: MonotonicTime) -> Self {
         Self {
             state: ServerState::Unknown,
-            beats: HeartbeatLog::default(),
+            beats: HeartbeatTracker::default(),
             heard: now,
             delivered: None,
             checked: None,
@@ -117,7 +117,7 @@
         let order = self.server.beats.record(beat, now);
         match order {
             HeartbeatOrder::Late => return HeartbeatVerdict::Outdated,
-            HeartbeatOrder::NewLife => {
+            HeartbeatOrder::NewIncarnation => {
                 self.break_all(outbox);
                 self.is_relearning = false;
                 self.server.started = Some(now);
@@ -139,7 +139,7 @@
         } else {
             ServerState::Ready
         };
-        self.set_server_state(state, ServerEvidence::Heartbeat, outbox);
+        self.set_server_state(state, ServerStateSource::Heartbeat, outbox);
         HeartbeatVerdict::Accepted
     }
 
@@ -148,12 +148,12 @@
         let is_present = self.server.beats.last().is_none_or(|beat| beat.id == id);
         if is_present {
             self.server.is_ending = true;
-            self.set_server_state(ServerState::Draining, ServerEvidence::Heartbeat, outbox);
+            self.set_server_state(ServerState::Draining, ServerStateSource::Heartbeat, outbox);
         }
     }
 
     /// Returns the attempt to reach the server that is due, if any.
-    pub fn due_check(&mut self, now: MonotonicTime) -> Option<ServerCheck> {
+    pub fn take_due_check(&mut self, now: MonotonicTime) -> Option<ServerCheck> {
         let recent = self
             .server
             .checked
@@ -175,7 +175,7 @@
     }
 
     /// Takes the result of an attempt to reach the server.
-    pub fn receive_check(
+    pub fn receive_check_result(
         &mut self,
         result: CheckResult,
         now: MonotonicTime,
@@ -184,7 +184,7 @@
         let before = self.server.state;
         match result {
             CheckResult::Refused => {
-                self.set_server_state(ServerState::Down, ServerEvidence::Connect, outbox);
+                self.set_server_state(ServerState::Down, ServerStateSource::Connect, outbox);
                 if before != ServerState::Down {
                     self.break_all(outbox);
                 }
@@ -192,20 +192,24 @@
                 self.server.delivered = None;
             }
             CheckResult::Healthy if before == ServerState::Unknown => {
-                self.set_server_state(ServerState::Ready, ServerEvidence::HealthCheck, outbox);
+                self.set_server_state(ServerState::Ready, ServerStateSource::HealthCheck, outbox);
             }
             CheckResult::Unhealthy if before == ServerState::Unknown => {
-                self.set_server_state(ServerState::Draining, ServerEvidence::HealthCheck, outbox);
+                self.set_server_state(
+                    ServerState::Draining,
+                    ServerStateSource::HealthCheck,
+                    outbox,
+                );
             }
             CheckResult::Connected => self.server.note_heard(now),
-            CheckResult::Healthy | CheckResult::Unhealthy | CheckResult::Silent => {}
+            CheckResult::Healthy | CheckResult::Unhealthy | CheckResult::NoResponse => {}
         }
     }
 
     fn set_server_state(
         &mut self,
         state: ServerState,
-        source: ServerEvidence,
+        source: ServerStateSource,
         outbox: &mut FlowOutbox,
     ) {
         let before = self.server.state;
@@ -213,7 +217,7 @@
             return;
         }
         self.server.state = state;
-        outbox.note(FlowEvent::Server {
+        outbox.record_event(FlowEvent::Server {
             before,
             state,
             source,
--- a/crates/flows/src/outbox.rs
+++ b/crates/flows/src/outbox.rs
@@ -39,14 +39,14 @@
 
 impl FlowOutbox {
     /// Adds a packet for a caller or the server, as it was written.
-    pub fn send_packet(&mut self, destination: Destination, bytes: &[u8]) {
+    pub fn enqueue_packet(&mut self, destination: Destination, bytes: &[u8]) {
         let start = self.buffer.len();
         self.buffer.extend_from_slice(bytes);
         self.datagrams.push((destination, start..self.buffer.len()));
     }
 
     /// Adds a message for a peer, with the bytes that go behind it.
-    pub fn send_message(&mut self, peer: Ipv4Addr, message: &CarryMessage, behind: &[u8]) {
+    pub fn enqueue_message(&mut self, peer: Ipv4Addr, message: &CarryMessage, behind: &[u8]) {
         let start = self.buffer.len();
         message.encode(&mut self.buffer);
         self.buffer.extend_from_slice(behind);
@@ -55,12 +55,12 @@
     }
 
     /// Adds a reset.
-    pub fn send_reset(&mut self, flow: FlowKey, sequence: u32) {
+    pub fn enqueue_reset(&mut self, flow: FlowKey, sequence: u32) {
         self.resets.push(FlowReset { flow, sequence });
     }
 
     /// Adds an event for the logs and metrics.
-    pub fn note(&mut self, event: FlowEvent) {
+    pub fn record_event(&mut self, event: FlowEvent) {
         self.events.push(event);
     }
 
--- a/crates/flows/src/packet.rs
+++ b/crates/flows/src/packet.rs
@@ -6,7 +6,7 @@
 
 /// The header of a packet, without its bytes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct FlowPacket {
+pub struct PacketHeader {
     /// The end that wrote the packet.
     pub source: SocketAddrV4,
     /// The end that it is for.
@@ -29,7 +29,7 @@
     pub data_length: u16,
 }
 
-impl FlowPacket {
+impl PacketHeader {
     /// Returns the flow of a packet that a caller wrote.
     pub fn caller_flow(&self) -> FlowKey {
         FlowKey {
@@ -61,7 +61,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RawPacket<'a> {
     /// The header.
-    pub header: FlowPacket,
+    pub header: PacketHeader,
     /// The whole datagram.
     pub bytes: &'a [u8],
 }
--- a/crates/flows/src/route_transfer.rs
+++ b/crates/flows/src/route_transfer.rs
@@ -35,7 +35,7 @@
             return false;
         }
         self.table = table;
-        outbox.note(FlowEvent::Routes {
+        outbox.record_event(FlowEvent::Routes {
             version: self.table.version(),
             routes: self.table.len(),
         });
@@ -68,7 +68,7 @@
         let known = self.table.version();
         if version > known && now.since(self.asked) >= ASK_INTERVAL {
             self.asked = now;
-            outbox.send_message(peer, &CarryMessage::RoutesWanted { known }, &[]);
+            outbox.enqueue_message(peer, &CarryMessage::RoutesWanted { known }, &[]);
         }
     }
 
@@ -117,6 +117,6 @@
             part: part as u16,
             parts,
         };
-        outbox.send_message(peer, &message, chunk);
+        outbox.enqueue_message(peer, &message, chunk);
     }
 }
--- a/crates/flows/tests/gate_restart.rs
+++ b/crates/flows/tests/gate_restart.rs
@@ -18,9 +18,9 @@
     gate.receive_heartbeat(&heartbeat(40), at(10), &mut outbox);
     outbox.clear();
     let search = header(ForwardPurpose::Probe);
-    gate.receive_forwarded(&search, &raw(&request(4_001)), at(20), &mut outbox);
+    gate.receive_forwarded_packet(&search, &raw(&request(4_001)), at(20), &mut outbox);
     expect!["Server: packet"].assert_eq(&drain(&mut outbox));
-    gate.receive_server(&raw(&answer(4_001)), at(40), &mut outbox);
+    gate.receive_server_packet(&raw(&answer(4_001)), at(40), &mut outbox);
     expect![[r#"
         Caller(100.64.0.7): packet
         Peer(10.0.2.1): Owned { flow: FlowKey { caller: 100.64.0.7:4001, target: 198.18.0.1:443 }, load: CarryLoad { in_progress: 0, mean_sixteenths: 0, slots: 2, flows: 1, answer_micros: 20000 } } + 0 bytes"#]]
@@ -45,7 +45,7 @@
     let mut gate = gate(1);
     gate.receive_heartbeat(&heartbeat(40), at(10), &mut outbox);
     let probe = header(ForwardPurpose::Probe);
-    gate.receive_forwarded(&probe, &raw(&request(4_001)), at(20), &mut outbox);
+    gate.receive_forwarded_packet(&probe, &raw(&request(4_001)), at(20), &mut outbox);
     outbox.clear();
     // Another balancer looks for the same flow.
     let other = CarryHeader {
@@ -54,14 +54,14 @@
     };
     let locate = locate(&request(4_001));
     gate.receive_peer(balancer_address(2), &locate, None, &[], at(21), &mut outbox);
-    gate.receive_forwarded(&other, &raw(&request(4_001)), at(22), &mut outbox);
+    gate.receive_forwarded_packet(&other, &raw(&request(4_001)), at(22), &mut outbox);
     expect![[r#"
         Peer(10.0.2.2): NotHeld { flows: [FlowKey { caller: 100.64.0.7:4001, target: 198.18.0.1:443 }], is_certain: false } + 0 bytes
         Server: packet"#]]
     .assert_eq(&drain(&mut outbox));
     let mut bounced = request(4_001);
     bounced.is_bounced = true;
-    gate.receive_server(&raw(&bounced), at(23), &mut outbox);
+    gate.receive_server_packet(&raw(&bounced), at(23), &mut outbox);
     expect!["Peer(10.0.2.2): NotHeld { flows: [FlowKey { caller: 100.64.0.7:4001, target: 198.18.0.1:443 }], is_certain: true } + 0 bytes"]
         .assert_eq(&drain(&mut outbox));
 }
@@ -73,12 +73,12 @@
     gate.receive_heartbeat(&heartbeat(40), at(10), &mut outbox);
     outbox.clear();
     let search = header(ForwardPurpose::Probe);
-    gate.receive_forwarded(&search, &raw(&request(4_001)), at(20), &mut outbox);
+    gate.receive_forwarded_packet(&search, &raw(&request(4_001)), at(20), &mut outbox);
     outbox.clear();
     let mut bounced = request(4_001);
     bounced.is_bounced = true;
-    gate.receive_server(&raw(&bounced), at(21), &mut outbox);
-    gate.receive_forwarded(&search, &raw(&request(4_001)), at(220), &mut outbox);
+    gate.receive_server_packet(&raw(&bounced), at(21), &mut outbox);
+    gate.receive_forwarded_packet(&search, &raw(&request(4_001)), at(220), &mut outbox);
     expect![[r#"
         Peer(10.0.2.1): NotHeld { flows: [FlowKey { caller: 100.64.0.7:4001, target: 198.18.0.1:443 }], is_certain: true } + 0 bytes
         Peer(10.0.2.1): NotHeld { flows: [FlowKey { caller: 100.64.0.7:4001, target: 198.18.0.1:443 }], is_certain: true } + 0 bytes"#]]
@@ -90,7 +90,7 @@
     let mut outbox = FlowOutbox::default();
     let mut gate = gate(1);
     let search = header(ForwardPurpose::Probe);
-    gate.receive_forwarded(&search, &raw(&request(4_001)), at(20), &mut outbox);
+    gate.receive_forwarded_packet(&search, &raw(&request(4_001)), at(20), &mut outbox);
     outbox.clear();
     gate.receive_heartbeat(&heartbeat(0), at(50), &mut outbox);
     expect!["Peer(10.0.2.1): NotHeld { flows: [FlowKey { caller: 100.64.0.7:4001, target: 198.18.0.1:443 }], is_certain: true } + 0 bytes"]
@@ -109,7 +109,7 @@
     gate.receive_peer(balancer_address(1), &told, None, &[], at(12), &mut outbox);
     outbox.clear();
     let owner = header(ForwardPurpose::Owner);
-    gate.receive_forwarded(&owner, &raw(&request(4_001)), at(20), &mut outbox);
+    gate.receive_forwarded_packet(&owner, &raw(&request(4_001)), at(20), &mut outbox);
     expect!["Server: packet"].assert_eq(&drain(&mut outbox));
 }
 
@@ -119,15 +119,15 @@
     let mut gate = ready_gate(1);
     take_flow(&mut gate, 4_001, 20, &mut outbox);
     let owner = header(ForwardPurpose::Owner);
-    gate.receive_forwarded(&owner, &raw(&request(4_001)), at(27), &mut outbox);
+    gate.receive_forwarded_packet(&owner, &raw(&request(4_001)), at(27), &mut outbox);
     outbox.clear();
     let mut reborn = heartbeat(1);
-    reborn.born_unix_millis = 9_000;
+    reborn.started_unix_millis = 9_000;
     gate.receive_heartbeat(&reborn, at(500), &mut outbox);
     expect!["reset 100.64.0.7:4001 at 5001"].assert_eq(&drain(&mut outbox));
     // A late heartbeat of the earlier life changes nothing.
     gate.receive_heartbeat(&heartbeat(7), at(600), &mut outbox);
-    gate.receive_forwarded(&owner, &raw(&request(4_001)), at(700), &mut outbox);
+    gate.receive_forwarded_packet(&owner, &raw(&request(4_001)), at(700), &mut outbox);
     expect!["reset 100.64.0.7:4001 at 5001"].assert_eq(&drain(&mut outbox));
 }
 
@@ -140,7 +140,7 @@
     gate.receive_heartbeat(&leaving, at(500), &mut outbox);
     outbox.clear();
     for purpose in [ForwardPurpose::Open, ForwardPurpose::OpenHere] {
-        gate.receive_forwarded(
+        gate.receive_forwarded_packet(
             &header(purpose),
             &raw(&opening(4_001)),
             at(501),
@@ -159,10 +159,10 @@
     let mut gate = ready_gate(1);
     let open = header(ForwardPurpose::Open);
     take_flow(&mut gate, 4_001, 20, &mut outbox);
-    gate.receive_forwarded(&open, &raw(&opening(4_002)), at(22), &mut outbox);
+    gate.receive_forwarded_packet(&open, &raw(&opening(4_002)), at(22), &mut outbox);
     outbox.clear();
     let mut reborn = heartbeat(1);
-    reborn.born_unix_millis = 9_000;
+    reborn.started_unix_millis = 9_000;
     gate.receive_heartbeat(&reborn, at(500), &mut outbox);
     // Flow 4002 was never answered, and a balancer offers it to another host.
     expect!["reset 100.64.0.7:4001 at 5001"].assert_eq(&drain(&mut outbox));
@@ -195,8 +195,8 @@
     outbox.clear();
     let mut steps = Vec::new();
     for (millis, result) in [(100, CheckResult::Connected), (400, CheckResult::Refused)] {
-        steps.push(format!("{:?}", gate.due_check(at(millis))));
-        gate.receive_check(result, at(millis), &mut outbox);
+        steps.push(format!("{:?}", gate.take_due_check(at(millis))));
+        gate.receive_check_result(result, at(millis), &mut outbox);
         steps.push(drain(&mut outbox));
     }
     expect![[r#"
@@ -237,12 +237,12 @@
     let open = header(ForwardPurpose::Open);
     take_flow(&mut gate, 4_001, 20, &mut outbox);
     let owner = header(ForwardPurpose::Owner);
-    gate.receive_forwarded(&owner, &raw(&request(4_001)), at(27), &mut outbox);
-    gate.receive_server(&raw(&answer(4_001)), at(47), &mut outbox);
+    gate.receive_forwarded_packet(&owner, &raw(&request(4_001)), at(27), &mut outbox);
+    gate.receive_server_packet(&raw(&answer(4_001)), at(47), &mut outbox);
     outbox.clear();
     // Another host was frozen with the packet and passes it on now.
-    gate.receive_forwarded(&open, &raw(&opening(4_001)), at(400), &mut outbox);
-    gate.receive_forwarded(&owner, &raw(&request(4_001)), at(410), &mut outbox);
+    gate.receive_forwarded_packet(&open, &raw(&opening(4_001)), at(400), &mut outbox);
+    gate.receive_forwarded_packet(&owner, &raw(&request(4_001)), at(410), &mut outbox);
     expect!["Server: packet"].assert_eq(&drain(&mut outbox));
 }
 
@@ -253,11 +253,11 @@
     let open = header(ForwardPurpose::Open);
     take_flow(&mut gate, 4_001, 20, &mut outbox);
     let owner = header(ForwardPurpose::Owner);
-    gate.receive_forwarded(&owner, &raw(&request(4_001)), at(27), &mut outbox);
+    gate.receive_forwarded_packet(&owner, &raw(&request(4_001)), at(27), &mut outbox);
     outbox.clear();
     let mut next = opening(4_001);
     next.sequence = 7_000_000;
-    gate.receive_forwarded(&open, &raw(&next), at(9_000), &mut outbox);
+    gate.receive_forwarded_packet(&open, &raw(&next), at(9_000), &mut outbox);
     expect!["Server: packet"].assert_eq(&drain(&mut outbox));
 }
 
@@ -271,7 +271,7 @@
     let mut other = request(4_001);
     other.acknowledged = 5_301;
     let owner = header(ForwardPurpose::Owner);
-    gate.receive_forwarded(&owner, &raw(&other), at(27), &mut outbox);
+    gate.receive_forwarded_packet(&owner, &raw(&other), at(27), &mut outbox);
     expect!["Peer(10.0.2.1): Returned { purpose: Owner } + 6 bytes"].assert_eq(&drain(&mut outbox));
 }
 
@@ -286,11 +286,11 @@
     };
     gate.receive_peer(balancer_address(1), &told, None, &[], at(12), &mut outbox);
     let owner = header(ForwardPurpose::Owner);
-    gate.receive_forwarded(&owner, &raw(&request(4_001)), at(20), &mut outbox);
+    gate.receive_forwarded_packet(&owner, &raw(&request(4_001)), at(20), &mut outbox);
     outbox.clear();
     let mut bounced = request(4_001);
     bounced.is_bounced = true;
-    gate.receive_server(&raw(&bounced), at(21), &mut outbox);
+    gate.receive_server_packet(&raw(&bounced), at(21), &mut outbox);
     expect!["Peer(10.0.2.1): Returned { purpose: Owner } + 6 bytes"].assert_eq(&drain(&mut outbox));
 }
 
--- a/crates/flows/tests/heartbeat.rs
+++ b/crates/flows/tests/heartbeat.rs
@@ -3,7 +3,7 @@
 mod fixture;
 
 use expect_test::expect;
-use hyssopstair_flows::heartbeat::HeartbeatLog;
+use hyssopstair_flows::heartbeat::HeartbeatTracker;
 use hyssopstair_flows::heartbeat::ServerHeartbeat;
 use hyssopstair_flows::outbox::FlowOutbox;
 use hyssopstair_wire::carried::ForwardPurpose;
@@ -12,14 +12,14 @@
 
 fn beat(born: u64, sequence: u64) -> ServerHeartbeat {
     ServerHeartbeat {
-        born_unix_millis: born,
+        started_unix_millis: born,
         ..heartbeat(sequence)
     }
 }
 
 #[test]
 fn heartbeats_are_ordered_by_life_and_number() {
-    let mut log = HeartbeatLog::default();
+    let mut log = HeartbeatTracker::default();
     let steps = [
         (1_000, 3),
         (1_000, 4),
@@ -43,7 +43,7 @@
         1000/4 Next
         1000/4 Late
         1000/2 Late
-        2000/0 NewLife
+        2000/0 NewIncarnation
         1000/9 Late
         2000/1 Next"#]]
     .assert_eq(&orders.join("\n"));
@@ -58,7 +58,7 @@
     outbox.clear();
     gate.receive_heartbeat(&beat(1_000, 50), at(30), &mut outbox);
     let owner = header(ForwardPurpose::Owner);
-    gate.receive_forwarded(&owner, &raw(&request(4_001)), at(40), &mut outbox);
+    gate.receive_forwarded_packet(&owner, &raw(&request(4_001)), at(40), &mut outbox);
     expect!["Server: packet"].assert_eq(&drain(&mut outbox));
 }
 
@@ -72,13 +72,13 @@
     let mut other = request(4_001);
     other.acknowledged = 900_001;
     let owner = header(ForwardPurpose::Owner);
-    gate.receive_forwarded(&owner, &raw(&other), at(27), &mut outbox);
+    gate.receive_forwarded_packet(&owner, &raw(&other), at(27), &mut outbox);
     expect!["Peer(10.0.2.1): Returned { purpose: Owner } + 6 bytes"].assert_eq(&drain(&mut outbox));
 }
 
 #[test]
 fn a_server_whose_clock_was_set_back_is_heard_again() {
-    let mut log = HeartbeatLog::default();
+    let mut log = HeartbeatTracker::default();
     // The second life was born an hour earlier, by its clock.
     let steps = [
         (3_601_000, 7, 0),
@@ -107,7 +107,7 @@
 
 #[test]
 fn late_heartbeats_do_not_replace_a_life_that_goes_on() {
-    let mut log = HeartbeatLog::default();
+    let mut log = HeartbeatTracker::default();
     log.record(&beat(9_000, 0), at(0));
     let orders: Vec<String> = (1..6)
         .map(|number| {
@@ -121,7 +121,7 @@
 
 #[test]
 fn one_late_heartbeat_does_not_bring_a_life_back() {
-    let mut log = HeartbeatLog::default();
+    let mut log = HeartbeatTracker::default();
     log.record(&beat(9_000, 0), at(0));
     let late = log.record(&beat(1_000, 40), at(20_000));
     let again = log.record(&beat(1_000, 40), at(20_100));
@@ -136,7 +136,7 @@
     // The next life started at once, and nobody noticed.
     take_flow(&mut gate, 4_001, 2_000, &mut outbox);
     let owner = header(ForwardPurpose::Owner);
-    gate.receive_forwarded(&owner, &raw(&request(4_001)), at(2_010), &mut outbox);
+    gate.receive_forwarded_packet(&owner, &raw(&request(4_001)), at(2_010), &mut outbox);
     outbox.clear();
     for sequence in 0..6 {
         let millis = 1_500 + sequence * 1_200;
--- a/crates/flows/tests/model/packet.rs
+++ b/crates/flows/tests/model/packet.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddrV4;
 
-use hyssopstair_flows::packet::FlowPacket;
+use hyssopstair_flows::packet::PacketHeader;
 use hyssopstair_wire::carried::FlowKey;
 use serde::Deserialize;
 use serde::Serialize;
@@ -44,8 +44,8 @@
         postcard::from_bytes(bytes).ok()
     }
 
-    pub fn header(&self) -> FlowPacket {
-        FlowPacket {
+    pub fn header(&self) -> PacketHeader {
+        PacketHeader {
             source: self.source,
             destination: self.destination,
             is_open: self.is_open,
--- a/crates/flows/tests/model/world/mod.rs
+++ b/crates/flows/tests/model/world/mod.rs
@@ -486,7 +486,7 @@
             Part::Balancer(balancer) => balancer.tick(now, outbox),
             Part::Host(gate) => {
                 gate.tick(now, outbox);
-                check = gate.due_check(now);
+                check = gate.take_due_check(now);
             }
         });
         if let Some(check) = check {
@@ -505,7 +505,7 @@
         let now = self.time();
         self.with_part(address, |part, outbox| {
             if let Part::Host(gate) = part {
-                gate.receive_check(result, now, outbox);
+                gate.receive_check_result(result, now, outbox);
             }
         });
     }
--- a/crates/flows/tests/model/world/servers.rs
+++ b/crates/flows/tests/model/world/servers.rs
@@ -40,12 +40,12 @@
         }
         let beat = ServerHeartbeat {
             id: format!("i-{host}"),
-            born_unix_millis: server.born(),
+            started_unix_millis: server.born(),
             sequence: server.beats,
             service,
             is_draining: server.is_draining,
             slots: self.plan.slots,
-            cold_millis: 0,
+            cold_remaining_millis: 0,
         };
         server.beats += 1;
         let address = fixture::host(host);
@@ -161,7 +161,7 @@
         };
         self.with_part(address, |part, outbox| {
             if let Part::Host(gate) = part {
-                gate.receive_server(&raw, now, outbox);
+                gate.receive_server_packet(&raw, now, outbox);
             }
         });
     }
--- a/crates/hyssopstaird/src/carry/checks.rs
+++ b/crates/hyssopstaird/src/carry/checks.rs
@@ -18,7 +18,7 @@
 pub async fn check_server(server: SocketAddrV4, check: ServerCheck, path: &str) -> CheckResult {
     match timeout(CHECK_TIMEOUT, attempt(server, check, path)).await {
         Ok(result) => result,
-        Err(_) => CheckResult::Silent,
+        Err(_) => CheckResult::NoResponse,
     }
 }
 
@@ -28,14 +28,14 @@
         Err(error) if error.kind() == std::io::ErrorKind::ConnectionRefused => {
             return CheckResult::Refused;
         }
-        Err(_) => return CheckResult::Silent,
+        Err(_) => return CheckResult::NoResponse,
     };
     if check == ServerCheck::Connect {
         return CheckResult::Connected;
     }
     ask_health(stream, server, path)
         .await
-        .unwrap_or(CheckResult::Silent)
+        .unwrap_or(CheckResult::NoResponse)
 }
 
 async fn ask_health(stream: TcpStream, server: SocketAddrV4, path: &str) -> Option<CheckResult> {
--- a/crates/hyssopstaird/src/carry/journal.rs
+++ b/crates/hyssopstaird/src/carry/journal.rs
@@ -10,7 +10,7 @@
 
 use hyssopstair_flows::event::EventKind;
 use hyssopstair_flows::event::FlowEvent;
-use hyssopstair_flows::event::SilentHost;
+use hyssopstair_flows::event::UnresponsiveHost;
 use hyssopstair_wire::carried::FlowKey;
 use hyssopstair_wire::time::MonotonicTime;
 use nix::fcntl::FcntlArg;
@@ -277,7 +277,7 @@
     }
 }
 
-fn silent_host(silent: &SilentHost) -> Value {
+fn silent_host(silent: &UnresponsiveHost) -> Value {
     json!({ "host": silent.host, "silent_ms": silent.silent_millis })
 }
 
--- a/crates/hyssopstaird/src/carry/metrics.rs
+++ b/crates/hyssopstaird/src/carry/metrics.rs
@@ -41,8 +41,8 @@
         let registry = Registry::new();
         let mut events = Vec::new();
         for kind in EventKind::ALL {
-            let name = format!("{}_total", text_name(kind.metric()));
-            let counter = IntCounter::new(name, kind.description())?;
+            let name = format!("{}_total", text_name(kind.metric_name()));
+            let counter = IntCounter::new(name, kind.metric_description())?;
             registry.register(Box::new(counter.clone()))?;
             events.push(counter);
         }
--- a/crates/hyssopstaird/src/carry/part.rs
+++ b/crates/hyssopstaird/src/carry/part.rs
@@ -30,7 +30,7 @@
     ) {
         match self {
             Self::Balancer(balancer) => balancer.receive_caller(packet, now, outbox),
-            Self::Host(gate) => gate.receive_server(packet, now, outbox),
+            Self::Host(gate) => gate.receive_server_packet(packet, now, outbox),
         }
     }
 
--- a/crates/hyssopstaird/src/carry/process.rs
+++ b/crates/hyssopstaird/src/carry/process.rs
@@ -247,7 +247,7 @@
     }
 
     fn note_malformed(&mut self, now: MonotonicTime) {
-        self.outbox.note(FlowEvent::Dropped {
+        self.outbox.record_event(FlowEvent::Dropped {
             reason: DropReason::Malformed,
         });
         self.flush(now);
@@ -275,7 +275,7 @@
         let (CarryPart::Host(gate), Some(server)) = (&mut self.part, &self.settings.server) else {
             return;
         };
-        let Some(check) = gate.due_check(now) else {
+        let Some(check) = gate.take_due_check(now) else {
             return;
         };
         let path = gate.health_path().unwrap_or("/").to_owned();
@@ -312,7 +312,7 @@
             }
             CarryCommand::Checked(result) => {
                 if let CarryPart::Host(gate) = &mut self.part {
-                    gate.receive_check(result, now, &mut self.outbox);
+                    gate.receive_check_result(result, now, &mut self.outbox);
                 }
             }
             CarryCommand::Dependency { name, error } => {
--- a/crates/soak/src/caller.rs
+++ b/crates/soak/src/caller.rs
@@ -11,7 +11,7 @@
 use hyssopstair_adapter::packet::HEADER_LENGTH;
 use hyssopstair_adapter::packet::decode_packet;
 use hyssopstair_adapter::packet::encode_header;
-use hyssopstair_flows::packet::FlowPacket;
+use hyssopstair_flows::packet::PacketHeader;
 use hyssopstair_wire::carried::FlowKey;
 use rand::RngExt;
 use rand::SeedableRng;
@@ -76,8 +76,8 @@
 /// What came back.
 #[derive(Debug)]
 enum Reply {
-    Packet(FlowPacket, Vec<u8>),
-    Reset(FlowPacket, Ipv4Addr),
+    Packet(PacketHeader, Vec<u8>),
+    Reset(PacketHeader, Ipv4Addr),
 }
 
 impl SoakCaller {
@@ -133,7 +133,7 @@
         };
         let started = Instant::now();
         for (copy, until) in OPENING_TIMES.iter().enumerate() {
-            let packet = FlowPacket {
+            let packet = PacketHeader {
                 is_open: true,
                 has_ack: false,
                 acknowledged: copy as u32,
@@ -177,7 +177,7 @@
             sleep(Duration::from_millis(pause)).await;
         }
         self.judge.borrow_mut().note_end(&flow.key);
-        let last = FlowPacket {
+        let last = PacketHeader {
             is_finish: true,
             ..plain(&flow.key, flow.position, flow.acknowledged)
         };
@@ -187,7 +187,7 @@
 
     async fn ask(&mut self, flow: &mut CallerFlow, number: u32) -> RequestEnd {
         let text = format!("{}{number}", request_start(&flow.key));
-        let packet = FlowPacket {
+        let packet = PacketHeader {
             data_length: text.len() as u16,
             ..plain(&flow.key, flow.position, flow.acknowledged)
         };
@@ -240,7 +240,7 @@
         self.judge.borrow_mut().find(Instant::now(), text);
     }
 
-    fn send(&self, key: &FlowKey, packet: &FlowPacket, data: &[u8]) {
+    fn send(&self, key: &FlowKey, packet: &PacketHeader, data: &[u8]) {
         let Some(balancer) = self.router.pick(key) else {
             return;
         };
@@ -284,8 +284,8 @@
     }
 }
 
-fn plain(key: &FlowKey, sequence: u32, acknowledged: u32) -> FlowPacket {
-    FlowPacket {
+fn plain(key: &FlowKey, sequence: u32, acknowledged: u32) -> PacketHeader {
+    PacketHeader {
         source: key.caller,
         destination: key.target,
         is_open: false,
--- a/crates/soak/src/server.rs
+++ b/crates/soak/src/server.rs
@@ -14,7 +14,7 @@
 use hyssopstair_adapter::packet::HEADER_LENGTH;
 use hyssopstair_adapter::packet::decode_packet;
 use hyssopstair_adapter::packet::encode_header;
-use hyssopstair_flows::packet::FlowPacket;
+use hyssopstair_flows::packet::PacketHeader;
 use hyssopstair_wire::carried::FlowKey;
 use serde_json::json;
 use tokio::io::AsyncWriteExt;
@@ -259,7 +259,7 @@
         let _ = socket.try_send_to(bytes, (self.address, OUTBOUND).into());
     }
 
-    fn take_opening(&self, socket: &UdpSocket, header: &FlowPacket) {
+    fn take_opening(&self, socket: &UdpSocket, header: &PacketHeader) {
         let mut life = self.life.borrow_mut();
         let Some(life) = life.as_mut() else {
             return;
@@ -291,7 +291,7 @@
         if life.flows[index].is_open {
             return;
         }
-        let reply = FlowPacket {
+        let reply = PacketHeader {
             is_open: true,
             sequence: start,
             acknowledged: header.sequence.wrapping_add(1),
@@ -300,7 +300,7 @@
         self.send(socket, &encode_header(&reply));
     }
 
-    fn take_middle(&self, socket: &Rc<UdpSocket>, header: &FlowPacket, bytes: &mut [u8]) {
+    fn take_middle(&self, socket: &Rc<UdpSocket>, header: &PacketHeader, bytes: &mut [u8]) {
         let mut life = self.life.borrow_mut();
         let Some(life) = life.as_mut() else {
             return;
@@ -325,7 +325,7 @@
         self.judge.borrow_mut().note_own(&key);
         if header.is_finish {
             life.flows.remove(index);
-            let reply = FlowPacket {
+            let reply = PacketHeader {
                 is_finish: true,
                 ..reply_to(header)
             };
@@ -396,9 +396,9 @@
     format!("answer to {request}")
 }
 
-fn answer_packet(header: &FlowPacket, end: u32, request: &str) -> Vec<u8> {
+fn answer_packet(header: &PacketHeader, end: u32, request: &str) -> Vec<u8> {
     let text = answer_text(request);
-    let packet = FlowPacket {
+    let packet = PacketHeader {
         sequence: header.acknowledged,
         acknowledged: end,
         data_length: text.len() as u16,
@@ -409,8 +409,8 @@
     bytes
 }
 
-fn reply_to(header: &FlowPacket) -> FlowPacket {
-    FlowPacket {
+fn reply_to(header: &PacketHeader) -> PacketHeader {
+    PacketHeader {
         source: header.destination,
         destination: header.source,
         is_open: false,
