--- a/crates/flows/src/host/load.rs
+++ b/crates/flows/src/host/load.rs
@@ -1,32 +1,35 @@
-//! Measures how busy the server is, from the packets that pass.
+//! Measures the load of the backend server from the packets that the host forwards.
+//!
+//! The server reports no load of its own; the host counts requests without an answer
+//! and measures the time to the first data of each answer.
 
 use std::time::Duration;
 
 use hyssopstair_wire::time::MonotonicTime;
 
-/// Part of a new answer time in the smoothed one, as a divisor.
-const ANSWER_SMOOTHING: u32 = 8;
+/// Divisor of the weight of a new answer time in the smoothed one.
+const ANSWER_SMOOTHING_DIVISOR: u32 = 8;
 
-/// Time over which the mean of requests in progress is taken.
+/// Period over which the mean of the requests in progress is taken.
 const MEAN_PERIOD: Duration = Duration::from_secs(1);
 
-/// Time for which a flow that was offered to the server counts as a request to
-/// come: a round trip to the caller takes 6 ms, and a busy machine some more. A
-/// caller that has not asked by then has left.
-const OFFER_COUNTED: Duration = Duration::from_millis(50);
+/// Time for which a flow whose opening packet was delivered counts as a request in
+/// progress. The caller's request follows after a round trip, which takes 6 ms, or
+/// longer on a busy machine; a caller that has sent nothing by then has left.
+const OFFER_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Time that a failed request counts as: what its caller loses by another try.
-const FAILED_ANSWER: Duration = Duration::from_millis(200);
+/// Answer time that a failed request is recorded with: what a retry costs its caller.
+const FAILED_REQUEST_TIME: Duration = Duration::from_millis(200);
 
-/// The requests of one server.
+/// The load of one backend server.
 #[derive(Debug)]
 pub(super) struct LoadMeter {
     requests: u16,
-    /// When flows were offered that have not asked yet, in order.
+    /// Delivery times of the opening packets of flows without a request, ascending.
     offers: Vec<MonotonicTime>,
     answer_micros: u32,
-    mean: f64,
-    measured: MonotonicTime,
+    mean_requests: f64,
+    last_tick: MonotonicTime,
 }
 
 impl LoadMeter {
@@ -35,37 +38,42 @@
             requests: 0,
             offers: Vec::new(),
             answer_micros: 0,
-            mean: 0.0,
-            measured: now,
+            mean_requests: 0.0,
+            last_tick: now,
         }
     }
 
-    /// Requests that wait for an answer, and flows that will soon ask.
+    /// Returns the number of requests without an answer, plus new flows whose request is
+    /// expected.
     pub(super) fn in_progress(&self, now: MonotonicTime) -> u16 {
-        let recent = self
+        let recent_offers = self
             .offers
             .iter()
             .rev()
-            .take_while(|offered| now.since(**offered) < OFFER_COUNTED)
+            .take_while(|offered| now.since(**offered) < OFFER_TIMEOUT)
             .count();
-        self.requests.saturating_add(recent as u16)
+        self.requests.saturating_add(recent_offers as u16)
     }
 
-    /// The mean over the last second, in sixteenths.
+    /// Returns the mean of the requests without an answer over the last second, in
+    /// sixteenths.
     pub(super) fn mean_sixteenths(&self) -> u16 {
-        (self.mean * 16.0) as u16
+        (self.mean_requests * 16.0) as u16
     }
 
-    /// The smoothed time to the first data of an answer; 0 before the first.
+    /// Returns the smoothed time to the first data of an answer, in microseconds; 0
+    /// before the first answer.
     pub(super) fn answer_micros(&self) -> u32 {
         self.answer_micros
     }
 
-    pub(super) fn begin_offer(&mut self, now: MonotonicTime) {
+    /// Counts a new flow whose request is expected.
+    pub(super) fn add_offer(&mut self, now: MonotonicTime) {
         self.offers.push(now);
     }
 
-    pub(super) fn end_offer(&mut self, offered: MonotonicTime) {
+    /// Stops counting a new flow whose opening packet was delivered at `offered`.
+    pub(super) fn remove_offer(&mut self, offered: MonotonicTime) {
         if let Ok(index) = self.offers.binary_search(&offered) {
             self.offers.remove(index);
         }
@@ -75,38 +83,45 @@
         self.requests = self.requests.saturating_add(1);
     }
 
-    pub(super) fn end_request(&mut self, took: Duration) {
-        self.drop_request();
-        let took = took.as_micros().min(u128::from(u32::MAX / 2)) as u32;
+    /// Records the answer to a request and the time that it took.
+    pub(super) fn complete_request(&mut self, answer_time: Duration) {
+        self.discard_request();
+        let answer_time = answer_time.as_micros().min(u128::from(u32::MAX / 2)) as u32;
         self.answer_micros = match self.answer_micros {
-            0 => took.max(1),
-            known => known - known / ANSWER_SMOOTHING + took / ANSWER_SMOOTHING,
+            0 => answer_time.max(1),
+            known => {
+                known - known / ANSWER_SMOOTHING_DIVISOR + answer_time / ANSWER_SMOOTHING_DIVISOR
+            }
         };
     }
 
-    /// Notes a request whose flow the server has closed instead of answering. One
-    /// that fails at once would seem idle and fast, and draw new flows.
+    /// Records a request whose flow the server closed instead of answering. With the
+    /// time that really passed, a server that fails at once would seem idle and fast,
+    /// and would attract new flows.
     pub(super) fn fail_request(&mut self) {
-        self.end_request(FAILED_ANSWER);
+        self.complete_request(FAILED_REQUEST_TIME);
     }
 
-    pub(super) fn drop_request(&mut self) {
+    /// Stops counting a request without recording an answer time.
+    pub(super) fn discard_request(&mut self) {
         self.requests = self.requests.saturating_sub(1);
     }
 
+    /// Resets all counts when the server has ended or was replaced.
     pub(super) fn clear(&mut self) {
         self.requests = 0;
         self.offers.clear();
         self.answer_micros = 0;
-        self.mean = 0.0;
+        self.mean_requests = 0.0;
     }
 
+    /// Updates the mean and drops expired offers.
     pub(super) fn tick(&mut self, now: MonotonicTime) {
-        let passed = now.since(self.measured).as_secs_f64() / MEAN_PERIOD.as_secs_f64();
-        self.measured = now;
+        let passed = now.since(self.last_tick).as_secs_f64() / MEAN_PERIOD.as_secs_f64();
+        self.last_tick = now;
         self.offers
-            .retain(|offered| now.since(*offered) < OFFER_COUNTED);
+            .retain(|offered| now.since(*offered) < OFFER_TIMEOUT);
         let share = passed.min(1.0);
-        self.mean += (f64::from(self.requests) - self.mean) * share;
+        self.mean_requests += (f64::from(self.requests) - self.mean_requests) * share;
     }
 }
--- a/crates/flows/src/host/mod.rs
+++ b/crates/flows/src/host/mod.rs
@@ -1,9 +1,13 @@
-//! What a host does with packets to and from the backend server beside it.
+//! Decisions of a host about packets to and from the backend server beside it.
 //!
-//! Every packet to the server and from it passes here, so the gate knows which
-//! flows the server holds, how many requests it works on and how long it takes.
-//! Whatever a balancer believes, the gate hands the server only packets of its
-//! own flows, and opens no flow after the server has said that it leaves.
+//! Every packet to and from the server passes through the host, which therefore knows
+//! the flows that the server holds, the requests in progress and the answer times.
+//! The server gets only packets of its own flows, whatever balancers assume, and no
+//! new flows after it has announced that it is draining.
+//!
+//! A host that is restarted beside a running server has lost the flow table and
+//! relearns it: from packets of the server, from balancers, and by delivering packets
+//! of unknown flows to the server, which returns those that it does not accept.
 
 mod load;
 mod opening;
@@ -29,7 +33,7 @@
 use crate::host::records::FlowRecord;
 pub use crate::host::server::CheckResult;
 pub use crate::host::server::ServerCheck;
-use crate::host::server::ServerWatch;
+use crate::host::server::ServerMonitor;
 use crate::members::MemberTable;
 use crate::outbox::Destination;
 use crate::outbox::FlowOutbox;
@@ -38,67 +42,70 @@
 use crate::routes::RouteTable;
 use crate::table::FlowTable;
 
-/// Time between two ticks.
+/// Interval between two ticks.
 pub const HOST_TICK: Duration = Duration::from_millis(50);
 
-/// Time after its start in which a host hears from a server that lives: two
-/// heartbeats, which come every 1.2 s, and some more.
-const SERVER_PATIENCE: Duration = Duration::from_millis(2_500);
+/// Time after the start of a host within which it learns of a running server: two
+/// heartbeats, which are sent every 1.2 s, and a margin.
+const SERVER_DISCOVERY_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Shards of the table that one tick sweeps; the whole table takes a second and more.
-const SWEPT_SHARDS: usize = 12;
+/// Shards of the flow table that one tick sweeps; a pass over the whole table takes more
+/// than a second.
+const SHARDS_PER_TICK: usize = 12;
 
-/// What a host is told at its start.
+/// The identity and settings of a host.
 #[derive(Debug, Clone)]
 pub struct HostIdentity {
-    /// Its address.
+    /// Address of the host.
     pub address: Ipv4Addr,
-    /// Its availability zone.
+    /// Availability zone of the host.
     pub zone: String,
-    /// Name of the service of its server.
+    /// Name of the service that its server runs.
     pub service: String,
-    /// The start of its process, in milliseconds since the Unix epoch.
+    /// Start of the process, in milliseconds since the Unix epoch.
     pub started: u64,
-    /// Age after which a flow may be forgotten.
+    /// Time without packets after which a flow is removed.
     pub max_flow_age: Duration,
 }
 
-/// The decisions of one host.
+/// The state of a host and its forwarding decisions.
 #[derive(Debug)]
 pub struct FlowHost {
     identity: HostIdentity,
-    created: MonotonicTime,
+    created_at: MonotonicTime,
     routes: RouteKeeper,
     members: MemberTable,
+    /// Addresses that hellos are sent to, ascending.
     contacts: Vec<Ipv4Addr>,
     flows: FlowTable<FlowRecord>,
     load: LoadMeter,
-    server: ServerWatch,
+    server: ServerMonitor,
+    /// Whether the server may hold flows that are missing from the table.
     is_relearning: bool,
     is_stopping: bool,
     hello_number: u32,
     next_hello: MonotonicTime,
-    ticked: MonotonicTime,
+    last_tick: MonotonicTime,
 }
 
 impl FlowHost {
-    /// Creates the gate of a host that knows the addresses of some balancers.
+    /// Creates a host. `contacts` are the addresses of some balancers.
     pub fn new(identity: HostIdentity, contacts: Vec<Ipv4Addr>, now: MonotonicTime) -> Self {
         let mut host = Self {
             identity,
-            created: now,
+            created_at: now,
             routes: RouteKeeper::default(),
             members: MemberTable::default(),
             contacts: Vec::new(),
             flows: FlowTable::default(),
             load: LoadMeter::new(now),
-            server: ServerWatch::new(now),
-            // The server may be older than this process and hold flows.
+            server: ServerMonitor::new(now),
+            // The server may have been started before this process and hold flows.
             is_relearning: true,
             is_stopping: false,
             hello_number: 0,
             next_hello: now,
-            ticked: now,
+            last_tick: now,
         };
         host.add_contacts(&contacts);
         host
@@ -109,49 +116,52 @@
         self.routes.table()
     }
 
-    /// Returns the peers that are known.
+    /// Returns the known peers.
     pub fn members(&self) -> &MemberTable {
         &self.members
     }
 
-    /// Returns how many flows the server holds.
+    /// Returns the number of flows in the table.
     pub fn flows(&self) -> usize {
         self.flows.len()
     }
 
-    /// Returns what the server does.
+    /// Returns the state of the server.
     pub fn server_state(&self) -> ServerState {
         self.server.state()
     }
 
-    /// Returns the requests that the server works on or will soon get.
+    /// Returns the number of requests that the server processes or is expected to get
+    /// within a round trip.
     pub fn in_progress(&self, now: MonotonicTime) -> u16 {
         self.load.in_progress(now)
     }
 
-    /// Returns the smoothed time that the server takes to answer, in microseconds; 0
-    /// before the first answer.
+    /// Returns the smoothed answer time of the server, in microseconds; 0 before the
+    /// first answer.
     pub fn answer_micros(&self) -> u32 {
         self.load.answer_micros()
     }
 
-    /// Returns the path of the server's health check, once routes are known.
+    /// Returns the path of the server's health check, or `None` while the known routes do
+    /// not contain its service.
     pub fn health_path(&self) -> Option<&str> {
         self.routes.table().health_path(&self.identity.service)
     }
 
-    /// Puts another service beside the host; flows of the one before are gone.
+    /// Sets the service that the server runs. If it differs from the current one, all
+    /// flows are reset.
     pub fn set_service(&mut self, service: &str, now: MonotonicTime, outbox: &mut FlowOutbox) {
         if self.identity.service == service {
             return;
         }
         self.identity.service = service.to_owned();
-        self.break_all(outbox);
-        self.say_hello_soon();
+        self.reset_all_flows(outbox);
+        self.schedule_hello();
         self.tick(now, outbox);
     }
 
-    /// Decides about a caller's packet that a balancer or a host sent.
+    /// Processes a caller's packet that was forwarded by a balancer or another host.
     pub fn receive_forwarded_packet(
         &mut self,
         header: &CarryHeader,
@@ -167,38 +177,40 @@
                 self.receive_opening(header, packet, now, outbox);
             }
             ForwardPurpose::Owner | ForwardPurpose::Probe => {
-                self.receive_middle(header, packet, now, outbox);
+                self.receive_established(header, packet, now, outbox);
             }
         }
     }
 
-    /// Decides about a packet that the server sent.
+    /// Processes a packet from the server: one for a caller, or one of a caller that the
+    /// server returns because it does not accept it.
     pub fn receive_server_packet(
         &mut self,
         packet: &RawPacket<'_>,
         now: MonotonicTime,
         outbox: &mut FlowOutbox,
     ) {
-        self.server.note_heard(now);
+        self.server.record_response(now);
         if packet.header.is_bounced {
-            self.receive_bounced(packet, now, outbox);
+            self.receive_bounced_packet(packet, now, outbox);
             return;
         }
         let header = &packet.header;
         let flow = header.server_flow();
         outbox.enqueue_packet(Destination::Caller(*flow.caller.ip()), packet.bytes);
-        self.note_answer(&flow, packet, now, outbox);
+        self.track_server_packet(&flow, packet, now, outbox);
     }
 
-    /// Does what is due.
+    /// Does all work that is due at `now`: expires flows and peers, and sends hellos.
     pub fn tick(&mut self, now: MonotonicTime, outbox: &mut FlowOutbox) {
-        self.ticked = now;
+        self.last_tick = now;
         self.load.tick(now);
-        self.sweep(now, outbox);
+        self.sweep_flows(now, outbox);
         if now >= self.next_hello {
-            self.greet_all(now, outbox);
+            self.send_hellos(now, outbox);
             for (peer, silence) in self.members.forget_silent(now) {
-                // With no balancer left, the old addresses are the way back.
+                // Without any balancer left, the last known addresses are the only way to
+                // reconnect, so they are kept.
                 if !self.members.balancers().is_empty() {
                     self.contacts.retain(|contact| *contact != peer);
                 }
@@ -208,18 +220,19 @@
                 });
             }
         }
-        if now.since(self.created) >= self.identity.max_flow_age {
+        if now.since(self.created_at) >= self.identity.max_flow_age {
             self.is_relearning = false;
         }
     }
 
-    /// Prepares the end of the process: new flows are to go elsewhere.
+    /// Prepares the end of the process: tells balancers to send new flows elsewhere.
     pub fn stop(&mut self, now: MonotonicTime, outbox: &mut FlowOutbox) {
         self.is_stopping = true;
-        self.greet_all(now, outbox);
+        self.send_hellos(now, outbox);
     }
 
-    fn receive_middle(
+    /// Processes a packet of a flow that is assumed to be open already.
+    fn receive_established(
         &mut self,
         header: &CarryHeader,
         packet: &RawPacket<'_>,
@@ -230,73 +243,79 @@
         let is_search = header.purpose != ForwardPurpose::Owner;
         let acknowledged = packet.header.acknowledged_position();
         let Some(record) = self.flows.get_mut(&flow) else {
-            self.receive_unknown(header, packet, now, outbox);
+            self.receive_unknown_flow(header, packet, now, outbox);
             return;
         };
         match record.phase {
             FlowPhase::Absent => {
-                self.disown(header, packet, outbox);
+                self.decline_packet(header, packet, outbox);
                 return;
             }
-            FlowPhase::Broken if is_search && !record.continues(acknowledged) => {
-                // The flow may have gone on at another server.
-                self.disown(header, packet, outbox);
+            FlowPhase::Broken if is_search && !record.continues_stream(acknowledged) => {
+                // The flow may continue at another server.
+                self.decline_packet(header, packet, outbox);
                 return;
             }
             FlowPhase::Broken => {
                 outbox.enqueue_reset(flow, packet.header.acknowledged);
                 return;
             }
-            FlowPhase::Offered if !record.continues(acknowledged) => {
-                // The caller took the answer of another server.
-                self.disown(header, packet, outbox);
+            FlowPhase::Offered if !record.continues_stream(acknowledged) => {
+                // The caller accepted the answer of another server.
+                self.decline_packet(header, packet, outbox);
                 return;
             }
-            FlowPhase::Asked => {
-                // The balancer that asked last is told what the server shows.
-                record.origin = Some(Box::new(header.clone()));
+            FlowPhase::Probed => {
+                // The balancer that asked last gets the result of the probe.
+                record.forward_header = Some(Box::new(header.clone()));
             }
             FlowPhase::Offered | FlowPhase::Open | FlowPhase::Closed => {}
         }
-        let is_known = record.phase != FlowPhase::Asked;
+        let is_known = record.phase != FlowPhase::Probed;
         record.balancer = header.balancer;
         if is_search && is_known {
-            self.tell_owned(flow, header.balancer, now, outbox);
+            self.send_owned(flow, header.balancer, now, outbox);
         }
-        self.deliver(&flow, packet, now, outbox);
+        self.deliver_packet(&flow, packet, now, outbox);
     }
 
-    /// Handles a packet of a flow that the host has never seen. A host that was
-    /// started beside a running server asks the server by handing it the packet.
-    fn receive_unknown(
+    /// Processes a packet of a flow that is not in the table. If the server may hold it,
+    /// the packet is delivered as a probe.
+    fn receive_unknown_flow(
         &mut self,
         header: &CarryHeader,
         packet: &RawPacket<'_>,
         now: MonotonicTime,
         outbox: &mut FlowOutbox,
     ) {
-        if !self.may_hold_unknown(now) || packet.header.opens_flow() {
-            self.disown(header, packet, outbox);
+        if !self.may_hold_unseen_flow(now) || packet.header.opens_flow() {
+            self.decline_packet(header, packet, outbox);
             return;
         }
         let flow = packet.header.caller_flow();
         self.flows
-            .insert(flow, FlowRecord::asked(header.clone(), now));
-        self.deliver(&flow, packet, now, outbox);
+            .insert(flow, FlowRecord::probed(header.clone(), now));
+        self.deliver_packet(&flow, packet, now, outbox);
     }
 
-    /// Returns whether the server may hold flows that the host has never seen.
-    fn may_hold_unknown(&self, now: MonotonicTime) -> bool {
-        let may_live = match self.server.state() {
+    /// Returns whether the server may hold flows that are not in the table.
+    fn may_hold_unseen_flow(&self, now: MonotonicTime) -> bool {
+        let may_be_running = match self.server.state() {
             ServerState::Ready | ServerState::Draining => true,
-            ServerState::Unknown => now.since(self.created) < SERVER_PATIENCE,
+            ServerState::Unknown => now.since(self.created_at) < SERVER_DISCOVERY_TIMEOUT,
             ServerState::Down => false,
         };
-        self.is_relearning && may_live
+        self.is_relearning && may_be_running
     }
 
-    /// Tells a balancer that the server does not hold a flow.
-    fn disown(&self, header: &CarryHeader, packet: &RawPacket<'_>, outbox: &mut FlowOutbox) {
+    /// Tells the balancer that the server does not hold the flow of a packet: a probe is
+    /// answered, any other packet returned.
+    fn decline_packet(
+        &self,
+        header: &CarryHeader,
+        packet: &RawPacket<'_>,
+        outbox: &mut FlowOutbox,
+    ) {
         let message = match header.purpose {
             ForwardPurpose::Probe => CarryMessage::NotHeld {
                 flows: vec![packet.header.caller_flow()],
@@ -311,7 +330,7 @@
         outbox.enqueue_message(header.balancer, &message, &[]);
     }
 
-    /// Tells a balancer which of the flows that it looks for the server holds.
+    /// Answers a balancer's questions about which flows the server holds.
     fn receive_locate(
         &mut self,
         from: Ipv4Addr,
@@ -319,30 +338,30 @@
         now: MonotonicTime,
         outbox: &mut FlowOutbox,
     ) {
-        let mut denied = Vec::new();
-        let mut doubtful = Vec::new();
+        let mut not_held = Vec::new();
+        let mut uncertain = Vec::new();
         for question in questions {
             let flow = question.flow;
             let Some(record) = self.flows.get_mut(&flow) else {
-                if self.may_hold_unknown(now) {
-                    doubtful.push(flow);
+                if self.may_hold_unseen_flow(now) {
+                    uncertain.push(flow);
                 } else {
-                    denied.push(flow);
+                    not_held.push(flow);
                 }
                 continue;
             };
-            if record.phase == FlowPhase::Asked {
-                doubtful.push(flow);
+            if record.phase == FlowPhase::Probed {
+                uncertain.push(flow);
                 continue;
             }
-            if !record.may_be(question) {
-                denied.push(flow);
+            if !record.matches_question(question) {
+                not_held.push(flow);
                 continue;
             }
             record.balancer = from;
-            self.tell_owned(flow, from, now, outbox);
+            self.send_owned(flow, from, now, outbox);
         }
-        for (flows, is_certain) in [(denied, true), (doubtful, false)] {
+        for (flows, is_certain) in [(not_held, true), (uncertain, false)] {
             if !flows.is_empty() {
                 let message = CarryMessage::NotHeld { flows, is_certain };
                 outbox.enqueue_message(from, &message, &[]);
@@ -350,8 +369,8 @@
         }
     }
 
-    /// Hands a packet to the server.
-    fn deliver(
+    /// Delivers a packet to the server and tracks the caller's side of its flow.
+    fn deliver_packet(
         &mut self,
         flow: &FlowKey,
         packet: &RawPacket<'_>,
@@ -359,11 +378,11 @@
         outbox: &mut FlowOutbox,
     ) {
         outbox.enqueue_packet(Destination::Server, packet.bytes);
-        self.server.note_delivered(now);
+        self.server.record_delivery(now);
         let Some(record) = self.flows.get_mut(flow) else {
             return;
         };
-        record.used = now;
+        record.last_used = now;
         if packet.header.has_ack {
             record.acknowledged = packet.header.acknowledged;
         }
@@ -372,23 +391,24 @@
         }
         if record.phase == FlowPhase::Offered {
             record.phase = FlowPhase::Open;
-            self.load.end_offer(record.offered);
+            self.load.remove_offer(record.offered_at);
         }
-        if record.hand_new_data(&packet.header) && record.asked_at.is_none() {
-            record.asked_at = Some(now);
+        if record.record_delivered_data(&packet.header) && record.request_started.is_none() {
+            record.request_started = Some(now);
             self.load.begin_request();
         }
         if packet.header.is_finish || packet.header.is_reset {
-            // A caller that leaves does not wait for its answer.
-            if record.asked_at.take().is_some() {
-                self.load.drop_request();
+            // The caller no longer waits for an answer.
+            if record.request_started.take().is_some() {
+                self.load.discard_request();
             }
-            record.close_caller(packet.header.is_reset);
+            record.close_caller_side(packet.header.is_reset);
         }
     }
 
-    /// Learns from a packet of the server which flows it holds and how fast it is.
-    fn note_answer(
+    /// Tracks the server's side of a flow: whether the server holds it, and when it
+    /// answers a request.
+    fn track_server_packet(
         &mut self,
         flow: &FlowKey,
         packet: &RawPacket<'_>,
@@ -397,72 +417,74 @@
     ) {
         let header = &packet.header;
         let Some(record) = self.flows.get_mut(flow) else {
-            // The flow is older than this process.
+            // The flow was opened before this process started.
             if !header.is_reset {
-                self.flows.insert(*flow, FlowRecord::learnt(now));
+                self.flows.insert(*flow, FlowRecord::observed(now));
             }
             return;
         };
-        record.used = now;
-        let mut owned_by = None;
+        record.last_used = now;
+        let mut owned_for = None;
         if header.is_open && header.has_ack && record.phase == FlowPhase::Offered {
-            record.answer_sequence = Some(header.sequence);
-            owned_by = Some(record.balancer);
+            record.server_start = Some(header.sequence);
+            owned_for = Some(record.balancer);
         }
-        if matches!(record.phase, FlowPhase::Asked | FlowPhase::Absent) && !header.is_reset {
+        if matches!(record.phase, FlowPhase::Probed | FlowPhase::Absent) && !header.is_reset {
             record.phase = FlowPhase::Open;
-            owned_by = Some(record.balancer);
+            owned_for = Some(record.balancer);
         }
-        let is_answer = header.data_length > 0 || record.ends_with_answer(header);
+        let is_answer = header.data_length > 0 || record.ends_after_unacknowledged_data(header);
         let is_closed = header.is_finish || header.is_reset;
-        let asked_at = if is_answer || is_closed {
-            record.asked_at.take()
+        let request_started = if is_answer || is_closed {
+            record.request_started.take()
         } else {
             None
         };
         if is_closed {
-            record.close_server(header.is_reset);
+            record.close_server_side(header.is_reset);
         }
-        if let Some(asked_at) = asked_at {
-            self.end_request(flow, now.since(asked_at), is_answer, outbox);
+        if let Some(request_started) = request_started {
+            self.finish_request(flow, now.since(request_started), is_answer, outbox);
         }
-        if let Some(balancer) = owned_by {
-            self.tell_owned(*flow, balancer, now, outbox);
+        if let Some(balancer) = owned_for {
+            self.send_owned(*flow, balancer, now, outbox);
         }
     }
 
-    /// Notes that the server has answered a request, or closed its flow instead.
-    fn end_request(
+    /// Records that the server answered a request, or closed the flow instead.
+    fn finish_request(
         &mut self,
         flow: &FlowKey,
-        took: Duration,
+        elapsed: Duration,
         is_answer: bool,
         outbox: &mut FlowOutbox,
     ) {
         if is_answer {
-            self.load.end_request(took);
+            self.load.complete_request(elapsed);
             outbox.record_event(FlowEvent::Answered {
                 flow: *flow,
-                micros: took.as_micros() as u32,
+                micros: elapsed.as_micros() as u32,
             });
         } else {
             self.load.fail_request();
             outbox.record_event(FlowEvent::Unanswered {
                 flow: *flow,
-                waited_millis: took.as_millis() as u32,
+                waited_millis: elapsed.as_millis() as u32,
                 is_closed: true,
             });
         }
     }
 
-    fn receive_bounced(
+    /// Processes a caller's packet that the server returned because it does not accept
+    /// it.
+    fn receive_bounced_packet(
         &mut self,
         packet: &RawPacket<'_>,
         now: MonotonicTime,
         outbox: &mut FlowOutbox,
     ) {
         if packet.header.opens_flow() {
-            self.pass_bounced_opening(packet, now, outbox);
+            self.forward_bounced_opening(packet, now, outbox);
             return;
         }
         let flow = packet.header.caller_flow();
@@ -470,11 +492,11 @@
             return;
         };
         match record.phase {
-            FlowPhase::Asked => {
-                let header = record.origin.take();
+            FlowPhase::Probed => {
+                let header = record.forward_header.take();
                 self.set_phase(&flow, FlowPhase::Absent);
                 if let Some(header) = header {
-                    self.disown(&header, packet, outbox);
+                    self.decline_packet(&header, packet, outbox);
                 }
             }
             FlowPhase::Open => {
@@ -489,7 +511,8 @@
         }
     }
 
-    fn tell_owned(
+    /// Tells a balancer that the server holds a flow.
+    fn send_owned(
         &self,
         flow: FlowKey,
         balancer: Ipv4Addr,
@@ -499,7 +522,7 @@
         if balancer.is_unspecified() {
             return;
         }
-        let load = self.report(now);
+        let load = self.load_report(now);
         outbox.enqueue_message(balancer, &CarryMessage::Owned { flow, load }, &[]);
     }
 }
--- a/crates/flows/src/host/opening.rs
+++ b/crates/flows/src/host/opening.rs
@@ -1,10 +1,9 @@
-//! Takes new flows, or passes them on.
+//! Accepts new flows or passes them on to the next candidate.
 //!
-//! The load it answers: bursts at which most servers have all slots taken while
-//! a few have one free. A balancer's view is older than a request takes, so the
-//! host that is asked looks at its own requests and hands the flow to the next
-//! candidate when its server would let it wait. After the last one, the least
-//! busy of those asked takes it.
+//! In a burst, most servers have no free slot while a few still have one. The load
+//! reports that a balancer has are older than the duration of a request, so each host
+//! decides by its own count of requests, and passes the flow on if its server has no
+//! free slot. After the last candidate, the least busy one accepts the flow.
 
 use std::net::Ipv4Addr;
 
@@ -23,26 +22,27 @@
 use crate::outbox::FlowOutbox;
 use crate::packet::RawPacket;
 
-/// Requests for each slot beyond which a server gets no more: the last one then
-/// waits for two answers, which is the larger part of its target. More wait better
-/// at the balancers, which know the age of each.
+/// Requests in progress per slot from which on a server gets no new flows. The last one
+/// of these waits for two answers, which takes the larger part of its latency target.
+/// Further flows wait at the balancers, which know the age of each.
 const MAX_REQUESTS_PER_SLOT: u16 = 3;
 
-/// Slots of a server that has not told how many it has.
-const ASSUMED_SLOTS: u16 = 2;
+/// Assumed number of slots of a server before its first heartbeat.
+const DEFAULT_SLOTS: u16 = 2;
 
-/// What the gate can do with a new flow.
+/// The decision of a host about a new flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum OpeningVerdict {
-    /// A slot is free.
-    Take,
-    /// It would wait behind this many requests.
-    Wait(u16),
-    /// The server takes no new flows.
-    Refuse,
+    /// The server has a free slot.
+    Accept,
+    /// All slots are taken; the value is the number of requests in progress.
+    Queue(u16),
+    /// The server gets no new flows.
+    Reject,
 }
 
 impl FlowHost {
+    /// Accepts the opening packet of a flow or passes it on.
     pub(super) fn receive_opening(
         &mut self,
         header: &CarryHeader,
@@ -51,36 +51,36 @@
         outbox: &mut FlowOutbox,
     ) {
         let flow = packet.header.caller_flow();
-        if self.is_same_opening(&flow) {
-            self.deliver(&flow, packet, now, outbox);
+        if self.has_pending_opening(&flow) {
+            self.deliver_packet(&flow, packet, now, outbox);
             return;
         }
         let known = self.flows.get(&flow);
-        if known.is_some_and(|record| record.is_reopened_by(&packet.header)) {
+        if known.is_some_and(|record| record.is_duplicate_opening(&packet.header)) {
             outbox.record_event(FlowEvent::Dropped {
                 reason: DropReason::Repeated,
             });
             return;
         }
-        let verdict = self.judge(header, &flow, now);
-        let mut onward = header.clone();
+        let verdict = self.evaluate_opening(header, &flow, now);
+        let mut next_header = header.clone();
         match verdict {
-            OpeningVerdict::Take => self.take(header, packet, now, outbox),
-            OpeningVerdict::Wait(_) if header.purpose == ForwardPurpose::OpenHere => {
-                self.take(header, packet, now, outbox);
+            OpeningVerdict::Accept => self.accept_flow(header, packet, now, outbox),
+            OpeningVerdict::Queue(_) if header.purpose == ForwardPurpose::OpenHere => {
+                self.accept_flow(header, packet, now, outbox);
             }
-            OpeningVerdict::Wait(requests) => {
-                if onward.best.is_none_or(|(_, least)| requests < least) {
-                    onward.best = Some((self.identity.address, requests));
+            OpeningVerdict::Queue(requests) => {
+                if next_header.best.is_none_or(|(_, least)| requests < least) {
+                    next_header.best = Some((self.identity.address, requests));
                 }
-                self.pass_on(onward, packet, now, outbox);
+                self.forward_to_next(next_header, packet, now, outbox);
             }
-            OpeningVerdict::Refuse => self.pass_on(onward, packet, now, outbox),
+            OpeningVerdict::Reject => self.forward_to_next(next_header, packet, now, outbox),
         }
     }
 
-    /// Passes a flow on that the server itself turned away.
-    pub(super) fn pass_bounced_opening(
+    /// Passes a flow on whose opening packet the server itself returned.
+    pub(super) fn forward_bounced_opening(
         &mut self,
         packet: &RawPacket<'_>,
         now: MonotonicTime,
@@ -90,56 +90,65 @@
         let Some(record) = self.flows.get_mut(&flow) else {
             return;
         };
-        if record.phase != FlowPhase::Offered || record.answer_sequence.is_some() {
+        if record.phase != FlowPhase::Offered || record.server_start.is_some() {
             return;
         }
-        let origin = record.origin.take();
-        let offered = record.offered;
+        let forward_header = record.forward_header.take();
+        let offered = record.offered_at;
         self.flows.remove(&flow);
-        self.load.end_offer(offered);
-        if let Some(origin) = origin {
-            self.pass_on(*origin, packet, now, outbox);
+        self.load.remove_offer(offered);
+        if let Some(forward_header) = forward_header {
+            self.forward_to_next(*forward_header, packet, now, outbox);
         }
     }
 
-    /// Returns how many requests the server works on at the same time.
+    /// Returns the number of requests that the server processes concurrently.
     pub(super) fn slots(&self) -> u16 {
-        self.server.slots().unwrap_or(ASSUMED_SLOTS)
+        self.server.slots().unwrap_or(DEFAULT_SLOTS)
     }
 
-    fn is_same_opening(&self, flow: &FlowKey) -> bool {
+    /// Returns whether an opening packet of the flow was delivered to the server, and no
+    /// later packet of the caller was.
+    fn has_pending_opening(&self, flow: &FlowKey) -> bool {
         self.flows
             .get(flow)
             .is_some_and(|record| record.phase == FlowPhase::Offered)
     }
 
-    fn judge(&self, header: &CarryHeader, flow: &FlowKey, now: MonotonicTime) -> OpeningVerdict {
+    /// Decides about a new flow by the state of the server, the routes and the load.
+    fn evaluate_opening(
+        &self,
+        header: &CarryHeader,
+        flow: &FlowKey,
+        now: MonotonicTime,
+    ) -> OpeningVerdict {
         if self.server.state() != ServerState::Ready || self.is_stopping {
-            return OpeningVerdict::Refuse;
+            return OpeningVerdict::Reject;
         }
-        // The newer of the two tables decides; a balancer with newer routes may
-        // know one that has not arrived here.
+        // Routes older than the balancer's do not decide: its route may be one that this
+        // host has not received yet.
         if self.routes.table().version() >= header.routes && self.routes.table().version() > 0 {
-            let allowed = self
+            let is_allowed = self
                 .routes
                 .table()
                 .route(flow.target)
                 .is_some_and(|route| route.allows(&self.identity.service));
-            if !allowed {
-                return OpeningVerdict::Refuse;
+            if !is_allowed {
+                return OpeningVerdict::Reject;
             }
         }
         let requests = self.load.in_progress(now);
         if requests < self.slots() {
-            OpeningVerdict::Take
+            OpeningVerdict::Accept
         } else if requests < self.slots() * MAX_REQUESTS_PER_SLOT {
-            OpeningVerdict::Wait(requests)
+            OpeningVerdict::Queue(requests)
         } else {
-            OpeningVerdict::Refuse
+            OpeningVerdict::Reject
         }
     }
 
-    fn take(
+    /// Records a new flow and delivers its opening packet to the server.
+    fn accept_flow(
         &mut self,
         header: &CarryHeader,
         packet: &RawPacket<'_>,
@@ -147,22 +156,23 @@
         outbox: &mut FlowOutbox,
     ) {
         let flow = packet.header.caller_flow();
-        // An earlier flow with the same two ends is over for its caller.
+        // The caller has given up an earlier flow with the same endpoints.
         self.set_phase(&flow, FlowPhase::Closed);
         self.flows.insert(
             flow,
             FlowRecord::offered(header.clone(), &packet.header, now),
         );
-        self.load.begin_offer(now);
+        self.load.add_offer(now);
         outbox.record_event(FlowEvent::Offered {
             flow,
             balancer: header.balancer,
             in_progress: self.load.in_progress(now),
         });
-        self.deliver(&flow, packet, now, outbox);
+        self.deliver_packet(&flow, packet, now, outbox);
     }
 
-    fn pass_on(
+    /// Passes the flow on to the next candidate.
+    fn forward_to_next(
         &mut self,
         mut header: CarryHeader,
         packet: &RawPacket<'_>,
@@ -170,15 +180,16 @@
         outbox: &mut FlowOutbox,
     ) {
         if header.next.is_empty() {
-            self.end_round(header, packet, now, outbox);
+            self.assign_to_least_busy(header, packet, now, outbox);
             return;
         }
         let host = header.next.remove(0);
-        self.send_on(host, header, packet, now, outbox);
+        self.forward_to_host(host, header, packet, now, outbox);
     }
 
-    /// No candidate has a free slot: the least busy one takes the flow.
-    fn end_round(
+    /// Assigns the flow to the least busy candidate, as none has a free slot. If all have
+    /// rejected it, the packet is returned to the balancer.
+    fn assign_to_least_busy(
         &mut self,
         mut header: CarryHeader,
         packet: &RawPacket<'_>,
@@ -187,13 +198,14 @@
     ) {
         match header.best {
             Some((host, _)) if host == self.identity.address => {
-                self.take(&header, packet, now, outbox);
+                self.accept_flow(&header, packet, now, outbox);
             }
             Some((host, _)) => {
                 header.purpose = ForwardPurpose::OpenHere;
-                // If it has changed its mind, the balancer chooses again.
+                // If that host no longer has capacity, the packet is returned to the
+                // balancer, which chooses other candidates.
                 header.best = None;
-                self.send_on(host, header, packet, now, outbox);
+                self.forward_to_host(host, header, packet, now, outbox);
             }
             None => {
                 let message = CarryMessage::Returned {
@@ -204,7 +216,8 @@
         }
     }
 
-    fn send_on(
+    /// Sends the packet to another host.
+    fn forward_to_host(
         &self,
         host: Ipv4Addr,
         header: CarryHeader,
--- a/crates/flows/src/host/peers.rs
+++ b/crates/flows/src/host/peers.rs
@@ -1,4 +1,7 @@
-//! Messages between a host and its peers.
+//! Messages that a host exchanges with balancers and other hosts.
+//!
+//! Hellos report the state and load of the backend server to all known balancers. They
+//! are sent at regular intervals, and at the next tick after a change.
 
 use std::net::Ipv4Addr;
 
@@ -19,14 +22,16 @@
 use crate::routes::RouteTable;
 
 impl FlowHost {
-    /// Decides about a message of a peer. `packet` is the packet behind it,
-    /// `behind` its bytes or those of another part.
+    /// Processes a message of a peer.
+    ///
+    /// `payload` holds the bytes that follow the message, and `packet` the packet that
+    /// they contain, if any.
     pub fn receive_peer(
         &mut self,
         from: Ipv4Addr,
         message: &CarryMessage,
         packet: Option<&RawPacket<'_>>,
-        behind: &[u8],
+        payload: &[u8],
         now: MonotonicTime,
         outbox: &mut FlowOutbox,
     ) {
@@ -46,7 +51,7 @@
                 }
                 for flow in flows {
                     if self.flows.get(flow).is_none() {
-                        self.flows.insert(*flow, FlowRecord::told(now));
+                        self.flows.insert(*flow, FlowRecord::reported(now));
                     }
                 }
             }
@@ -59,7 +64,7 @@
                 parts,
             } => {
                 self.routes
-                    .take_part(*version, *part, *parts, behind, outbox);
+                    .take_part(*version, *part, *parts, payload, outbox);
             }
             CarryMessage::Flows { .. }
             | CarryMessage::Owned { .. }
@@ -68,28 +73,28 @@
         }
     }
 
-    /// Puts routes in force, unless those in force are as new.
+    /// Puts routes in force if their version is newer than the current one.
     pub fn set_routes(&mut self, routes: RouteTable, outbox: &mut FlowOutbox) {
         self.routes.put(routes, outbox);
     }
 
-    /// Adds addresses at which there may be balancers.
+    /// Adds addresses that hellos are sent to because balancers may run there.
     pub fn add_contacts(&mut self, contacts: &[Ipv4Addr]) {
         for contact in contacts {
             if let Err(index) = self.contacts.binary_search(contact) {
                 self.contacts.insert(index, *contact);
-                self.say_hello_soon();
+                self.schedule_hello();
             }
         }
     }
 
     /// Returns when the next tick is due.
     pub fn next_tick(&self) -> MonotonicTime {
-        self.next_hello.min(self.ticked + HOST_TICK)
+        self.next_hello.min(self.last_tick + HOST_TICK)
     }
 
-    /// Returns how busy the server is.
-    pub(super) fn report(&self, now: MonotonicTime) -> CarryLoad {
+    /// Returns the load of the server, as it is reported to balancers.
+    pub(super) fn load_report(&self, now: MonotonicTime) -> CarryLoad {
         CarryLoad {
             in_progress: self.load.in_progress(now),
             mean_sixteenths: self.load.mean_sixteenths(),
@@ -99,20 +104,22 @@
         }
     }
 
-    pub(super) fn say_hello_soon(&mut self) {
+    /// Makes the next tick send hellos, so that balancers learn of a change at once.
+    pub(super) fn schedule_hello(&mut self) {
         self.next_hello = MonotonicTime::default();
     }
 
-    pub(super) fn greet_all(&mut self, now: MonotonicTime, outbox: &mut FlowOutbox) {
+    /// Sends a hello to all contacts, and schedules the next round.
+    pub(super) fn send_hellos(&mut self, now: MonotonicTime, outbox: &mut FlowOutbox) {
         self.next_hello = now + self.members.limits().hello_interval;
         self.hello_number += 1;
         for contact in &self.contacts {
-            let hello = self.hello(!self.members.has_balancer(*contact), now);
+            let hello = self.build_hello(!self.members.has_balancer(*contact), now);
             outbox.enqueue_message(*contact, &CarryMessage::Hello(hello), &[]);
         }
     }
 
-    fn hello(&self, wants_answer: bool, now: MonotonicTime) -> HelloMessage {
+    fn build_hello(&self, wants_answer: bool, now: MonotonicTime) -> HelloMessage {
         HelloMessage {
             started: self.identity.started,
             number: self.hello_number,
@@ -122,7 +129,7 @@
             role: HelloRole::Host(HostHello {
                 service: self.identity.service.clone(),
                 server: self.server.state(),
-                load: self.report(now),
+                load: self.load_report(now),
                 is_relearning: self.is_relearning,
                 is_server_new: self.server.is_new(now),
                 is_stopping: self.is_stopping,
@@ -148,7 +155,7 @@
             self.add_contacts(&balancer.balancers);
             self.add_contacts(&[from]);
             if outcome == HelloOutcome::Met {
-                let answer = CarryMessage::Hello(self.hello(false, now));
+                let answer = CarryMessage::Hello(self.build_hello(false, now));
                 outbox.enqueue_message(from, &answer, &[]);
             }
         }
--- a/crates/flows/src/host/records.rs
+++ b/crates/flows/src/host/records.rs
@@ -1,4 +1,7 @@
-//! The flows that a host knows.
+//! The records that a host keeps about flows, and how long it keeps them.
+//!
+//! Positions in a stream are 32-bit numbers that wrap around, as the packets carry
+//! them.
 
 use std::net::Ipv4Addr;
 use std::time::Duration;
@@ -12,233 +15,248 @@
 use crate::event::BreakReason;
 use crate::event::FlowEvent;
 use crate::host::FlowHost;
-use crate::host::SWEPT_SHARDS;
+use crate::host::SHARDS_PER_TICK;
 use crate::outbox::FlowOutbox;
 use crate::packet::PacketHeader;
 
-/// Time for which a flow that has ended is known, for packets that are still on
-/// their way; the longest pause between two repetitions is 1.6 s.
-const CLOSED_MEMORY: Duration = Duration::from_secs(4);
+/// Time for which a closed flow is kept, for packets that are still in flight; the
+/// longest interval between two retransmissions is 1.6 s.
+const CLOSED_RETENTION: Duration = Duration::from_secs(4);
 
-/// Time that a server has to answer an opening packet; callers give up after 1.4 s.
-const OFFER_MEMORY: Duration = Duration::from_secs(2);
+/// Time for which a flow is kept whose opening packet the server has not answered;
+/// callers give up after 1.4 s.
+const OFFER_RETENTION: Duration = Duration::from_secs(2);
 
-/// Time for which broken flows and flows of other hosts are known.
-const REFUSED_MEMORY: Duration = Duration::from_secs(15);
+/// Time for which broken flows and flows that the server does not hold are kept.
+const NOT_HELD_RETENTION: Duration = Duration::from_secs(15);
 
-/// Time after which a request without an answer is not counted any more. The
-/// longest takes 180 ms, and a full queue before a slow server ten times as long.
-const REQUEST_MEMORY: Duration = Duration::from_secs(2);
+/// Time after which a request without an answer no longer counts as in progress. The
+/// longest request takes 180 ms, and ten times as long with a full queue at a slow
+/// server.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Positions in a server's stream between two acknowledgements that belong to the
-/// same flow. An answer has 480 kB at most.
-const ANSWER_WINDOW: u32 = 1 << 19;
+/// Largest distance, in bytes, between two acknowledged positions of the same server's
+/// stream. An answer has at most 480 kB.
+const STREAM_WINDOW_BYTES: u32 = 1 << 19;
 
-/// How far a flow has come.
+/// The state of a flow at a host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum FlowPhase {
-    /// The server has its opening packet.
+    /// The opening packet was delivered to the server; no later packet of the caller was.
     Offered,
-    /// The server was handed a packet to see whether it holds the flow.
-    Asked,
-    /// The server holds it.
+    /// It is unknown whether the server holds the flow. Its packets are delivered to the
+    /// server, whose reaction decides.
+    Probed,
+    /// The server holds the flow.
     Open,
-    /// Both ends are done with it, or one has reset it.
+    /// Both endpoints have finished, or one has reset the flow.
     Closed,
-    /// The server does not hold it.
+    /// The server does not hold the flow.
     Absent,
-    /// The server held it and has ended or forgotten it.
+    /// The server held the flow, and has ended or no longer accepts its packets.
     Broken,
 }
 
-/// What a host knows of a flow.
+/// What a host knows about a flow.
 #[derive(Debug, Clone)]
 pub(super) struct FlowRecord {
     pub(super) phase: FlowPhase,
-    /// The balancer that it came through last; unspecified if unknown.
+    /// The last balancer that forwarded or asked for the flow; unspecified if unknown.
     pub(super) balancer: Ipv4Addr,
-    pub(super) used: MonotonicTime,
-    /// When the server got its opening packet.
-    pub(super) offered: MonotonicTime,
-    /// Position in the server's stream that the caller acknowledged last.
+    /// When the last packet of the flow passed.
+    pub(super) last_used: MonotonicTime,
+    /// When the opening packet was delivered to the server.
+    pub(super) offered_at: MonotonicTime,
+    /// Position in the server's stream that the caller acknowledged last; 0 if unknown.
     pub(super) acknowledged: u32,
-    /// Position at which the caller's stream starts.
-    pub(super) opened_at: Option<u32>,
-    /// Position at which the server's stream starts.
-    pub(super) answer_sequence: Option<u32>,
-    /// Position in the caller's stream up to which the server was handed data.
-    pub(super) handed_to: Option<u32>,
-    /// When the caller sent the request that waits for its answer.
-    pub(super) asked_at: Option<MonotonicTime>,
-    /// The message with which the first packet came, while it may go elsewhere.
-    pub(super) origin: Option<Box<CarryHeader>>,
-    caller_done: bool,
-    server_done: bool,
+    /// Position at which the caller's stream starts, if known.
+    pub(super) caller_start: Option<u32>,
+    /// Position at which the server's stream starts, if known.
+    pub(super) server_start: Option<u32>,
+    /// Position in the caller's stream up to which data was delivered to the server.
+    pub(super) delivered_end: Option<u32>,
+    /// When the request that is in progress was delivered to the server.
+    pub(super) request_started: Option<MonotonicTime>,
+    /// The header that the last undecided packet was forwarded with, needed to pass the
+    /// packet on or to return it if the server does not accept it.
+    pub(super) forward_header: Option<Box<CarryHeader>>,
+    is_caller_closed: bool,
+    is_server_closed: bool,
 }
 
 impl FlowRecord {
-    /// A flow whose opening packet the server gets.
-    pub(super) fn offered(origin: CarryHeader, opening: &PacketHeader, now: MonotonicTime) -> Self {
+    /// Creates the record of a flow whose opening packet is delivered to the server.
+    pub(super) fn offered(
+        forward_header: CarryHeader,
+        opening: &PacketHeader,
+        now: MonotonicTime,
+    ) -> Self {
         Self {
             phase: FlowPhase::Offered,
-            opened_at: Some(opening.sequence),
-            balancer: origin.balancer,
-            origin: Some(Box::new(origin)),
-            ..Self::learnt(now)
+            caller_start: Some(opening.sequence),
+            balancer: forward_header.balancer,
+            forward_header: Some(Box::new(forward_header)),
+            ..Self::observed(now)
         }
     }
 
-    /// A flow that the server may or may not hold.
-    pub(super) fn asked(origin: CarryHeader, now: MonotonicTime) -> Self {
+    /// Creates the record of a flow of which it is unknown whether the server holds it.
+    pub(super) fn probed(forward_header: CarryHeader, now: MonotonicTime) -> Self {
         Self {
-            phase: FlowPhase::Asked,
-            balancer: origin.balancer,
-            origin: Some(Box::new(origin)),
-            ..Self::learnt(now)
+            phase: FlowPhase::Probed,
+            balancer: forward_header.balancer,
+            forward_header: Some(Box::new(forward_header)),
+            ..Self::observed(now)
         }
     }
 
-    /// A flow that the server holds, as its packets show.
-    pub(super) fn learnt(now: MonotonicTime) -> Self {
+    /// Creates the record of a flow that the server holds, as its packets show.
+    pub(super) fn observed(now: MonotonicTime) -> Self {
         Self {
             phase: FlowPhase::Open,
             balancer: Ipv4Addr::UNSPECIFIED,
-            used: now,
-            offered: now,
+            last_used: now,
+            offered_at: now,
             acknowledged: 0,
-            opened_at: None,
-            answer_sequence: None,
-            handed_to: None,
-            asked_at: None,
-            origin: None,
-            caller_done: false,
-            server_done: false,
+            caller_start: None,
+            server_start: None,
+            delivered_end: None,
+            request_started: None,
+            forward_header: None,
+            is_caller_closed: false,
+            is_server_closed: false,
         }
     }
 
-    /// A flow that a balancer takes for one of the server's, which may be wrong.
-    pub(super) fn told(now: MonotonicTime) -> Self {
+    /// Creates the record of a flow that a balancer reports as the server's. Balancers
+    /// may be wrong, so the server is probed.
+    pub(super) fn reported(now: MonotonicTime) -> Self {
         Self {
-            phase: FlowPhase::Asked,
-            ..Self::learnt(now)
+            phase: FlowPhase::Probed,
+            ..Self::observed(now)
         }
     }
 
-    /// Returns whether a caller that acknowledged this position goes on from this
-    /// server's stream. Its first packet on the flow acknowledges the start alone.
-    pub(super) fn continues(&self, position: Option<u32>) -> bool {
+    /// Returns whether a caller that acknowledged `position` is reading this server's
+    /// stream, and not that of another server. Its first packet after the opening
+    /// acknowledges only the start of the stream.
+    pub(super) fn continues_stream(&self, position: Option<u32>) -> bool {
         let (Some(position), known) = (position, self.acknowledged) else {
             return false;
         };
-        match self.answer_sequence {
+        match self.server_start {
             None if known == 0 => false,
             Some(start) if known == 0 => position == start.wrapping_add(1),
-            _ => position.wrapping_sub(known) < ANSWER_WINDOW,
+            _ => position.wrapping_sub(known) < STREAM_WINDOW_BYTES,
         }
     }
 
-    /// Returns whether an opening packet is a late copy of the one that opened this
-    /// flow. A new flow from the same port starts at another position.
-    pub(super) fn is_reopened_by(&self, header: &PacketHeader) -> bool {
-        let is_past = matches!(
+    /// Returns whether an opening packet is a late retransmission of the one that opened
+    /// this flow. A new flow from the same port starts at another position.
+    pub(super) fn is_duplicate_opening(&self, header: &PacketHeader) -> bool {
+        let has_opened = matches!(
             self.phase,
             FlowPhase::Open | FlowPhase::Closed | FlowPhase::Broken
         );
-        is_past && self.opened_at == Some(header.sequence)
+        has_opened && self.caller_start == Some(header.sequence)
     }
 
-    /// Returns whether the flow that a balancer looks for is this one, and not one
-    /// that has gone on at another server.
-    pub(super) fn may_be(&self, question: &FlowQuestion) -> bool {
+    /// Returns whether a balancer's question is about this flow, and not about one with
+    /// the same endpoints that continues at another server.
+    pub(super) fn matches_question(&self, question: &FlowQuestion) -> bool {
         match self.phase {
             FlowPhase::Absent => false,
-            FlowPhase::Broken | FlowPhase::Offered => self.continues(question.acknowledged),
-            FlowPhase::Asked | FlowPhase::Open | FlowPhase::Closed => true,
+            FlowPhase::Broken | FlowPhase::Offered => self.continues_stream(question.acknowledged),
+            FlowPhase::Probed | FlowPhase::Open | FlowPhase::Closed => true,
         }
     }
 
-    /// Returns the position at which the caller takes a reset; nothing while the
-    /// flow cannot have opened here.
+    /// Returns the position at which the caller accepts a reset, or `None` if the flow
+    /// cannot have opened at this server.
     fn reset_position(&self) -> Option<u32> {
         if self.acknowledged != 0 {
             return Some(self.acknowledged);
         }
-        self.answer_sequence.map(|start| start.wrapping_add(1))
+        self.server_start.map(|start| start.wrapping_add(1))
     }
 
-    /// Returns whether a server's packet ends its stream behind data that the caller
-    /// does not have yet. The end may overtake the data.
-    pub(super) fn ends_with_answer(&self, header: &PacketHeader) -> bool {
+    /// Returns whether a packet of the server ends its stream after data that the caller
+    /// has not acknowledged. The request was then answered, even if this packet has
+    /// overtaken the data.
+    pub(super) fn ends_after_unacknowledged_data(&self, header: &PacketHeader) -> bool {
         header.is_finish && header.sequence.wrapping_sub(self.acknowledged) as i32 > 0
     }
 
-    /// Returns whether the packet has data that the server was not handed before,
-    /// and notes it as handed over.
-    pub(super) fn hand_new_data(&mut self, header: &PacketHeader) -> bool {
+    /// Records the data of a caller's packet as delivered to the server, and returns
+    /// whether any of it was not delivered before.
+    pub(super) fn record_delivered_data(&mut self, header: &PacketHeader) -> bool {
         let end = header.sequence.wrapping_add(u32::from(header.data_length));
-        // The difference as a signed number orders positions across the wrap.
+        // The signed difference orders positions across the wraparound.
         let is_new = self
-            .handed_to
-            .is_none_or(|handed| end.wrapping_sub(handed) as i32 > 0);
+            .delivered_end
+            .is_none_or(|delivered| end.wrapping_sub(delivered) as i32 > 0);
         if is_new {
-            self.handed_to = Some(end);
+            self.delivered_end = Some(end);
         }
         is_new && header.data_length > 0
     }
 
-    /// Notes that the caller sends nothing more.
-    pub(super) fn close_caller(&mut self, is_reset: bool) {
-        self.caller_done = true;
+    /// Records that the caller has finished or reset the flow.
+    pub(super) fn close_caller_side(&mut self, is_reset: bool) {
+        self.is_caller_closed = true;
         self.close_if_done(is_reset);
     }
 
-    /// Notes that the server sends nothing more.
-    pub(super) fn close_server(&mut self, is_reset: bool) {
-        self.server_done = true;
+    /// Records that the server has finished or reset the flow.
+    pub(super) fn close_server_side(&mut self, is_reset: bool) {
+        self.is_server_closed = true;
         self.close_if_done(is_reset);
     }
 
     fn close_if_done(&mut self, is_reset: bool) {
-        let both_done = self.caller_done && self.server_done;
-        if self.phase == FlowPhase::Open && (both_done || is_reset) {
+        let are_both_closed = self.is_caller_closed && self.is_server_closed;
+        if self.phase == FlowPhase::Open && (are_both_closed || is_reset) {
             self.phase = FlowPhase::Closed;
         }
     }
 
-    fn memory(&self, idle: Duration) -> Duration {
+    /// Returns the time without packets after which the record is removed. Flows that the
+    /// server may hold are kept for `idle`.
+    fn retention(&self, idle: Duration) -> Duration {
         match self.phase {
-            FlowPhase::Offered => OFFER_MEMORY,
-            FlowPhase::Closed => CLOSED_MEMORY,
-            FlowPhase::Absent | FlowPhase::Broken => REFUSED_MEMORY,
-            FlowPhase::Open | FlowPhase::Asked => idle,
+            FlowPhase::Offered => OFFER_RETENTION,
+            FlowPhase::Closed => CLOSED_RETENTION,
+            FlowPhase::Absent | FlowPhase::Broken => NOT_HELD_RETENTION,
+            FlowPhase::Open | FlowPhase::Probed => idle,
         }
     }
 }
 
 impl FlowHost {
+    /// Sets the phase of a flow, whose offer or request no longer counts as in progress.
     pub(super) fn set_phase(&mut self, flow: &FlowKey, phase: FlowPhase) {
         let Some(record) = self.flows.get_mut(flow) else {
             return;
         };
         if record.phase == FlowPhase::Offered {
-            self.load.end_offer(record.offered);
+            self.load.remove_offer(record.offered_at);
         }
-        if record.asked_at.take().is_some() {
-            self.load.drop_request();
+        if record.request_started.take().is_some() {
+            self.load.discard_request();
         }
         record.phase = phase;
     }
 
-    /// Tells balancers that the server holds none of the flows that it was asked
-    /// about, as it has started since.
-    pub(super) fn deny_asked(&mut self, outbox: &mut FlowOutbox) {
+    /// Tells balancers that the server does not hold the flows that it is probed for.
+    /// Called when the server has started since, has ended or was replaced.
+    pub(super) fn deny_probed_flows(&mut self, outbox: &mut FlowOutbox) {
         for (flow, record) in self.flows.iter_mut() {
-            if record.phase != FlowPhase::Asked {
+            if record.phase != FlowPhase::Probed {
                 continue;
             }
             record.phase = FlowPhase::Absent;
-            if record.asked_at.take().is_some() {
-                self.load.drop_request();
+            if record.request_started.take().is_some() {
+                self.load.discard_request();
             }
             if record.balancer.is_unspecified() {
                 continue;
@@ -251,13 +269,13 @@
         }
     }
 
-    /// Tells the callers of all open flows that their server has ended.
-    pub(super) fn break_all(&mut self, outbox: &mut FlowOutbox) {
-        self.deny_asked(outbox);
+    /// Resets all open flows because their server has ended or was replaced.
+    pub(super) fn reset_all_flows(&mut self, outbox: &mut FlowOutbox) {
+        self.deny_probed_flows(outbox);
         for (flow, record) in self.flows.iter_mut() {
             let was_open = matches!(record.phase, FlowPhase::Open | FlowPhase::Offered);
             let position = record.reset_position();
-            record.asked_at = None;
+            record.request_started = None;
             if record.phase != FlowPhase::Absent {
                 record.phase = FlowPhase::Broken;
             }
@@ -272,24 +290,25 @@
         self.load.clear();
     }
 
-    /// Forgets flows that have ended or that nobody uses.
-    pub(super) fn sweep(&mut self, now: MonotonicTime, outbox: &mut FlowOutbox) {
+    /// Removes expired records in the next shards of the table, and stops counting
+    /// requests that the server has not answered in time.
+    pub(super) fn sweep_flows(&mut self, now: MonotonicTime, outbox: &mut FlowOutbox) {
         let idle = self.identity.max_flow_age;
         let load = &mut self.load;
-        self.flows.sweep(SWEPT_SHARDS, |flow, record| {
-            let waited = record.asked_at.map(|asked| now.since(asked));
-            if let Some(waited) = waited.filter(|waited| *waited >= REQUEST_MEMORY) {
-                record.asked_at = None;
-                load.drop_request();
+        self.flows.sweep(SHARDS_PER_TICK, |flow, record| {
+            let waited = record.request_started.map(|started| now.since(started));
+            if let Some(waited) = waited.filter(|waited| *waited >= REQUEST_TIMEOUT) {
+                record.request_started = None;
+                load.discard_request();
                 outbox.record_event(FlowEvent::Unanswered {
                     flow: *flow,
                     waited_millis: waited.as_millis() as u32,
                     is_closed: false,
                 });
             }
-            let keep = now.since(record.used) < record.memory(idle);
-            if !keep && record.asked_at.is_some() {
-                load.drop_request();
+            let keep = now.since(record.last_used) < record.retention(idle);
+            if !keep && record.request_started.is_some() {
+                load.discard_request();
             }
             keep
         });
--- a/crates/flows/src/host/server.rs
+++ b/crates/flows/src/host/server.rs
@@ -1,4 +1,9 @@
-//! What a host believes of the server beside it.
+//! Monitors the backend server beside a host.
+//!
+//! The state of the server is derived from its heartbeats, its packets and checks that
+//! the host requests: a health check while the state is unknown, and a connection
+//! attempt when the server stops answering or has announced its end. Only a refused
+//! connection shows that the server has ended; silence alone does not.
 
 use std::time::Duration;
 
@@ -14,66 +19,67 @@
 use crate::host::FlowHost;
 use crate::outbox::FlowOutbox;
 
-/// Silence of a server that was handed a packet after which the host tries to
-/// connect. Requests take up to 180 ms, and while a server is busy it answers
-/// others in between.
-const SUSPICIOUS_SILENCE: Duration = Duration::from_millis(120);
+/// Time without any packet from the server after a delivery until the host attempts to
+/// connect. Requests take up to 180 ms, but a busy server answers others in the
+/// meantime.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(120);
 
-/// Time between two attempts to connect.
+/// Shortest time between two checks.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Age up to which a server counts as new: servers that an outage has ended all
-/// start within a second.
-const NEW_SERVER_AGE: Duration = Duration::from_secs(3);
+/// Age up to which a server counts as new. After an outage all servers start within a
+/// second of each other.
+const NEW_SERVER_MAX_AGE: Duration = Duration::from_secs(3);
 
-/// What an attempt to reach the server showed.
+/// The result of a check of the server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CheckResult {
-    /// It answered that it takes work.
+    /// The health check reported that the server accepts requests.
     Healthy,
-    /// It answered that it takes none.
+    /// The health check reported that the server accepts no requests.
     Unhealthy,
-    /// It accepted a connection.
+    /// The server accepted the connection.
     Connected,
-    /// Nothing listens there.
+    /// The connection was refused: nothing listens on the address.
     Refused,
-    /// There was no answer.
+    /// The check timed out or failed in another way.
     NoResponse,
 }
 
-/// Which attempt the host is to make next.
+/// A check of the server that is to be made.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServerCheck {
-    /// A health check, to learn the state of a server that was running before.
+    /// A health check, for the state of a server that was started before the host.
     Health,
-    /// A connection, to learn whether the server still runs.
+    /// A connection attempt, to find out whether the server still runs.
     Connect,
 }
 
-/// The evidence about one server.
+/// The state of one server and the evidence for it.
 #[derive(Debug)]
-pub(super) struct ServerWatch {
+pub(super) struct ServerMonitor {
     state: ServerState,
-    beats: HeartbeatTracker,
-    heard: MonotonicTime,
-    delivered: Option<MonotonicTime>,
-    checked: Option<MonotonicTime>,
-    /// Whether the server has said that it ends now.
+    heartbeats: HeartbeatTracker,
+    last_response: MonotonicTime,
+    /// Time of the first delivery since the last packet from the server.
+    unanswered_since: Option<MonotonicTime>,
+    last_check: Option<MonotonicTime>,
+    /// Whether the server has deregistered because it is about to end.
     is_ending: bool,
-    /// When the server started, if the host was there.
-    started: Option<MonotonicTime>,
+    /// When the server started; `None` if it started before the host did.
+    started_at: Option<MonotonicTime>,
 }
 
-impl ServerWatch {
+impl ServerMonitor {
     pub(super) fn new(now: MonotonicTime) -> Self {
         Self {
             state: ServerState::Unknown,
-            beats: HeartbeatTracker::default(),
-            heard: now,
-            delivered: None,
-            checked: None,
+            heartbeats: HeartbeatTracker::default(),
+            last_response: now,
+            unanswered_since: None,
+            last_check: None,
             is_ending: false,
-            started: None,
+            started_at: None,
         }
     }
 
@@ -81,60 +87,69 @@
         self.state
     }
 
+    /// Returns the number of requests that the server processes concurrently, 1 or more;
+    /// `None` before the first heartbeat.
     pub(super) fn slots(&self) -> Option<u16> {
-        self.beats.last().map(|beat| beat.slots.max(1))
+        self.heartbeats
+            .last()
+            .map(|heartbeat| heartbeat.slots.max(1))
     }
 
-    pub(super) fn note_heard(&mut self, now: MonotonicTime) {
-        self.heard = now;
-        self.delivered = None;
+    /// Records that the server has sent a packet or accepted a connection.
+    pub(super) fn record_response(&mut self, now: MonotonicTime) {
+        self.last_response = now;
+        self.unanswered_since = None;
     }
 
-    pub(super) fn note_delivered(&mut self, now: MonotonicTime) {
-        self.delivered.get_or_insert(now);
+    /// Records that a packet was delivered to the server.
+    pub(super) fn record_delivery(&mut self, now: MonotonicTime) {
+        self.unanswered_since.get_or_insert(now);
     }
 
+    /// Returns whether the server started a short while ago.
     pub(super) fn is_new(&self, now: MonotonicTime) -> bool {
-        self.started
-            .is_some_and(|started| now.since(started) < NEW_SERVER_AGE)
+        self.started_at
+            .is_some_and(|started_at| now.since(started_at) < NEW_SERVER_MAX_AGE)
     }
 
-    fn is_suspicious(&self, now: MonotonicTime) -> bool {
-        self.delivered
-            .is_some_and(|delivered| now.since(delivered) >= SUSPICIOUS_SILENCE)
+    fn is_unresponsive(&self, now: MonotonicTime) -> bool {
+        self.unanswered_since
+            .is_some_and(|unanswered_since| now.since(unanswered_since) >= RESPONSE_TIMEOUT)
     }
 }
 
 impl FlowHost {
-    /// Takes a heartbeat of the server.
+    /// Processes a heartbeat of the server.
+    ///
+    /// A new incarnation resets the flows of the one before it.
     pub fn receive_heartbeat(
         &mut self,
-        beat: &ServerHeartbeat,
+        heartbeat: &ServerHeartbeat,
         now: MonotonicTime,
         outbox: &mut FlowOutbox,
     ) -> HeartbeatVerdict {
-        let is_first = self.server.beats.last().is_none();
-        let order = self.server.beats.record(beat, now);
+        let is_first = self.server.heartbeats.last().is_none();
+        let order = self.server.heartbeats.record(heartbeat, now);
         match order {
             HeartbeatOrder::Late => return HeartbeatVerdict::Outdated,
             HeartbeatOrder::NewIncarnation => {
-                self.break_all(outbox);
+                self.reset_all_flows(outbox);
                 self.is_relearning = false;
-                self.server.started = Some(now);
+                self.server.started_at = Some(now);
             }
-            HeartbeatOrder::Next if is_first && beat.sequence <= 1 => {
-                // The server has just started, so there is nothing to learn.
+            HeartbeatOrder::Next if is_first && heartbeat.sequence <= 1 => {
+                // The server has just started, so it holds no flows from before.
                 self.is_relearning = false;
-                self.deny_asked(outbox);
-                self.server.started = Some(now);
+                self.deny_probed_flows(outbox);
+                self.server.started_at = Some(now);
             }
             HeartbeatOrder::Next => {}
         }
         self.server.is_ending = false;
-        if beat.service != self.identity.service {
-            self.set_service(&beat.service, now, outbox);
+        if heartbeat.service != self.identity.service {
+            self.set_service(&heartbeat.service, now, outbox);
         }
-        let state = if beat.is_draining {
+        let state = if heartbeat.is_draining {
             ServerState::Draining
         } else {
             ServerState::Ready
@@ -143,38 +158,42 @@
         HeartbeatVerdict::Accepted
     }
 
-    /// Notes that the server has said that it ends now.
+    /// Processes a deregistration: the server with this `id` is about to end.
     pub fn receive_deregistration(&mut self, id: &str, outbox: &mut FlowOutbox) {
-        let is_present = self.server.beats.last().is_none_or(|beat| beat.id == id);
-        if is_present {
+        let is_current = self
+            .server
+            .heartbeats
+            .last()
+            .is_none_or(|heartbeat| heartbeat.id == id);
+        if is_current {
             self.server.is_ending = true;
             self.set_server_state(ServerState::Draining, ServerStateSource::Heartbeat, outbox);
         }
     }
 
-    /// Returns the attempt to reach the server that is due, if any.
+    /// Returns the check that is due, if any, and records it as made at `now`.
     pub fn take_due_check(&mut self, now: MonotonicTime) -> Option<ServerCheck> {
-        let recent = self
+        let is_recent = self
             .server
-            .checked
-            .is_some_and(|checked| now.since(checked) < CHECK_INTERVAL);
-        if recent {
+            .last_check
+            .is_some_and(|last_check| now.since(last_check) < CHECK_INTERVAL);
+        if is_recent {
             return None;
         }
         let check = match self.server.state {
             ServerState::Unknown if self.health_path().is_some() => ServerCheck::Health,
             ServerState::Ready | ServerState::Draining
-                if self.server.is_ending || self.server.is_suspicious(now) =>
+                if self.server.is_ending || self.server.is_unresponsive(now) =>
             {
                 ServerCheck::Connect
             }
             _ => return None,
         };
-        self.server.checked = Some(now);
+        self.server.last_check = Some(now);
         Some(check)
     }
 
-    /// Takes the result of an attempt to reach the server.
+    /// Processes the result of a check.
     pub fn receive_check_result(
         &mut self,
         result: CheckResult,
@@ -186,10 +205,10 @@
             CheckResult::Refused => {
                 self.set_server_state(ServerState::Down, ServerStateSource::Connect, outbox);
                 if before != ServerState::Down {
-                    self.break_all(outbox);
+                    self.reset_all_flows(outbox);
                 }
                 self.is_relearning = false;
-                self.server.delivered = None;
+                self.server.unanswered_since = None;
             }
             CheckResult::Healthy if before == ServerState::Unknown => {
                 self.set_server_state(ServerState::Ready, ServerStateSource::HealthCheck, outbox);
@@ -201,7 +220,7 @@
                     outbox,
                 );
             }
-            CheckResult::Connected => self.server.note_heard(now),
+            CheckResult::Connected => self.server.record_response(now),
             CheckResult::Healthy | CheckResult::Unhealthy | CheckResult::NoResponse => {}
         }
     }
@@ -222,6 +241,6 @@
             state,
             source,
         });
-        self.say_hello_soon();
+        self.schedule_hello();
     }
 }
