--- a/crates/flows/src/heartbeat.rs
+++ b/crates/flows/src/heartbeat.rs
@@ -1,104 +1,112 @@
-//! What a backend server says of itself.
+//! Heartbeats of a backend server, and the order in which they apply.
+//!
+//! Heartbeats may be delayed or reordered, and the server may be restarted in
+//! between. An incarnation is one run of the server process, identified by the
+//! server's identifier and start time; the heartbeats of an incarnation are numbered.
 
 use std::time::Duration;
 
 use hyssopstair_wire::time::MonotonicTime;
 
-/// Silence of the newest life after which another one takes its place whose clock
-/// was set back: three heartbeats, which come every 1.2 s.
-const SILENT_LIFE: Duration = Duration::from_millis(4_000);
+/// Time without a heartbeat of the newest incarnation after which one with an earlier
+/// start time may replace it: three heartbeats, which are sent every 1.2 s.
+const INCARNATION_TIMEOUT: Duration = Duration::from_millis(4_000);
 
-/// One heartbeat of a backend server.
+/// A heartbeat of a backend server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServerHeartbeat {
-    /// Name of this life of the server.
+    /// Identifier of the server, which may differ between incarnations.
     pub id: String,
-    /// Start of this life, in milliseconds since the Unix epoch, by its clock.
+    /// Start of the incarnation by the server's clock, in milliseconds since the Unix
+    /// epoch; 0 if the server does not report it.
     pub started_unix_millis: u64,
-    /// Counts the heartbeats of this life.
+    /// Number of the heartbeat within the incarnation.
     pub sequence: u64,
-    /// Name of the service.
+    /// Name of the service that the server runs.
     pub service: String,
-    /// Whether the server is leaving.
+    /// Whether the server is draining: it keeps its flows and accepts no new ones.
     pub is_draining: bool,
-    /// Requests that it works on at the same time.
+    /// Number of requests that the server processes concurrently.
     pub slots: u16,
-    /// How much longer it stays slow after its start, in milliseconds.
+    /// Remaining time for which the server is slow after its start, in milliseconds.
     pub cold_remaining_millis: u32,
 }
 
-/// What a host does with a heartbeat.
+/// The result of processing a heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeartbeatVerdict {
-    /// It was newer than what was known.
+    /// The heartbeat was the newest one and is in force.
     Accepted,
-    /// It tells nothing new, or comes from an earlier life.
+    /// The heartbeat was ignored: it is out of order or from an earlier incarnation.
     Outdated,
 }
 
-/// The heartbeats of one server, in order.
+/// Tracks the newest heartbeat of one server.
 #[derive(Debug, Default)]
 pub struct HeartbeatTracker {
     last: Option<ServerHeartbeat>,
-    /// When it came.
-    heard: MonotonicTime,
-    /// The newest heartbeat of a life that seems to be an earlier one.
-    earlier: Option<ServerHeartbeat>,
+    /// When `last` was received.
+    last_received: MonotonicTime,
+    /// The last heartbeat that was classified as late since `last`.
+    stale: Option<ServerHeartbeat>,
 }
 
-/// How a new heartbeat relates to the one before.
+/// The relation of a heartbeat to the newest one before it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeartbeatOrder {
-    /// The first one, the next of the same life, or one of a life whose start was
-    /// not noticed.
+    /// The first heartbeat, the next one of the same incarnation, or one of an
+    /// incarnation whose start was not detected.
     Next,
-    /// The first one of a new life.
+    /// The first heartbeat of a new incarnation.
     NewIncarnation,
-    /// One that was overtaken.
+    /// Out of order, or from an earlier incarnation.
     Late,
 }
 
 impl HeartbeatTracker {
-    /// Returns the newest heartbeat.
+    /// Returns the newest heartbeat, or `None` before the first.
     pub fn last(&self) -> Option<&ServerHeartbeat> {
         self.last.as_ref()
     }
 
-    /// Puts a heartbeat in its order, and keeps it unless it is late. A life is
-    /// newer if it was born later. One that was born earlier and goes on while the
-    /// newest is silent has taken its place: its clock was set back.
-    pub fn record(&mut self, beat: &ServerHeartbeat, now: MonotonicTime) -> HeartbeatOrder {
+    /// Classifies a heartbeat, and stores it as the newest one unless it is late.
+    ///
+    /// An incarnation with a later start time is newer. If an incarnation with an
+    /// earlier start time keeps sending heartbeats while the newest one is silent, the
+    /// server's clock was set back, and it replaces the newest one.
+    pub fn record(&mut self, heartbeat: &ServerHeartbeat, now: MonotonicTime) -> HeartbeatOrder {
         let order = match &self.last {
             None => HeartbeatOrder::Next,
-            Some(last) if is_same_life(last, beat) => {
-                if beat.sequence > last.sequence {
+            Some(last) if is_same_incarnation(last, heartbeat) => {
+                if heartbeat.sequence > last.sequence {
                     HeartbeatOrder::Next
                 } else {
                     HeartbeatOrder::Late
                 }
             }
-            Some(last) if beat.started_unix_millis > last.started_unix_millis => {
+            Some(last) if heartbeat.started_unix_millis > last.started_unix_millis => {
                 HeartbeatOrder::NewIncarnation
             }
-            Some(_) => self.compare_earlier(beat, now),
+            Some(_) => self.classify_stale(heartbeat, now),
         };
         if order == HeartbeatOrder::Late {
-            self.earlier = Some(beat.clone());
+            self.stale = Some(heartbeat.clone());
         } else {
-            self.last = Some(beat.clone());
-            self.heard = now;
-            self.earlier = None;
+            self.last = Some(heartbeat.clone());
+            self.last_received = now;
+            self.stale = None;
         }
         order
     }
 
-    fn compare_earlier(&self, beat: &ServerHeartbeat, now: MonotonicTime) -> HeartbeatOrder {
-        let goes_on = self
-            .earlier
-            .as_ref()
-            .is_some_and(|earlier| is_same_life(earlier, beat) && beat.sequence > earlier.sequence);
-        if goes_on && now.since(self.heard) >= SILENT_LIFE {
-            // Nobody noticed when it began, so the flows at hand may be its own.
+    /// Classifies a heartbeat of an incarnation that did not start after the newest one.
+    fn classify_stale(&self, heartbeat: &ServerHeartbeat, now: MonotonicTime) -> HeartbeatOrder {
+        let is_advancing = self.stale.as_ref().is_some_and(|stale| {
+            is_same_incarnation(stale, heartbeat) && heartbeat.sequence > stale.sequence
+        });
+        if is_advancing && now.since(self.last_received) >= INCARNATION_TIMEOUT {
+            // The start of this incarnation was not detected, so the known flows may be
+            // its own and must not be reset.
             HeartbeatOrder::Next
         } else {
             HeartbeatOrder::Late
@@ -106,6 +114,6 @@
     }
 }
 
-fn is_same_life(one: &ServerHeartbeat, other: &ServerHeartbeat) -> bool {
+fn is_same_incarnation(one: &ServerHeartbeat, other: &ServerHeartbeat) -> bool {
     one.id == other.id && one.started_unix_millis == other.started_unix_millis
 }
--- a/crates/flows/src/holding.rs
+++ b/crates/flows/src/holding.rs
@@ -1,12 +1,11 @@
-//! New flows that no host can take at the moment.
+//! A queue of new flows for which no host has capacity at the moment.
 //!
-//! The load it answers: the second after an outage, when callers whose requests
-//! were lost come back at once to servers that are cold, and bursts that fill
-//! the queues of all servers for some tens of milliseconds. A caller that is
-//! refused then comes back within milliseconds, is refused again, and has soon
-//! used up its tries; one whose opening packet waits a little is served. What
-//! would wait for longer than a part of its time is refused at once, so that its
-//! caller learns that nothing has run.
+//! Overload is often short: bursts fill the queues of all servers for some tens of
+//! milliseconds, and in the second after an outage all callers whose requests were
+//! lost reconnect at once to cold servers. A caller that is refused retries within
+//! milliseconds and soon exhausts its attempts, whereas a short wait in the queue
+//! lets it be served. A flow that has waited for a fraction of its request timeout is
+//! refused, which tells its caller that no request has run.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -14,117 +13,119 @@
 use hyssopstair_wire::carried::FlowKey;
 use hyssopstair_wire::time::MonotonicTime;
 
-/// Part of a request's time that its flow may wait for a host, as a divisor. The
-/// server's own queue takes about as long, and a late answer is worth a part of
-/// one in time.
+/// Divisor of the request timeout that gives the longest wait for a host. The wait
+/// in the server's own queue is about as long, and a late answer is still worth
+/// part of one in time.
 const HOLD_DIVISOR: u32 = 4;
 
-/// Longest time that a flow waits for a host: the caller repeats its opening
-/// packet after 600 ms for the last time.
-const LONGEST_HOLD: Duration = Duration::from_millis(600);
+/// Upper bound of the wait for a host: callers retransmit their opening packet for
+/// the last time after 600 ms.
+const MAX_HOLD: Duration = Duration::from_millis(600);
 
-/// Age up to which a flow's first request can still be answered in time. Targets
-/// are 100 to 150 ms, of which the server's queue and work take the larger part.
-const FRESH_AGE: Duration = Duration::from_millis(50);
+/// Age up to which the first request of a flow can still be answered in time. Latency
+/// targets are 100 to 150 ms, most of which is spent in the server's queue and in
+/// processing.
+const FRESH_MAX_AGE: Duration = Duration::from_millis(50);
 
-/// Age of a flow whose opening packet is the first, second or third copy.
-const COPY_AGES: [Duration; 3] = [
+/// Age of a flow at the first, second and third transmission of its opening packet.
+const OPENING_AGES: [Duration; 3] = [
     Duration::ZERO,
     Duration::from_millis(200),
     Duration::from_millis(600),
 ];
 
-/// Flows that wait at most; an entry has about 200 bytes.
-const MAX_HELD: usize = 1_024;
+/// Largest number of waiting flows; an entry takes about 200 bytes.
+const MAX_HELD_FLOWS: usize = 1_024;
 
-/// A new flow that waits for a host.
+/// A new flow that is waiting for a host.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HeldFlow {
     /// The flow.
     pub flow: FlowKey,
-    /// Rank of its requests; 0 goes first.
+    /// Priority of its requests; 0 is the most urgent.
     pub priority: u8,
-    /// When its opening packet came.
+    /// When its opening packet arrived.
     pub arrived: MonotonicTime,
-    /// Age of the flow at that time.
+    /// Age of the flow at its arrival.
     pub age: Duration,
-    /// Until when it waits.
+    /// When the wait ends and the flow is refused.
     pub deadline: MonotonicTime,
-    /// Its opening packet.
+    /// The bytes of its opening packet.
     pub bytes: Vec<u8>,
 }
 
-/// Returns the age of a flow whose opening packet is copy number `copy`, from 0.
-pub fn opening_age(copy: u32) -> Duration {
-    let last = COPY_AGES.len() - 1;
-    COPY_AGES[(copy as usize).min(last)]
+/// Returns the age of a flow at transmission number `transmission` of its opening
+/// packet, counted from 0.
+pub fn opening_age(transmission: u32) -> Duration {
+    let last = OPENING_AGES.len() - 1;
+    OPENING_AGES[(transmission as usize).min(last)]
 }
 
-/// Returns how long a flow may wait whose requests have `timeout` in all. While
-/// hosts are still being met nobody knows that it cannot be served, and it waits
-/// as long as its caller does.
-pub fn max_hold_time(timeout: Duration, has_settled: bool) -> Duration {
-    if has_settled {
-        (timeout / HOLD_DIVISOR).min(LONGEST_HOLD)
+/// Returns how long a flow may wait for a host if its requests time out after
+/// `timeout`. Before host discovery is complete, a host that can serve the flow may
+/// still be discovered, so the flow waits as long as its caller retransmits.
+pub fn max_hold_time(timeout: Duration, is_discovery_complete: bool) -> Duration {
+    if is_discovery_complete {
+        (timeout / HOLD_DIVISOR).min(MAX_HOLD)
     } else {
-        LONGEST_HOLD
+        MAX_HOLD
     }
 }
 
-/// The waiting flows.
+/// The queue of waiting flows.
 #[derive(Debug, Default)]
 pub struct HoldQueue {
-    held: Vec<HeldFlow>,
+    flows: Vec<HeldFlow>,
 }
 
 impl HoldQueue {
-    /// Returns whether no flow waits.
+    /// Returns whether no flow is waiting.
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.flows.is_empty()
     }
 
-    /// Returns whether a flow waits.
+    /// Returns whether `flow` is waiting.
     pub fn contains(&self, flow: &FlowKey) -> bool {
-        self.held.iter().any(|held| held.flow == *flow)
+        self.flows.iter().any(|held| held.flow == *flow)
     }
 
-    /// Adds a flow, and returns it when there is no room.
+    /// Adds a flow, or returns it if the queue is full.
     pub fn push(&mut self, flow: HeldFlow) -> Option<HeldFlow> {
-        if self.held.len() >= MAX_HELD {
+        if self.flows.len() >= MAX_HELD_FLOWS {
             return Some(flow);
         }
-        self.held.push(flow);
+        self.flows.push(flow);
         None
     }
 
-    /// Takes the flow that goes first of those for which `matches` holds.
+    /// Removes and returns the highest-ranked flow for which `matches` returns true.
     pub fn take_next(
         &mut self,
         now: MonotonicTime,
         matches: impl Fn(&HeldFlow) -> bool,
     ) -> Option<HeldFlow> {
         let (index, _) = self
-            .held
+            .flows
             .iter()
             .enumerate()
             .filter(|(_, held)| matches(held))
             .min_by_key(|(_, held)| rank(held, now))?;
-        Some(self.held.swap_remove(index))
+        Some(self.flows.swap_remove(index))
     }
 
-    /// Takes the flows that have waited for long enough.
+    /// Removes and returns the flows whose deadline has passed.
     pub fn take_expired(&mut self, now: MonotonicTime) -> Vec<HeldFlow> {
-        let (expired, held) = std::mem::take(&mut self.held)
+        let (expired, waiting) = std::mem::take(&mut self.flows)
             .into_iter()
             .partition(|held| now >= held.deadline);
-        self.held = held;
+        self.flows = waiting;
         expired
     }
 }
 
-/// The lowest goes first: in time before late, urgent before others, and the
-/// newest before older ones.
+/// Returns the sort key of a flow, lowest first: flows that can be answered in time
+/// before late ones, then by priority, then the newest first.
 fn rank(held: &HeldFlow, now: MonotonicTime) -> (bool, u8, Reverse<MonotonicTime>) {
     let age = now.since(held.arrived) + held.age;
-    (age >= FRESH_AGE, held.priority, Reverse(held.arrived))
+    (age >= FRESH_MAX_AGE, held.priority, Reverse(held.arrived))
 }
