--- a/crates/flows/src/event.rs
+++ b/crates/flows/src/event.rs
@@ -1,125 +1,127 @@
-//! What happened to a flow or to what a process believes, for logs and metrics.
+//! Events for logs and metrics: what happened to a flow, to the state of the backend
+//! server, to the known peers or to the routes.
 
 use std::net::Ipv4Addr;
 
 use hyssopstair_wire::carried::FlowKey;
 use hyssopstair_wire::carried::ServerState;
 
-/// One event.
+/// An event with its details, as it is logged.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FlowEvent {
-    /// A balancer sent a new flow to a host.
+    /// A balancer sent the opening packet of a new flow to a host.
     Placed {
         /// The flow.
         flow: FlowKey,
-        /// The first host that is asked.
+        /// The first candidate.
         host: Ipv4Addr,
-        /// Version of the routes.
+        /// Version of the routes that the balancer uses.
         routes: u64,
-        /// Requests in progress at the host, by its last report.
+        /// Requests in progress at the host, by its last load report.
         in_progress: u16,
         /// Age of that report, in milliseconds.
         report_age_millis: u32,
-        /// Hosts asked before, for a flow that was not taken at once.
+        /// Number of earlier attempts to place the flow.
         attempt: u8,
     },
-    /// A host passed a new flow on, as its server is busy or takes none.
+    /// A host passed a new flow on because its server is busy or accepts no new flows.
     PassedOn {
         /// The flow.
         flow: FlowKey,
-        /// The next host.
+        /// The host that the flow was passed on to.
         host: Ipv4Addr,
-        /// What the server does.
+        /// State of the server beside the host that passed the flow on.
         server: ServerState,
         /// Requests in progress at the server.
         in_progress: u16,
     },
-    /// A host handed a new flow to its server.
+    /// A host delivered the opening packet of a new flow to its server.
     Offered {
         /// The flow.
         flow: FlowKey,
-        /// The balancer that it came through.
+        /// The balancer that forwarded it.
         balancer: Ipv4Addr,
         /// Requests in progress at the server.
         in_progress: u16,
     },
-    /// A flow was refused; it has not opened.
+    /// A balancer refused a flow before it opened.
     Refused {
         /// The flow.
         flow: FlowKey,
-        /// Why.
+        /// Why it was refused.
         reason: RefusalReason,
-        /// Version of the routes.
+        /// Version of the routes that the balancer uses.
         routes: u64,
     },
-    /// A caller was told that its open flow is gone.
+    /// An open flow was reset because no server holds it any more.
     Broken {
         /// The flow.
         flow: FlowKey,
-        /// Why.
+        /// Why it was reset.
         reason: BreakReason,
     },
-    /// A balancer does not know the host of a flow and looks for it.
+    /// A balancer started to search for the host of a flow.
     Searching {
         /// The flow.
         flow: FlowKey,
-        /// Hosts that are known.
+        /// Number of known hosts.
         hosts: u16,
     },
-    /// No host was found for a packet, and the packet was dropped.
+    /// A search found no host, and the packet was dropped.
     Unowned {
         /// The flow.
         flow: FlowKey,
-        /// Hosts that did not answer, four at most.
+        /// Hosts that did not say whether they hold the flow, four at most.
         undecided: Vec<UnresponsiveHost>,
     },
-    /// A host measured how long its server took to answer.
+    /// The backend server answered a request.
     Answered {
         /// The flow.
         flow: FlowKey,
-        /// Time from the request to the first data of the answer.
+        /// Time from the request to the first data of the answer, in microseconds.
         micros: u32,
     },
-    /// A server did not answer a request, and it is not counted any more.
+    /// The backend server did not answer a request, which no longer counts as in
+    /// progress.
     Unanswered {
         /// The flow.
         flow: FlowKey,
         /// Time since the request, in milliseconds.
         waited_millis: u32,
-        /// Whether the server has closed or reset the flow.
+        /// Whether the server closed or reset the flow instead of answering.
         is_closed: bool,
     },
-    /// The state of the server beside a host changed.
+    /// The state of the backend server changed.
     Server {
-        /// The state before.
+        /// The previous state.
         before: ServerState,
-        /// The state now.
+        /// The new state.
         state: ServerState,
-        /// What told so.
+        /// What the change was derived from.
         source: ServerStateSource,
     },
-    /// A peer was met, or met again after a restart.
+    /// A peer was discovered, or has restarted.
     PeerMet {
-        /// Its address.
+        /// Address of the peer.
         peer: Ipv4Addr,
     },
-    /// A peer was not heard of for long and was forgotten.
+    /// A peer was removed because no message from it arrived for too long.
     PeerLost {
-        /// Its address.
+        /// Address of the peer.
         peer: Ipv4Addr,
-        /// Time since it was heard last, in milliseconds.
+        /// Time since its last message, in milliseconds.
         silent_millis: u32,
     },
-    /// New routes are in force.
+    /// A newer version of the routes is in force.
     Routes {
-        /// Their version.
+        /// The version.
         version: u64,
-        /// How many there are.
+        /// Number of routes.
         routes: usize,
     },
     /// A datagram was dropped.
     Dropped {
-        /// Why.
+        /// Why it was dropped.
         reason: DropReason,
     },
 }
@@ -127,21 +129,21 @@
 /// A host that did not say whether it holds a flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct UnresponsiveHost {
-    /// Its address.
+    /// Address of the host.
     pub host: Ipv4Addr,
-    /// Time since it was heard last, in milliseconds; nothing if it is not known
-    /// any more.
+    /// Time since its last message, in milliseconds; `None` if the host is no longer
+    /// known.
     pub silent_millis: Option<u32>,
 }
 
-/// The kind of an event.
+/// The kind of an event, each with a counter of its own.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EventKind {
     /// New flows sent to hosts.
     Placed,
     /// New flows passed on to other hosts.
     PassedOn,
-    /// New flows handed to the server.
+    /// New flows delivered to the backend server.
     Offered,
     /// Flows refused before they opened.
     Refused,
@@ -151,15 +153,15 @@
     Searching,
     /// Searches that found no host.
     Unowned,
-    /// Requests answered by the server.
+    /// Requests answered by the backend server.
     Answered,
-    /// Requests that the server did not answer.
+    /// Requests that the backend server did not answer.
     Unanswered,
-    /// Changes of the server's state.
+    /// Changes of the backend server's state.
     Server,
-    /// Peers met.
+    /// Peers discovered.
     PeerMet,
-    /// Peers forgotten.
+    /// Peers removed after a time of silence.
     PeerLost,
     /// Versions of routes put in force.
     Routes,
@@ -168,7 +170,7 @@
 }
 
 impl EventKind {
-    /// All kinds, in the order of their numbers.
+    /// All kinds, in the order of their discriminants.
     pub const ALL: [Self; 14] = [
         Self::Placed,
         Self::PassedOn,
@@ -186,7 +188,7 @@
         Self::Dropped,
     ];
 
-    /// Returns the name of the kind's counter.
+    /// Returns the name of the counter.
     pub fn metric_name(self) -> &'static str {
         match self {
             Self::Placed => "hyssopstair.flow.placed",
@@ -206,21 +208,21 @@
         }
     }
 
-    /// Returns what the counter counts.
+    /// Returns the help text of the counter.
     pub fn metric_description(self) -> &'static str {
         match self {
             Self::Placed => "New flows sent to hosts",
             Self::PassedOn => "New flows passed on to other hosts",
-            Self::Offered => "New flows handed to the server",
+            Self::Offered => "New flows delivered to the backend server",
             Self::Refused => "Flows refused before they opened",
             Self::Broken => "Open flows reset",
             Self::Searching => "Searches for the host of a flow",
             Self::Unowned => "Searches that found no host",
-            Self::Answered => "Requests answered by the server",
-            Self::Unanswered => "Requests that the server did not answer",
-            Self::Server => "Changes of the server's state",
-            Self::PeerMet => "Peers met",
-            Self::PeerLost => "Peers forgotten",
+            Self::Answered => "Requests answered by the backend server",
+            Self::Unanswered => "Requests that the backend server did not answer",
+            Self::Server => "Changes of the backend server's state",
+            Self::PeerMet => "Peers discovered",
+            Self::PeerLost => "Peers removed after a time of silence",
             Self::Routes => "Versions of routes put in force",
             Self::Dropped => "Datagrams dropped",
         }
@@ -228,7 +230,7 @@
 }
 
 impl FlowEvent {
-    /// Returns the kind.
+    /// Returns the kind of the event.
     pub fn kind(&self) -> EventKind {
         match self {
             Self::Placed { .. } => EventKind::Placed,
@@ -252,41 +254,41 @@
 /// Why a flow was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RefusalReason {
-    /// No route has the address.
+    /// No route matches the target address.
     NoRoute,
-    /// The service has no host.
+    /// No host runs the service.
     NoHost,
-    /// All hosts that were asked are full or leaving.
+    /// All hosts that were asked are at capacity or draining.
     NoCapacity,
 }
 
-/// Why an open flow was broken.
+/// Why an open flow was reset.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BreakReason {
-    /// The server that held it has ended.
+    /// The server that held the flow has ended.
     ServerEnded,
-    /// The server says that it does not hold it.
+    /// The server returned a packet of the flow, which it no longer holds.
     ServerForgot,
 }
 
-/// What told a host about its server.
+/// The evidence for a state of the backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServerStateSource {
     /// A heartbeat.
     Heartbeat,
     /// A health check.
     HealthCheck,
-    /// An attempt to connect.
+    /// A connection attempt.
     Connect,
 }
 
 /// Why a datagram was dropped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DropReason {
-    /// It is no packet or message, or one that cannot come from there.
+    /// It is not a valid packet or message, or not one that its sender may send.
     Malformed,
-    /// It opens a flow, and nothing is known yet that could serve it.
+    /// It opens a flow, and no routes are known yet.
     NotReady,
-    /// It is a late copy of the opening packet of a flow that has opened.
+    /// It is a retransmitted opening packet of a flow that has already opened.
     Repeated,
 }
--- a/crates/flows/src/lib.rs
+++ b/crates/flows/src/lib.rs
@@ -1,14 +1,16 @@
-//! Decisions about flows that the system carries and does not end.
+//! Forwarding decisions for flows that the system carries without terminating
+//! them.
 //!
-//! The two ends of such a flow are the caller and the backend server, and no
-//! packet of it can be changed. The host beside the server is the authority on
-//! the flows that its server holds; the tables of balancers are hints, and a
-//! packet that no hint fits is handed from host to host until the right one
-//! takes it.
+//! The endpoints of such a flow are the caller and the backend server, and its
+//! packets are forwarded unmodified. The host beside a backend server is
+//! authoritative for the flows that the server holds. The flow tables of
+//! balancers are only hints: when a balancer has no entry for a packet, the hosts
+//! are asked until the one whose server holds the flow accepts it.
 //!
-//! Nothing here opens a socket or reads a clock. Read [`balancer`] for what a
-//! balancer does with a caller's packet, and [`host`] for what a host does with
-//! it; [`outbox`] holds what either wants sent.
+//! The crate opens no sockets and reads no clock; callers pass in packets and the
+//! current time. [`balancer`] decides about the packets of callers, [`host`] about
+//! packets to and from a backend server, and both put their output into an
+//! [`outbox`].
 
 pub mod balancer;
 pub mod event;
--- a/crates/flows/src/outbox.rs
+++ b/crates/flows/src/outbox.rs
@@ -1,4 +1,8 @@
-//! What decisions want sent, in the order in which they asked for it.
+//! The output of a decision: datagrams, resets and events, each in the order in
+//! which they were added.
+//!
+//! The caller sends and logs the contents, then clears the outbox and reuses its
+//! buffers for the next decision.
 
 use std::net::Ipv4Addr;
 use std::ops::Range;
@@ -8,27 +12,28 @@
 
 use crate::event::FlowEvent;
 
-/// Where a datagram goes.
+/// The receiver of a datagram.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Destination {
     /// The backend server on the same instance.
     Server,
-    /// The caller at an address.
+    /// The caller with this address.
     Caller(Ipv4Addr),
-    /// Another process of the system.
+    /// The balancer or host with this address.
     Peer(Ipv4Addr),
 }
 
-/// A reset that the system itself sends to a caller.
+/// A reset that the system sends to a caller on behalf of a backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FlowReset {
     /// The flow.
     pub flow: FlowKey,
-    /// The position in the server's stream that the caller acknowledged last.
+    /// Position in the server's stream that the caller acknowledged last, at which it
+    /// accepts the reset; 0 for a flow that has not opened.
     pub sequence: u32,
 }
 
-/// Datagrams, resets and events that wait to be sent and logged.
+/// Datagrams and resets to send, and events to log.
 #[derive(Debug, Default)]
 pub struct FlowOutbox {
     buffer: Vec<u8>,
@@ -38,33 +43,33 @@
 }
 
 impl FlowOutbox {
-    /// Adds a packet for a caller or the server, as it was written.
+    /// Adds an unmodified packet for a caller or the backend server.
     pub fn enqueue_packet(&mut self, destination: Destination, bytes: &[u8]) {
         let start = self.buffer.len();
         self.buffer.extend_from_slice(bytes);
         self.datagrams.push((destination, start..self.buffer.len()));
     }
 
-    /// Adds a message for a peer, with the bytes that go behind it.
-    pub fn enqueue_message(&mut self, peer: Ipv4Addr, message: &CarryMessage, behind: &[u8]) {
+    /// Adds a message for a peer, followed by `payload`.
+    pub fn enqueue_message(&mut self, peer: Ipv4Addr, message: &CarryMessage, payload: &[u8]) {
         let start = self.buffer.len();
         message.encode(&mut self.buffer);
-        self.buffer.extend_from_slice(behind);
+        self.buffer.extend_from_slice(payload);
         self.datagrams
             .push((Destination::Peer(peer), start..self.buffer.len()));
     }
 
-    /// Adds a reset.
+    /// Adds a reset of a flow at a position in the server's stream.
     pub fn enqueue_reset(&mut self, flow: FlowKey, sequence: u32) {
         self.resets.push(FlowReset { flow, sequence });
     }
 
-    /// Adds an event for the logs and metrics.
+    /// Adds an event for logs and metrics.
     pub fn record_event(&mut self, event: FlowEvent) {
         self.events.push(event);
     }
 
-    /// Returns the datagrams.
+    /// Returns the datagrams with their receivers.
     pub fn datagrams(&self) -> impl Iterator<Item = (Destination, &[u8])> {
         self.datagrams
             .iter()
@@ -81,7 +86,7 @@
         &self.events
     }
 
-    /// Forgets everything and keeps the memory.
+    /// Removes all contents and keeps the allocated memory.
     pub fn clear(&mut self) {
         self.buffer.clear();
         self.datagrams.clear();
--- a/crates/flows/src/packet.rs
+++ b/crates/flows/src/packet.rs
@@ -1,36 +1,41 @@
-//! What the decisions read of a packet.
+//! The packet fields on which forwarding decisions depend.
+//!
+//! The wire format is decoded elsewhere; packets are forwarded as the bytes that
+//! were received.
 
 use std::net::SocketAddrV4;
 
 use hyssopstair_wire::carried::FlowKey;
 
-/// The header of a packet, without its bytes.
+/// The decoded header of a packet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PacketHeader {
-    /// The end that wrote the packet.
+    /// The endpoint that sent the packet.
     pub source: SocketAddrV4,
-    /// The end that it is for.
+    /// The endpoint that the packet is addressed to.
     pub destination: SocketAddrV4,
-    /// Whether it opens a flow, or answers such a packet if `has_ack` is set.
+    /// Whether the packet opens a flow or, if `has_ack` is set, accepts one.
     pub is_open: bool,
-    /// Whether it acknowledges something.
+    /// Whether `acknowledged` acknowledges data of the other endpoint.
     pub has_ack: bool,
-    /// Whether its sender will send no more data.
+    /// Whether the sender has no more data to send.
     pub is_finish: bool,
-    /// Whether it breaks the flow off.
+    /// Whether the packet aborts the flow.
     pub is_reset: bool,
-    /// Whether a server handed it back to the host beside it.
+    /// Whether the backend server returned the packet to its host because it does not
+    /// accept it.
     pub is_bounced: bool,
-    /// Position of the data in its sender's stream.
+    /// Position of the data in the sender's stream.
     pub sequence: u32,
-    /// Position in the other end's stream up to which everything has arrived.
+    /// Position in the other endpoint's stream up to which the sender has received all
+    /// data. In an opening packet, the number of earlier transmissions of it.
     pub acknowledged: u32,
-    /// Bytes of data.
+    /// Length of the data, in bytes.
     pub data_length: u16,
 }
 
 impl PacketHeader {
-    /// Returns the flow of a packet that a caller wrote.
+    /// Returns the flow of a packet that was sent by a caller.
     pub fn caller_flow(&self) -> FlowKey {
         FlowKey {
             caller: self.source,
@@ -38,7 +43,7 @@
         }
     }
 
-    /// Returns the flow of a packet that a server wrote.
+    /// Returns the flow of a packet that was sent by a backend server.
     pub fn server_flow(&self) -> FlowKey {
         FlowKey {
             caller: self.destination,
@@ -46,22 +51,22 @@
         }
     }
 
-    /// Returns the position that the packet acknowledges, if it does.
+    /// Returns the acknowledged position, or `None` if the packet acknowledges nothing.
     pub fn acknowledged_position(&self) -> Option<u32> {
         self.has_ack.then_some(self.acknowledged)
     }
 
-    /// Returns whether a caller opens a flow with the packet.
+    /// Returns whether the packet is a caller's request to open a flow.
     pub fn opens_flow(&self) -> bool {
         self.is_open && !self.has_ack
     }
 }
 
-/// A packet with the bytes in which its sender wrote it.
+/// A packet together with its bytes as received.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RawPacket<'a> {
-    /// The header.
+    /// The decoded header.
     pub header: PacketHeader,
-    /// The whole datagram.
+    /// The whole datagram, header included.
     pub bytes: &'a [u8],
 }
