--- /dev/null
+++ b/crates/flows/src/host/mod.rs
@@ -0,0 +1,528 @@
+//! Decisions of a host about packets to and from the backend server beside it.
+//!
+//! Every packet to and from the server passes through the host, which therefore knows
+//! the flows that the server holds, the requests in progress and the answer times.
+//! The server gets only packets of its own flows, whatever balancers assume, and no
+//! new flows after it has announced that it is draining.
+//!
+//! A host that is restarted beside a running server has lost the flow table and
+//! relearns it: from packets of the server, from balancers, and by delivering packets
+//! of unknown flows to the server, which returns those that it does not accept.
+
+mod load;
+mod opening;
+mod peers;
+mod records;
+mod server;
+
+use std::net::Ipv4Addr;
+use std::time::Duration;
+
+use hyssopstair_wire::carried::CarryHeader;
+use hyssopstair_wire::carried::CarryMessage;
+use hyssopstair_wire::carried::FlowKey;
+use hyssopstair_wire::carried::FlowQuestion;
+use hyssopstair_wire::carried::ForwardPurpose;
+use hyssopstair_wire::carried::ServerState;
+use hyssopstair_wire::time::MonotonicTime;
+
+use crate::event::BreakReason;
+use crate::event::FlowEvent;
+use crate::host::load::LoadMeter;
+use crate::host::records::FlowPhase;
+use crate::host::records::FlowRecord;
+pub use crate::host::server::CheckResult;
+pub use crate::host::server::ServerCheck;
+use crate::host::server::ServerMonitor;
+use crate::members::MemberTable;
+use crate::outbox::Destination;
+use crate::outbox::FlowOutbox;
+use crate::packet::RawPacket;
+use crate::route_transfer::RouteKeeper;
+use crate::routes::RouteTable;
+use crate::table::FlowTable;
+
+/// Interval between two ticks.
+pub const HOST_TICK: Duration = Duration::from_millis(50);
+
+/// Time after the start of a host within which it learns of a running server: two
+/// heartbeats, which are sent every 1.2 s, and a margin.
+const SERVER_DISCOVERY_TIMEOUT: Duration = Duration::from_millis(2_500);
+
+/// Shards of the flow table that one tick sweeps; a pass over the whole table takes more
+/// than a second.
+const SHARDS_PER_TICK: usize = 12;
+
+/// The identity and settings of a host.
+#[derive(Debug, Clone)]
+pub struct HostIdentity {
+    /// Address of the host.
+    pub address: Ipv4Addr,
+    /// Availability zone of the host.
+    pub zone: String,
+    /// Name of the service that its server runs.
+    pub service: String,
+    /// Start of the process, in milliseconds since the Unix epoch.
+    pub started: u64,
+    /// Time without packets after which a flow is removed.
+    pub max_flow_age: Duration,
+}
+
+/// The state of a host and its forwarding decisions.
+#[derive(Debug)]
+pub struct FlowHost {
+    identity: HostIdentity,
+    created_at: MonotonicTime,
+    routes: RouteKeeper,
+    members: MemberTable,
+    /// Addresses that hellos are sent to, ascending.
+    contacts: Vec<Ipv4Addr>,
+    flows: FlowTable<FlowRecord>,
+    load: LoadMeter,
+    server: ServerMonitor,
+    /// Whether the server may hold flows that are missing from the table.
+    is_relearning: bool,
+    is_stopping: bool,
+    hello_number: u32,
+    next_hello: MonotonicTime,
+    last_tick: MonotonicTime,
+}
+
+impl FlowHost {
+    /// Creates a host. `contacts` are the addresses of some balancers.
+    pub fn new(identity: HostIdentity, contacts: Vec<Ipv4Addr>, now: MonotonicTime) -> Self {
+        let mut host = Self {
+            identity,
+            created_at: now,
+            routes: RouteKeeper::default(),
+            members: MemberTable::default(),
+            contacts: Vec::new(),
+            flows: FlowTable::default(),
+            load: LoadMeter::new(now),
+            server: ServerMonitor::new(now),
+            // The server may have been started before this process and hold flows.
+            is_relearning: true,
+            is_stopping: false,
+            hello_number: 0,
+            next_hello: now,
+            last_tick: now,
+        };
+        host.add_contacts(&contacts);
+        host
+    }
+
+    /// Returns the routes in force.
+    pub fn routes(&self) -> &RouteTable {
+        self.routes.table()
+    }
+
+    /// Returns the known peers.
+    pub fn members(&self) -> &MemberTable {
+        &self.members
+    }
+
+    /// Returns the number of flows in the table.
+    pub fn flows(&self) -> usize {
+        self.flows.len()
+    }
+
+    /// Returns the state of the server.
+    pub fn server_state(&self) -> ServerState {
+        self.server.state()
+    }
+
+    /// Returns the number of requests that the server processes or is expected to get
+    /// within a round trip.
+    pub fn in_progress(&self, now: MonotonicTime) -> u16 {
+        self.load.in_progress(now)
+    }
+
+    /// Returns the smoothed answer time of the server, in microseconds; 0 before the
+    /// first answer.
+    pub fn answer_micros(&self) -> u32 {
+        self.load.answer_micros()
+    }
+
+    /// Returns the path of the server's health check, or `None` while the known routes do
+    /// not contain its service.
+    pub fn health_path(&self) -> Option<&str> {
+        self.routes.table().health_path(&self.identity.service)
+    }
+
+    /// Sets the service that the server runs. If it differs from the current one, all
+    /// flows are reset.
+    pub fn set_service(&mut self, service: &str, now: MonotonicTime, outbox: &mut FlowOutbox) {
+        if self.identity.service == service {
+            return;
+        }
+        self.identity.service = service.to_owned();
+        self.reset_all_flows(outbox);
+        self.schedule_hello();
+        self.tick(now, outbox);
+    }
+
+    /// Processes a caller's packet that was forwarded by a balancer or another host.
+    pub fn receive_forwarded_packet(
+        &mut self,
+        header: &CarryHeader,
+        packet: &RawPacket<'_>,
+        now: MonotonicTime,
+        outbox: &mut FlowOutbox,
+    ) {
+        if packet.header.is_open && packet.header.has_ack {
+            return;
+        }
+        match header.purpose {
+            ForwardPurpose::Open | ForwardPurpose::OpenHere => {
+                self.receive_opening(header, packet, now, outbox);
+            }
+            ForwardPurpose::Owner | ForwardPurpose::Probe => {
+                self.receive_established(header, packet, now, outbox);
+            }
+        }
+    }
+
+    /// Processes a packet from the server: one for a caller, or one of a caller that the
+    /// server returns because it does not accept it.
+    pub fn receive_server_packet(
+        &mut self,
+        packet: &RawPacket<'_>,
+        now: MonotonicTime,
+        outbox: &mut FlowOutbox,
+    ) {
+        self.server.record_response(now);
+        if packet.header.is_bounced {
+            self.receive_bounced_packet(packet, now, outbox);
+            return;
+        }
+        let header = &packet.header;
+        let flow = header.server_flow();
+        outbox.enqueue_packet(Destination::Caller(*flow.caller.ip()), packet.bytes);
+        self.track_server_packet(&flow, packet, now, outbox);
+    }
+
+    /// Does all work that is due at `now`: expires flows and peers, and sends hellos.
+    pub fn tick(&mut self, now: MonotonicTime, outbox: &mut FlowOutbox) {
+        self.last_tick = now;
+        self.load.tick(now);
+        self.sweep_flows(now, outbox);
+        if now >= self.next_hello {
+            self.send_hellos(now, outbox);
+            for (peer, silence) in self.members.forget_silent(now) {
+                // Without any balancer left, the last known addresses are the only way to
+                // reconnect, so they are kept.
+                if !self.members.balancers().is_empty() {
+                    self.contacts.retain(|contact| *contact != peer);
+                }
+                outbox.record_event(FlowEvent::PeerLost {
+                    peer,
+                    silent_millis: silence.as_millis() as u32,
+                });
+            }
+        }
+        if now.since(self.created_at) >= self.identity.max_flow_age {
+            self.is_relearning = false;
+        }
+    }
+
+    /// Prepares the end of the process: tells balancers to send new flows elsewhere.
+    pub fn stop(&mut self, now: MonotonicTime, outbox: &mut FlowOutbox) {
+        self.is_stopping = true;
+        self.send_hellos(now, outbox);
+    }
+
+    /// Processes a packet of a flow that is assumed to be open already.
+    fn receive_established(
+        &mut self,
+        header: &CarryHeader,
+        packet: &RawPacket<'_>,
+        now: MonotonicTime,
+        outbox: &mut FlowOutbox,
+    ) {
+        let flow = packet.header.caller_flow();
+        let is_search = header.purpose != ForwardPurpose::Owner;
+        let acknowledged = packet.header.acknowledged_position();
+        let Some(record) = self.flows.get_mut(&flow) else {
+            self.receive_unknown_flow(header, packet, now, outbox);
+            return;
+        };
+        match record.phase {
+            FlowPhase::Absent => {
+                self.decline_packet(header, packet, outbox);
+                return;
+            }
+            FlowPhase::Broken if is_search && !record.continues_stream(acknowledged) => {
+                // The flow may continue at another server.
+                self.decline_packet(header, packet, outbox);
+                return;
+            }
+            FlowPhase::Broken => {
+                outbox.enqueue_reset(flow, packet.header.acknowledged);
+                return;
+            }
+            FlowPhase::Offered if !record.continues_stream(acknowledged) => {
+                // The caller accepted the answer of another server.
+                self.decline_packet(header, packet, outbox);
+                return;
+            }
+            FlowPhase::Probed => {
+                // The balancer that asked last gets the result of the probe.
+                record.forward_header = Some(Box::new(header.clone()));
+            }
+            FlowPhase::Offered | FlowPhase::Open | FlowPhase::Closed => {}
+        }
+        let is_known = record.phase != FlowPhase::Probed;
+        record.balancer = header.balancer;
+        if is_search && is_known {
+            self.send_owned(flow, header.balancer, now, outbox);
+        }
+        self.deliver_packet(&flow, packet, now, outbox);
+    }
+
+    /// Processes a packet of a flow that is not in the table. If the server may hold it,
+    /// the packet is delivered as a probe.
+    fn receive_unknown_flow(
+        &mut self,
+        header: &CarryHeader,
+        packet: &RawPacket<'_>,
+        now: MonotonicTime,
+        outbox: &mut FlowOutbox,
+    ) {
+        if !self.may_hold_unseen_flow(now) || packet.header.opens_flow() {
+            self.decline_packet(header, packet, outbox);
+            return;
+        }
+        let flow = packet.header.caller_flow();
+        self.flows
+            .insert(flow, FlowRecord::probed(header.clone(), now));
+        self.deliver_packet(&flow, packet, now, outbox);
+    }
+
+    /// Returns whether the server may hold flows that are not in the table.
+    fn may_hold_unseen_flow(&self, now: MonotonicTime) -> bool {
+        let may_be_running = match self.server.state() {
+            ServerState::Ready | ServerState::Draining => true,
+            ServerState::Unknown => now.since(self.created_at) < SERVER_DISCOVERY_TIMEOUT,
+            ServerState::Down => false,
+        };
+        self.is_relearning && may_be_running
+    }
+
+    /// Tells the balancer that the server does not hold the flow of a packet: a probe is
+    /// answered, any other packet returned.
+    fn decline_packet(
+        &self,
+        header: &CarryHeader,
+        packet: &RawPacket<'_>,
+        outbox: &mut FlowOutbox,
+    ) {
+        let message = match header.purpose {
+            ForwardPurpose::Probe => CarryMessage::NotHeld {
+                flows: vec![packet.header.caller_flow()],
+                is_certain: true,
+            },
+            purpose => {
+                let message = CarryMessage::Returned { purpose };
+                outbox.enqueue_message(header.balancer, &message, packet.bytes);
+                return;
+            }
+        };
+        outbox.enqueue_message(header.balancer, &message, &[]);
+    }
+
+    /// Answers a balancer's questions about which flows the server holds.
+    fn receive_locate(
+        &mut self,
+        from: Ipv4Addr,
+        questions: &[FlowQuestion],
+        now: MonotonicTime,
+        outbox: &mut FlowOutbox,
+    ) {
+        let mut not_held = Vec::new();
+        let mut uncertain = Vec::new();
+        for question in questions {
+            let flow = question.flow;
+            let Some(record) = self.flows.get_mut(&flow) else {
+                if self.may_hold_unseen_flow(now) {
+                    uncertain.push(flow);
+                } else {
+                    not_held.push(flow);
+                }
+                continue;
+            };
+            if record.phase == FlowPhase::Probed {
+                uncertain.push(flow);
+                continue;
+            }
+            if !record.matches_question(question) {
+                not_held.push(flow);
+                continue;
+            }
+            record.balancer = from;
+            self.send_owned(flow, from, now, outbox);
+        }
+        for (flows, is_certain) in [(not_held, true), (uncertain, false)] {
+            if !flows.is_empty() {
+                let message = CarryMessage::NotHeld { flows, is_certain };
+                outbox.enqueue_message(from, &message, &[]);
+            }
+        }
+    }
+
+    /// Delivers a packet to the server and tracks the caller's side of its flow.
+    fn deliver_packet(
+        &mut self,
+        flow: &FlowKey,
+        packet: &RawPacket<'_>,
+        now: MonotonicTime,
+        outbox: &mut FlowOutbox,
+    ) {
+        outbox.enqueue_packet(Destination::Server, packet.bytes);
+        self.server.record_delivery(now);
+        let Some(record) = self.flows.get_mut(flow) else {
+            return;
+        };
+        record.last_used = now;
+        if packet.header.has_ack {
+            record.acknowledged = packet.header.acknowledged;
+        }
+        if packet.header.opens_flow() {
+            return;
+        }
+        if record.phase == FlowPhase::Offered {
+            record.phase = FlowPhase::Open;
+            self.load.remove_offer(record.offered_at);
+        }
+        if record.record_delivered_data(&packet.header) && record.request_started.is_none() {
+            record.request_started = Some(now);
+            self.load.begin_request();
+        }
+        if packet.header.is_finish || packet.header.is_reset {
+            // The caller no longer waits for an answer.
+            if record.request_started.take().is_some() {
+                self.load.discard_request();
+            }
+            record.close_caller_side(packet.header.is_reset);
+        }
+    }
+
+    /// Tracks the server's side of a flow: whether the server holds it, and when it
+    /// answers a request.
+    fn track_server_packet(
+        &mut self,
+        flow: &FlowKey,
+        packet: &RawPacket<'_>,
+        now: MonotonicTime,
+        outbox: &mut FlowOutbox,
+    ) {
+        let header = &packet.header;
+        let Some(record) = self.flows.get_mut(flow) else {
+            // The flow was opened before this process started.
+            if !header.is_reset {
+                self.flows.insert(*flow, FlowRecord::observed(now));
+            }
+            return;
+        };
+        record.last_used = now;
+        let mut owned_for = None;
+        if header.is_open && header.has_ack && record.phase == FlowPhase::Offered {
+            record.server_start = Some(header.sequence);
+            owned_for = Some(record.balancer);
+        }
+        if matches!(record.phase, FlowPhase::Probed | FlowPhase::Absent) && !header.is_reset {
+            record.phase = FlowPhase::Open;
+            owned_for = Some(record.balancer);
+        }
+        let is_answer = header.data_length > 0 || record.ends_after_unacknowledged_data(header);
+        let is_closed = header.is_finish || header.is_reset;
+        let request_started = if is_answer || is_closed {
+            record.request_started.take()
+        } else {
+            None
+        };
+        if is_closed {
+            record.close_server_side(header.is_reset);
+        }
+        if let Some(request_started) = request_started {
+            self.finish_request(flow, now.since(request_started), is_answer, outbox);
+        }
+        if let Some(balancer) = owned_for {
+            self.send_owned(*flow, balancer, now, outbox);
+        }
+    }
+
+    /// Records that the server answered a request, or closed the flow instead.
+    fn finish_request(
+        &mut self,
+        flow: &FlowKey,
+        elapsed: Duration,
+        is_answer: bool,
+        outbox: &mut FlowOutbox,
+    ) {
+        if is_answer {
+            self.load.complete_request(elapsed);
+            outbox.record_event(FlowEvent::Answered {
+                flow: *flow,
+                micros: elapsed.as_micros() as u32,
+            });
+        } else {
+            self.load.fail_request();
+            outbox.record_event(FlowEvent::Unanswered {
+                flow: *flow,
+                waited_millis: elapsed.as_millis() as u32,
+                is_closed: true,
+            });
+        }
+    }
+
+    /// Processes a caller's packet that the server returned because it does not accept
+    /// it.
+    fn receive_bounced_packet(
+        &mut self,
+        packet: &RawPacket<'_>,
+        now: MonotonicTime,
+        outbox: &mut FlowOutbox,
+    ) {
+        if packet.header.opens_flow() {
+            self.forward_bounced_opening(packet, now, outbox);
+            return;
+        }
+        let flow = packet.header.caller_flow();
+        let Some(record) = self.flows.get_mut(&flow) else {
+            return;
+        };
+        match record.phase {
+            FlowPhase::Probed => {
+                let header = record.forward_header.take();
+                self.set_phase(&flow, FlowPhase::Absent);
+                if let Some(header) = header {
+                    self.decline_packet(&header, packet, outbox);
+                }
+            }
+            FlowPhase::Open => {
+                self.set_phase(&flow, FlowPhase::Broken);
+                outbox.enqueue_reset(flow, packet.header.acknowledged);
+                outbox.record_event(FlowEvent::Broken {
+                    flow,
+                    reason: BreakReason::ServerForgot,
+                });
+            }
+            FlowPhase::Offered | FlowPhase::Closed | FlowPhase::Absent | FlowPhase::Broken => {}
+        }
+    }
+
+    /// Tells a balancer that the server holds a flow.
+    fn send_owned(
+        &self,
+        flow: FlowKey,
+        balancer: Ipv4Addr,
+        now: MonotonicTime,
+        outbox: &mut FlowOutbox,
+    ) {
+        if balancer.is_unspecified() {
+            return;
+        }
+        let load = self.load_report(now);
+        outbox.enqueue_message(balancer, &CarryMessage::Owned { flow, load }, &[]);
+    }
+}
--- /dev/null
+++ b/crates/flows/src/host/server.rs
@@ -0,0 +1,246 @@
+//! Monitors the backend server beside a host.
+//!
+//! The state of the server is derived from its heartbeats, its packets and checks that
+//! the host requests: a health check while the state is unknown, and a connection
+//! attempt when the server stops answering or has announced its end. Only a refused
+//! connection shows that the server has ended; silence alone does not.
+
+use std::time::Duration;
+
+use hyssopstair_wire::carried::ServerState;
+use hyssopstair_wire::time::MonotonicTime;
+
+use crate::event::FlowEvent;
+use crate::event::ServerStateSource;
+use crate::heartbeat::HeartbeatOrder;
+use crate::heartbeat::HeartbeatTracker;
+use crate::heartbeat::HeartbeatVerdict;
+use crate::heartbeat::ServerHeartbeat;
+use crate::host::FlowHost;
+use crate::outbox::FlowOutbox;
+
+/// Time without any packet from the server after a delivery until the host attempts to
+/// connect. Requests take up to 180 ms, but a busy server answers others in the
+/// meantime.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(120);
+
+/// Shortest time between two checks.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
+
+/// Age up to which a server counts as new. After an outage all servers start within a
+/// second of each other.
+const NEW_SERVER_MAX_AGE: Duration = Duration::from_secs(3);
+
+/// The result of a check of the server.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum CheckResult {
+    /// The health check reported that the server accepts requests.
+    Healthy,
+    /// The health check reported that the server accepts no requests.
+    Unhealthy,
+    /// The server accepted the connection.
+    Connected,
+    /// The connection was refused: nothing listens on the address.
+    Refused,
+    /// The check timed out or failed in another way.
+    NoResponse,
+}
+
+/// A check of the server that is to be made.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum ServerCheck {
+    /// A health check, for the state of a server that was started before the host.
+    Health,
+    /// A connection attempt, to find out whether the server still runs.
+    Connect,
+}
+
+/// The state of one server and the evidence for it.
+#[derive(Debug)]
+pub(super) struct ServerMonitor {
+    state: ServerState,
+    heartbeats: HeartbeatTracker,
+    last_response: MonotonicTime,
+    /// Time of the first delivery since the last packet from the server.
+    unanswered_since: Option<MonotonicTime>,
+    last_check: Option<MonotonicTime>,
+    /// Whether the server has deregistered because it is about to end.
+    is_ending: bool,
+    /// When the server started; `None` if it started before the host did.
+    started_at: Option<MonotonicTime>,
+}
+
+impl ServerMonitor {
+    pub(super) fn new(now: MonotonicTime) -> Self {
+        Self {
+            state: ServerState::Unknown,
+            heartbeats: HeartbeatTracker::default(),
+            last_response: now,
+            unanswered_since: None,
+            last_check: None,
+            is_ending: false,
+            started_at: None,
+        }
+    }
+
+    pub(super) fn state(&self) -> ServerState {
+        self.state
+    }
+
+    /// Returns the number of requests that the server processes concurrently, 1 or more;
+    /// `None` before the first heartbeat.
+    pub(super) fn slots(&self) -> Option<u16> {
+        self.heartbeats
+            .last()
+            .map(|heartbeat| heartbeat.slots.max(1))
+    }
+
+    /// Records that the server has sent a packet or accepted a connection.
+    pub(super) fn record_response(&mut self, now: MonotonicTime) {
+        self.last_response = now;
+        self.unanswered_since = None;
+    }
+
+    /// Records that a packet was delivered to the server.
+    pub(super) fn record_delivery(&mut self, now: MonotonicTime) {
+        self.unanswered_since.get_or_insert(now);
+    }
+
+    /// Returns whether the server started a short while ago.
+    pub(super) fn is_new(&self, now: MonotonicTime) -> bool {
+        self.started_at
+            .is_some_and(|started_at| now.since(started_at) < NEW_SERVER_MAX_AGE)
+    }
+
+    fn is_unresponsive(&self, now: MonotonicTime) -> bool {
+        self.unanswered_since
+            .is_some_and(|unanswered_since| now.since(unanswered_since) >= RESPONSE_TIMEOUT)
+    }
+}
+
+impl FlowHost {
+    /// Processes a heartbeat of the server.
+    ///
+    /// A new incarnation resets the flows of the one before it.
+    pub fn receive_heartbeat(
+        &mut self,
+        heartbeat: &ServerHeartbeat,
+        now: MonotonicTime,
+        outbox: &mut FlowOutbox,
+    ) -> HeartbeatVerdict {
+        let is_first = self.server.heartbeats.last().is_none();
+        let order = self.server.heartbeats.record(heartbeat, now);
+        match order {
+            HeartbeatOrder::Late => return HeartbeatVerdict::Outdated,
+            HeartbeatOrder::NewIncarnation => {
+                self.reset_all_flows(outbox);
+                self.is_relearning = false;
+                self.server.started_at = Some(now);
+            }
+            HeartbeatOrder::Next if is_first && heartbeat.sequence <= 1 => {
+                // The server has just started, so it holds no flows from before.
+                self.is_relearning = false;
+                self.deny_probed_flows(outbox);
+                self.server.started_at = Some(now);
+            }
+            HeartbeatOrder::Next => {}
+        }
+        self.server.is_ending = false;
+        if heartbeat.service != self.identity.service {
+            self.set_service(&heartbeat.service, now, outbox);
+        }
+        let state = if heartbeat.is_draining {
+            ServerState::Draining
+        } else {
+            ServerState::Ready
+        };
+        self.set_server_state(state, ServerStateSource::Heartbeat, outbox);
+        HeartbeatVerdict::Accepted
+    }
+
+    /// Processes a deregistration: the server with this `id` is about to end.
+    pub fn receive_deregistration(&mut self, id: &str, outbox: &mut FlowOutbox) {
+        let is_current = self
+            .server
+            .heartbeats
+            .last()
+            .is_none_or(|heartbeat| heartbeat.id == id);
+        if is_current {
+            self.server.is_ending = true;
+            self.set_server_state(ServerState::Draining, ServerStateSource::Heartbeat, outbox);
+        }
+    }
+
+    /// Returns the check that is due, if any, and records it as made at `now`.
+    pub fn take_due_check(&mut self, now: MonotonicTime) -> Option<ServerCheck> {
+        let is_recent = self
+            .server
+            .last_check
+            .is_some_and(|last_check| now.since(last_check) < CHECK_INTERVAL);
+        if is_recent {
+            return None;
+        }
+        let check = match self.server.state {
+            ServerState::Unknown if self.health_path().is_some() => ServerCheck::Health,
+            ServerState::Ready | ServerState::Draining
+                if self.server.is_ending || self.server.is_unresponsive(now) =>
+            {
+                ServerCheck::Connect
+            }
+            _ => return None,
+        };
+        self.server.last_check = Some(now);
+        Some(check)
+    }
+
+    /// Processes the result of a check.
+    pub fn receive_check_result(
+        &mut self,
+        result: CheckResult,
+        now: MonotonicTime,
+        outbox: &mut FlowOutbox,
+    ) {
+        let before = self.server.state;
+        match result {
+            CheckResult::Refused => {
+                self.set_server_state(ServerState::Down, ServerStateSource::Connect, outbox);
+                if before != ServerState::Down {
+                    self.reset_all_flows(outbox);
+                }
+                self.is_relearning = false;
+                self.server.unanswered_since = None;
+            }
+            CheckResult::Healthy if before == ServerState::Unknown => {
+                self.set_server_state(ServerState::Ready, ServerStateSource::HealthCheck, outbox);
+            }
+            CheckResult::Unhealthy if before == ServerState::Unknown => {
+                self.set_server_state(
+                    ServerState::Draining,
+                    ServerStateSource::HealthCheck,
+                    outbox,
+                );
+            }
+            CheckResult::Connected => self.server.record_response(now),
+            CheckResult::Healthy | CheckResult::Unhealthy | CheckResult::NoResponse => {}
+        }
+    }
+
+    fn set_server_state(
+        &mut self,
+        state: ServerState,
+        source: ServerStateSource,
+        outbox: &mut FlowOutbox,
+    ) {
+        let before = self.server.state;
+        if before == state {
+            return;
+        }
+        self.server.state = state;
+        outbox.record_event(FlowEvent::Server {
+            before,
+            state,
+            source,
+        });
+        self.schedule_hello();
+    }
+}
--- a/crates/hyssopstaird/src/carry/process.rs
+++ b/crates/hyssopstaird/src/carry/process.rs
@@ -14,9 +14,9 @@
 use hyssopstair_flows::balancer::FlowBalancer;
 use hyssopstair_flows::event::DropReason;
 use hyssopstair_flows::event::FlowEvent;
-use hyssopstair_flows::gate::FlowGate;
-use hyssopstair_flows::gate::GateIdentity;
 use hyssopstair_flows::heartbeat::HeartbeatVerdict;
+use hyssopstair_flows::host::FlowHost;
+use hyssopstair_flows::host::HostIdentity;
 use hyssopstair_flows::outbox::Destination;
 use hyssopstair_flows::outbox::FlowOutbox;
 use hyssopstair_flows::packet::RawPacket;
@@ -247,7 +247,7 @@
     }
 
     fn note_malformed(&mut self, now: MonotonicTime) {
-        self.outbox.note(FlowEvent::Dropped {
+        self.outbox.record_event(FlowEvent::Dropped {
             reason: DropReason::Malformed,
         });
         self.flush(now);
@@ -275,7 +275,7 @@
         let (CarryPart::Host(gate), Some(server)) = (&mut self.part, &self.settings.server) else {
             return;
         };
-        let Some(check) = gate.due_check(now) else {
+        let Some(check) = gate.take_due_check(now) else {
             return;
         };
         let path = gate.health_path().unwrap_or("/").to_owned();
@@ -312,7 +312,7 @@
             }
             CarryCommand::Checked(result) => {
                 if let CarryPart::Host(gate) = &mut self.part {
-                    gate.receive_check(result, now, &mut self.outbox);
+                    gate.receive_check_result(result, now, &mut self.outbox);
                 }
             }
             CarryCommand::Dependency { name, error } => {
@@ -442,14 +442,14 @@
     let max_flow_age = settings.max_flow_age();
     match &settings.server {
         Some(server) if settings.role == CarryRole::Host => {
-            let identity = GateIdentity {
+            let identity = HostIdentity {
                 address,
                 zone: settings.zone.clone(),
                 service: server.service.clone(),
                 started: unix_millis(),
                 max_flow_age,
             };
-            CarryPart::Host(Box::new(FlowGate::new(identity, contacts, now)))
+            CarryPart::Host(Box::new(FlowHost::new(identity, contacts, now)))
         }
         _ => {
             let identity = BalancerIdentity {
