--- a/crates/flows/examples/carry_cost.rs
+++ b/crates/flows/examples/carry_cost.rs
@@ -118,7 +118,7 @@
                 header,
                 bytes: &bytes,
             };
-            balancer.receive_caller(&raw, now, &mut outbox);
+            balancer.receive_caller_packet(&raw, now, &mut outbox);
             outbox.clear();
             let owned = CarryMessage::Owned {
                 flow: header.caller_flow(),
@@ -133,7 +133,7 @@
                 header: packet(flow, false),
                 bytes: &bytes,
             };
-            balancer.receive_caller(&raw, now, &mut outbox);
+            balancer.receive_caller_packet(&raw, now, &mut outbox);
             outbox.clear();
         });
         // 400 searches at once: questions to all hosts, and a denial from each.
@@ -145,7 +145,7 @@
                 header,
                 bytes: &bytes,
             };
-            balancer.receive_caller(&raw, now, &mut outbox);
+            balancer.receive_caller_packet(&raw, now, &mut outbox);
             if flow + 1 == searches {
                 balancer.tick(MonotonicTime::from_millis(1_100), &mut outbox);
             }
--- a/crates/flows/src/balancer/mod.rs
+++ b/crates/flows/src/balancer/mod.rs
@@ -30,12 +30,12 @@
 use crate::members::MemberTable;
 use crate::outbox::FlowOutbox;
 use crate::packet::RawPacket;
-use crate::route_transfer::RouteKeeper;
+use crate::route_transfer::RouteReplica;
 use crate::routes::RouteTable;
 use crate::table::FlowTable;
 
 /// Time between a tick that looks after pending flows and the next.
-pub const BUSY_TICK: Duration = Duration::from_millis(20);
+pub const PENDING_TICK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Shards of the table that one hello sweeps; the whole table takes 16 hellos.
 const SWEPT_SHARDS: usize = 16;
@@ -70,7 +70,7 @@
 #[derive(Debug)]
 pub struct FlowBalancer {
     identity: BalancerIdentity,
-    routes: RouteKeeper,
+    routes: RouteReplica,
     members: MemberTable,
     contacts: Vec<Ipv4Addr>,
     met_balancers: ArrayVec<Ipv4Addr, MET_TOLD>,
@@ -99,7 +99,7 @@
     pub fn new(identity: BalancerIdentity, contacts: Vec<Ipv4Addr>, now: MonotonicTime) -> Self {
         let mut balancer = Self {
             identity,
-            routes: RouteKeeper::default(),
+            routes: RouteReplica::default(),
             members: MemberTable::default(),
             contacts: Vec::new(),
             met_balancers: ArrayVec::new(),
@@ -160,13 +160,13 @@
 
     /// Puts routes in force, unless those in force are as new.
     pub fn set_routes(&mut self, routes: RouteTable, outbox: &mut FlowOutbox) {
-        if self.routes.put(routes, outbox) {
+        if self.routes.install(routes, outbox) {
             self.say_hello_soon();
         }
     }
 
     /// Decides about a packet of a caller.
-    pub fn receive_caller(
+    pub fn receive_caller_packet(
         &mut self,
         packet: &RawPacket<'_>,
         now: MonotonicTime,
@@ -191,7 +191,7 @@
         let next = if is_idle {
             self.next_hello
         } else {
-            self.next_hello.min(self.ticked + BUSY_TICK)
+            self.next_hello.min(self.ticked + PENDING_TICK_INTERVAL)
         };
         match self.questions_due() {
             Some(due) => next.min(due),
@@ -204,7 +204,7 @@
         if self.questions_due().is_some_and(|due| now >= due) {
             self.send_questions(now, outbox);
         }
-        if now >= self.ticked + BUSY_TICK {
+        if now >= self.ticked + PENDING_TICK_INTERVAL {
             self.ticked = now;
             self.retry_openings(now, outbox);
             self.tick_held(now, outbox);
@@ -291,7 +291,7 @@
         let oldest = self.identity.max_flow_age;
         self.hints
             .sweep(SWEPT_SHARDS, |_, hint| now.since(hint.used) < oldest);
-        for (peer, silence) in self.members.forget_silent(now) {
+        for (peer, silence) in self.members.evict_silent(now) {
             self.told_hosts.retain(|(told, _)| *told != peer);
             // With no balancer left, the old addresses are the way back.
             if !self.members.balancers().is_empty() {
--- a/crates/flows/src/balancer/opening.rs
+++ b/crates/flows/src/balancer/opening.rs
@@ -288,7 +288,7 @@
             &self.identity.zone,
             hash_flow(&new.flow),
             &new.tried,
-            &self.members.limits(),
+            &self.members.timeouts(),
             now,
         )
     }
--- a/crates/flows/src/balancer/peers.rs
+++ b/crates/flows/src/balancer/peers.rs
@@ -68,7 +68,7 @@
                 }
             }
             CarryMessage::RoutesWanted { known } => {
-                self.routes.tell(from, *known, outbox);
+                self.routes.send_newer(from, *known, outbox);
             }
             CarryMessage::RoutesPart {
                 version,
@@ -76,7 +76,7 @@
                 parts,
             } => {
                 let routes = &mut self.routes;
-                if routes.take_part(*version, *part, *parts, behind, outbox) {
+                if routes.receive_part(*version, *part, *parts, behind, outbox) {
                     self.say_hello_soon();
                 }
             }
@@ -117,11 +117,11 @@
         now: MonotonicTime,
         outbox: &mut FlowOutbox,
     ) {
-        let outcome = self.members.record(from, hello, now);
-        if outcome == HelloOutcome::Late {
+        let outcome = self.members.record_hello(from, hello, now);
+        if outcome == HelloOutcome::Stale {
             return;
         }
-        let is_new = outcome == HelloOutcome::Met;
+        let is_new = outcome == HelloOutcome::Joined;
         if is_new {
             outbox.note(FlowEvent::PeerMet { peer: from });
         }
@@ -156,13 +156,13 @@
             }
         }
         if let Some((version, peer)) = self.members.newest_routes() {
-            self.routes.ask(peer, version, now, outbox);
+            self.routes.request_newer(peer, version, now, outbox);
         }
     }
 
     /// Greets all peers, and the addresses at which there may be some.
     pub(super) fn greet_all(&mut self, now: MonotonicTime, outbox: &mut FlowOutbox) {
-        self.next_hello = now + self.members.limits().hello_interval;
+        self.next_hello = now + self.members.timeouts().hello_interval;
         self.hello_number += 1;
         let plain = CarryMessage::Hello(self.hello(false, now));
         let question = CarryMessage::Hello(self.hello(true, now));
@@ -189,7 +189,10 @@
             role: HelloRole::Balancer(BalancerHello {
                 is_stopping: self.is_stopping,
                 wants_flows: wants_answer && !self.is_ready(now),
-                hosts: self.members.heard_hosts(now).min(usize::from(u16::MAX)) as u16,
+                hosts: self
+                    .members
+                    .reachable_host_count(now)
+                    .min(usize::from(u16::MAX)) as u16,
                 balancers: self.balancers_to_tell(),
             }),
         }
--- a/crates/flows/src/balancer/search.rs
+++ b/crates/flows/src/balancer/search.rs
@@ -26,8 +26,8 @@
 use crate::event::BreakReason;
 use crate::event::FlowEvent;
 use crate::event::SilentHost;
+use crate::members::HOST_UNREACHABLE_TIMEOUT;
 use crate::members::MemberTable;
-use crate::members::UNREACHABLE_AFTER;
 use crate::outbox::FlowOutbox;
 use crate::packet::RawPacket;
 use crate::ranking::hash_flow;
@@ -139,7 +139,7 @@
     /// long, and those that had no server when they were heard last and are late
     /// with a hello or with two answers.
     fn drop_gone_hosts(&mut self, members: &MemberTable, now: MonotonicTime) {
-        let late_after = members.limits().late_after();
+        let late_after = members.timeouts().late_after();
         let is_repeated = self.is_repeated;
         self.silent.retain(|host| {
             members.host(*host).is_some_and(|record| {
@@ -399,7 +399,7 @@
     fn ask_host(&mut self, index: usize, host: Ipv4Addr, now: MonotonicTime) {
         let record = self.members.host(host);
         let is_relearning = record.is_some_and(|record| record.is_relearning);
-        let late_after = self.members.limits().late_after();
+        let late_after = self.members.timeouts().late_after();
         let is_heard = record.is_some_and(|record| now.since(record.peer.heard) < late_after);
         if is_relearning {
             self.searches[index].doubtful.push(host);
@@ -466,21 +466,21 @@
 
     /// Returns whether every host that may hold a flow is known and can be asked.
     fn is_steady(&self, now: MonotonicTime) -> bool {
-        let limits = self.members.limits();
-        let heard = self.members.heard_hosts(now);
+        let timeouts = self.members.timeouts();
+        let heard = self.members.reachable_host_count(now);
         let is_cut_off = heard * 2 <= self.members.hosts_with_server().count();
         let is_in_doubt = self.members.hosts_with_server().any(|record| {
             let silence = now.since(record.peer.heard);
-            record.may_hold_flows(now) && silence >= limits.suspect_after
+            record.may_hold_flows(now) && silence >= timeouts.suspect_after
         });
         let is_one_unmet = self.told_hosts.iter().any(|(told, since)| {
-            self.members.host(*told).is_none() && now.since(*since) < UNREACHABLE_AFTER
+            self.members.host(*told).is_none() && now.since(*since) < HOST_UNREACHABLE_TIMEOUT
         });
         let do_peers_hear_more = self
             .members
             .balancers()
             .iter()
-            .filter(|record| now.since(record.peer.heard) < limits.suspect_after)
+            .filter(|record| now.since(record.peer.heard) < timeouts.suspect_after)
             .any(|record| usize::from(record.hosts) > heard);
         let may_exist = is_cut_off || is_in_doubt || is_one_unmet || do_peers_hear_more;
         self.has_settled(now) && !may_exist
--- a/crates/flows/src/gate/mod.rs
+++ b/crates/flows/src/gate/mod.rs
@@ -34,7 +34,7 @@
 use crate::outbox::Destination;
 use crate::outbox::FlowOutbox;
 use crate::packet::RawPacket;
-use crate::route_transfer::RouteKeeper;
+use crate::route_transfer::RouteReplica;
 use crate::routes::RouteTable;
 use crate::table::FlowTable;
 
@@ -68,7 +68,7 @@
 pub struct FlowGate {
     identity: GateIdentity,
     created: MonotonicTime,
-    routes: RouteKeeper,
+    routes: RouteReplica,
     members: MemberTable,
     contacts: Vec<Ipv4Addr>,
     flows: FlowTable<FlowRecord>,
@@ -87,7 +87,7 @@
         let mut gate = Self {
             identity,
             created: now,
-            routes: RouteKeeper::default(),
+            routes: RouteReplica::default(),
             members: MemberTable::default(),
             contacts: Vec::new(),
             flows: FlowTable::default(),
@@ -197,7 +197,7 @@
         self.sweep(now, outbox);
         if now >= self.next_hello {
             self.greet_all(now, outbox);
-            for (peer, silence) in self.members.forget_silent(now) {
+            for (peer, silence) in self.members.evict_silent(now) {
                 // With no balancer left, the old addresses are the way back.
                 if !self.members.balancers().is_empty() {
                     self.contacts.retain(|contact| *contact != peer);
--- a/crates/flows/src/gate/peers.rs
+++ b/crates/flows/src/gate/peers.rs
@@ -51,7 +51,7 @@
                 }
             }
             CarryMessage::RoutesWanted { known } => {
-                self.routes.tell(from, *known, outbox);
+                self.routes.send_newer(from, *known, outbox);
             }
             CarryMessage::RoutesPart {
                 version,
@@ -59,7 +59,7 @@
                 parts,
             } => {
                 self.routes
-                    .take_part(*version, *part, *parts, behind, outbox);
+                    .receive_part(*version, *part, *parts, behind, outbox);
             }
             CarryMessage::Flows { .. }
             | CarryMessage::Owned { .. }
@@ -70,7 +70,7 @@
 
     /// Puts routes in force, unless those in force are as new.
     pub fn set_routes(&mut self, routes: RouteTable, outbox: &mut FlowOutbox) {
-        self.routes.put(routes, outbox);
+        self.routes.install(routes, outbox);
     }
 
     /// Adds addresses at which there may be balancers.
@@ -104,7 +104,7 @@
     }
 
     pub(super) fn greet_all(&mut self, now: MonotonicTime, outbox: &mut FlowOutbox) {
-        self.next_hello = now + self.members.limits().hello_interval;
+        self.next_hello = now + self.members.timeouts().hello_interval;
         self.hello_number += 1;
         for contact in &self.contacts {
             let hello = self.hello(!self.members.has_balancer(*contact), now);
@@ -137,21 +137,21 @@
         now: MonotonicTime,
         outbox: &mut FlowOutbox,
     ) {
-        let outcome = self.members.record(from, hello, now);
-        if outcome == HelloOutcome::Late {
+        let outcome = self.members.record_hello(from, hello, now);
+        if outcome == HelloOutcome::Stale {
             return;
         }
-        if outcome == HelloOutcome::Met {
+        if outcome == HelloOutcome::Joined {
             outbox.note(FlowEvent::PeerMet { peer: from });
         }
         if let HelloRole::Balancer(balancer) = &hello.role {
             self.add_contacts(&balancer.balancers);
             self.add_contacts(&[from]);
-            if outcome == HelloOutcome::Met {
+            if outcome == HelloOutcome::Joined {
                 let answer = CarryMessage::Hello(self.hello(false, now));
                 outbox.send_message(from, &answer, &[]);
             }
         }
-        self.routes.ask(from, hello.routes, now, outbox);
+        self.routes.request_newer(from, hello.routes, now, outbox);
     }
 }
--- a/crates/flows/src/members.rs
+++ b/crates/flows/src/members.rs
@@ -13,7 +13,7 @@
 /// Shortest time between two hellos to the same peer. It bounds how old a load
 /// report is; a quarter of a second costs a balancer 40 datagrams a second for
 /// ten hosts.
-pub const HELLO_INTERVAL: Duration = Duration::from_millis(250);
+pub const MIN_HELLO_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Hellos that a process sends in a second at most, so that the cost of
 /// membership stays the same as the fleet grows.
@@ -24,11 +24,11 @@
 
 /// Time after which a silent peer is forgotten. It is longer than any cut that
 /// the users' machines go through, so that a peer is found again after one.
-pub const FORGET_AFTER: Duration = Duration::from_secs(30);
+pub const PEER_EVICTION_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Silence after which a host does not keep flows from being reset. A planned
 /// restart takes less, and callers have given up by then.
-pub const UNREACHABLE_AFTER: Duration = Duration::from_secs(3);
+pub const HOST_UNREACHABLE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Time for which a host that did not answer an opening packet is avoided, unless
 /// it is heard before.
@@ -78,22 +78,22 @@
 
 impl HostRecord {
     /// Returns whether new flows may go there.
-    pub fn takes_new(&self, limits: &MemberLimits, now: MonotonicTime) -> bool {
+    pub fn accepts_new_flows(&self, timeouts: &MemberTimeouts, now: MonotonicTime) -> bool {
         self.server == ServerState::Ready
             && !self.is_stopping
             && now >= self.avoided_until
-            && now.since(self.peer.heard) < limits.suspect_after
+            && now.since(self.peer.heard) < timeouts.suspect_after
     }
 
     /// Returns whether the host may hold flows that balancers look for. One that has
     /// been silent for long does not count: its callers are better off with another
     /// server, whether it lives or not.
     pub fn may_hold_flows(&self, now: MonotonicTime) -> bool {
-        now.since(self.peer.heard) < UNREACHABLE_AFTER
+        now.since(self.peer.heard) < HOST_UNREACHABLE_TIMEOUT
     }
 
     /// Returns whether a flow may go there when no host takes new ones for sure.
-    pub fn is_worth_a_try(&self) -> bool {
+    pub fn is_fallback(&self) -> bool {
         !self.is_stopping && matches!(self.server, ServerState::Ready | ServerState::Unknown)
     }
 }
@@ -111,18 +111,18 @@
 
 /// Times that depend on how many peers there are.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct MemberLimits {
+pub struct MemberTimeouts {
     /// Time between two hellos to the same peer.
     pub hello_interval: Duration,
     /// Silence after which new flows avoid a peer.
     pub suspect_after: Duration,
 }
 
-impl MemberLimits {
+impl MemberTimeouts {
     /// Returns the times for a fleet in which a process greets `peers` others.
     pub fn for_peers(peers: usize) -> Self {
         let spread = Duration::from_secs(1) * peers as u32 / HELLOS_PER_SECOND;
-        let hello_interval = HELLO_INTERVAL.max(spread);
+        let hello_interval = MIN_HELLO_INTERVAL.max(spread);
         Self {
             hello_interval,
             suspect_after: hello_interval * MISSED_HELLOS,
@@ -139,11 +139,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HelloOutcome {
     /// The sender was not known, or has started again.
-    Met,
+    Joined,
     /// It repeats or updates what was known.
-    Known,
+    Updated,
     /// It was overtaken by a later one.
-    Late,
+    Stale,
 }
 
 /// All peers that a process knows, sorted by address.
@@ -182,8 +182,8 @@
     }
 
     /// Returns how many hosts with a server were heard lately.
-    pub fn heard_hosts(&self, now: MonotonicTime) -> usize {
-        let limit = self.limits().suspect_after;
+    pub fn reachable_host_count(&self, now: MonotonicTime) -> usize {
+        let limit = self.timeouts().suspect_after;
         self.hosts_with_server()
             .filter(|record| now.since(record.peer.heard) < limit)
             .count()
@@ -210,8 +210,8 @@
     }
 
     /// Returns the times for the present number of peers.
-    pub fn limits(&self) -> MemberLimits {
-        MemberLimits::for_peers(self.hosts.len().max(self.balancers.len()))
+    pub fn timeouts(&self) -> MemberTimeouts {
+        MemberTimeouts::for_peers(self.hosts.len().max(self.balancers.len()))
     }
 
     /// Returns the highest version of routes that a peer has, and who.
@@ -225,7 +225,7 @@
     }
 
     /// Notes a hello.
-    pub fn record(
+    pub fn record_hello(
         &mut self,
         from: Ipv4Addr,
         hello: &HelloMessage,
@@ -251,14 +251,14 @@
 
     /// Forgets the peers that were silent for too long, and returns them with
     /// their silence.
-    pub fn forget_silent(&mut self, now: MonotonicTime) -> Vec<(Ipv4Addr, Duration)> {
+    pub fn evict_silent(&mut self, now: MonotonicTime) -> Vec<(Ipv4Addr, Duration)> {
         let mut lost = Vec::new();
         let mut keep = |peer: &PeerRecord| {
             let silence = now.since(peer.heard);
-            if silence >= FORGET_AFTER {
+            if silence >= PEER_EVICTION_TIMEOUT {
                 lost.push((peer.address, silence));
             }
-            silence < FORGET_AFTER
+            silence < PEER_EVICTION_TIMEOUT
         };
         self.hosts.retain(|record| keep(&record.peer));
         self.balancers.retain(|record| keep(&record.peer));
@@ -318,14 +318,14 @@
         match self.find_host(record.peer.address) {
             Ok(index) => {
                 let outcome = compare(&self.hosts[index].peer, &record.peer);
-                if outcome != HelloOutcome::Late {
+                if outcome != HelloOutcome::Stale {
                     self.hosts[index] = record;
                 }
                 outcome
             }
             Err(index) => {
                 self.hosts.insert(index, record);
-                HelloOutcome::Met
+                HelloOutcome::Joined
             }
         }
     }
@@ -334,14 +334,14 @@
         match self.find_balancer(record.peer.address) {
             Ok(index) => {
                 let outcome = compare(&self.balancers[index].peer, &record.peer);
-                if outcome != HelloOutcome::Late {
+                if outcome != HelloOutcome::Stale {
                     self.balancers[index] = record;
                 }
                 outcome
             }
             Err(index) => {
                 self.balancers.insert(index, record);
-                HelloOutcome::Met
+                HelloOutcome::Joined
             }
         }
     }
@@ -361,10 +361,10 @@
 /// one, because the time of day may have been set back in between.
 fn compare(known: &PeerRecord, told: &PeerRecord) -> HelloOutcome {
     if known.started != told.started {
-        HelloOutcome::Met
+        HelloOutcome::Joined
     } else if told.number > known.number {
-        HelloOutcome::Known
+        HelloOutcome::Updated
     } else {
-        HelloOutcome::Late
+        HelloOutcome::Stale
     }
 }
--- a/crates/flows/src/placing.rs
+++ b/crates/flows/src/placing.rs
@@ -16,7 +16,7 @@
 use hyssopstair_wire::time::MonotonicTime;
 
 use crate::members::HostRecord;
-use crate::members::MemberLimits;
+use crate::members::MemberTimeouts;
 use crate::ranking::rank_hosts;
 
 /// Answer time that is assumed of a host that has not told one, in
@@ -49,7 +49,7 @@
     zone: &str,
     flow: u64,
     tried: &[Ipv4Addr],
-    limits: &MemberLimits,
+    timeouts: &MemberTimeouts,
     now: MonotonicTime,
 ) -> CandidateList {
     let of_service =
@@ -57,14 +57,14 @@
     let usable: Vec<&HostRecord> = hosts
         .iter()
         .filter(of_service)
-        .filter(|record| record.takes_new(limits, now))
+        .filter(|record| record.accepts_new_flows(timeouts, now))
         .collect();
     let usable = if usable.is_empty() {
         // A host that was silent for a while is better than none.
         hosts
             .iter()
             .filter(of_service)
-            .filter(|record| record.is_worth_a_try())
+            .filter(|record| record.is_fallback())
             .collect()
     } else {
         usable
--- a/crates/flows/src/route_transfer.rs
+++ b/crates/flows/src/route_transfer.rs
@@ -17,20 +17,20 @@
 
 /// The routes of a process.
 #[derive(Debug, Default)]
-pub struct RouteKeeper {
+pub struct RouteReplica {
     table: RouteTable,
     assembly: RouteAssembly,
     asked: MonotonicTime,
 }
 
-impl RouteKeeper {
+impl RouteReplica {
     /// Returns the routes in force.
     pub fn table(&self) -> &RouteTable {
         &self.table
     }
 
     /// Puts routes in force, and returns whether they are newer than those before.
-    pub fn put(&mut self, table: RouteTable, outbox: &mut FlowOutbox) -> bool {
+    pub fn install(&mut self, table: RouteTable, outbox: &mut FlowOutbox) -> bool {
         if table.version() <= self.table.version() {
             return false;
         }
@@ -43,7 +43,7 @@
     }
 
     /// Takes a part of a peer's routes, and returns whether they are in force now.
-    pub fn take_part(
+    pub fn receive_part(
         &mut self,
         version: u64,
         part: u16,
@@ -52,13 +52,13 @@
         outbox: &mut FlowOutbox,
     ) -> bool {
         match self.assembly.take(version, part, parts, bytes) {
-            Some(table) => self.put(table, outbox),
+            Some(table) => self.install(table, outbox),
             None => false,
         }
     }
 
     /// Asks a peer that has routes of `version`, if they are newer.
-    pub fn ask(
+    pub fn request_newer(
         &mut self,
         peer: Ipv4Addr,
         version: u64,
@@ -73,7 +73,7 @@
     }
 
     /// Sends the routes to a peer that has those of `known`, if they are newer.
-    pub fn tell(&self, peer: Ipv4Addr, known: u64, outbox: &mut FlowOutbox) {
+    pub fn send_newer(&self, peer: Ipv4Addr, known: u64, outbox: &mut FlowOutbox) {
         if self.table.version() > known {
             send_routes(peer, &self.table, outbox);
         }
--- a/crates/flows/tests/model/world/callers.rs
+++ b/crates/flows/tests/model/world/callers.rs
@@ -103,7 +103,11 @@
         self.later(pause, Event::Begin { caller, turn });
     }
 
-    pub(super) fn receive_caller(&mut self, packet: &ModelPacket, sent_by: Option<Ipv4Addr>) {
+    pub(super) fn receive_caller_packet(
+        &mut self,
+        packet: &ModelPacket,
+        sent_by: Option<Ipv4Addr>,
+    ) {
         let Some(caller) = self.callers.iter().position(|caller| {
             caller.flow().caller == packet.destination && caller.phase != AttemptPhase::Done
         }) else {
--- a/crates/flows/tests/model/world/mod.rs
+++ b/crates/flows/tests/model/world/mod.rs
@@ -343,7 +343,7 @@
         match event {
             Event::Inner { to, from, bytes } => self.receive_inner(to, from, &bytes),
             Event::ToBalancer { packet, sent } => self.route(&packet, sent),
-            Event::ToCaller { packet, sent_by } => self.receive_caller(&packet, sent_by),
+            Event::ToCaller { packet, sent_by } => self.receive_caller_packet(&packet, sent_by),
             Event::Answer { host, life, flow } => self.answer(host, life, &flow),
             Event::AtBalancer { balancer, packet } => self.receive_at_balancer(balancer, &packet),
             Event::FromServer { address, packet } => self.receive_from_server(address, &packet),
@@ -649,9 +649,9 @@
         let Some(Part::Balancer(part)) = &self.processes[&balancer].part else {
             return;
         };
-        let (now, limits) = (self.time(), part.members().limits());
+        let (now, timeouts) = (self.time(), part.members().timeouts());
         let flow = packet.caller_flow();
-        let takes = |record: &&HostRecord| record.takes_new(&limits, now);
+        let takes = |record: &&HostRecord| record.accepts_new_flows(&timeouts, now);
         let usable = part.members().hosts().iter().filter(takes);
         let mut hosts: Vec<Ipv4Addr> = usable.clone().map(|record| record.peer.address).collect();
         rank_hosts(hash_flow(&flow), &mut hosts);
@@ -663,7 +663,7 @@
                 let service = fixture::SERVICE;
                 let hash = hash_flow(&flow);
                 let all = part.members().hosts();
-                let order = order_candidates(all, service, "utr-a", hash, &[], &limits, now);
+                let order = order_candidates(all, service, "utr-a", hash, &[], &timeouts, now);
                 order.first().copied()
             }
             PlacingPolicy::Product | PlacingPolicy::PlainHash => hosts.first().copied(),
@@ -754,7 +754,7 @@
         };
         self.with_part(balancer, |part, outbox| {
             if let Part::Balancer(balancer) = part {
-                balancer.receive_caller(&raw, now, outbox);
+                balancer.receive_caller_packet(&raw, now, outbox);
             }
         });
     }
--- a/crates/flows/tests/opening.rs
+++ b/crates/flows/tests/opening.rs
@@ -66,7 +66,7 @@
 fn a_flow_is_offered_to_the_least_busy_host_with_the_others_to_follow() {
     let mut outbox = FlowOutbox::default();
     let mut balancer = with_hosts(&[3, 1, 2], &mut outbox);
-    balancer.receive_caller(&raw(&opening(4_001)), at(910), &mut outbox);
+    balancer.receive_caller_packet(&raw(&opening(4_001)), at(910), &mut outbox);
     expect!["Peer(10.0.1.1): forward Open best None next [10.0.1.2, 10.0.1.3] + 6 bytes"]
         .assert_eq(&drain(&mut outbox));
 }
@@ -75,7 +75,7 @@
 fn a_flow_that_a_host_does_not_take_in_time_goes_to_another() {
     let mut outbox = FlowOutbox::default();
     let mut balancer = with_hosts(&[1, 2], &mut outbox);
-    balancer.receive_caller(&raw(&opening(4_001)), at(910), &mut outbox);
+    balancer.receive_caller_packet(&raw(&opening(4_001)), at(910), &mut outbox);
     run(&mut balancer, 910, 995, &mut outbox);
     let placed = events(&mut outbox, |event| {
         matches!(event, FlowEvent::Placed { .. })
@@ -90,7 +90,7 @@
 fn a_flow_that_all_hosts_pass_on_waits_and_is_offered_again() {
     let mut outbox = FlowOutbox::default();
     let mut balancer = with_hosts(&[1], &mut outbox);
-    balancer.receive_caller(&raw(&opening(4_001)), at(910), &mut outbox);
+    balancer.receive_caller_packet(&raw(&opening(4_001)), at(910), &mut outbox);
     outbox.clear();
     return_opening(&mut balancer, 1, 911, &mut outbox);
     expect![""].assert_eq(&drain(&mut outbox));
@@ -103,7 +103,7 @@
 fn a_flow_that_waited_for_a_quarter_of_its_time_is_refused() {
     let mut outbox = FlowOutbox::default();
     let mut balancer = with_hosts(&[1], &mut outbox);
-    balancer.receive_caller(&raw(&opening(4_001)), at(910), &mut outbox);
+    balancer.receive_caller_packet(&raw(&opening(4_001)), at(910), &mut outbox);
     let mut refused = Vec::new();
     for millis in (911..1_400).step_by(10) {
         return_opening(&mut balancer, 1, millis, &mut outbox);
@@ -126,7 +126,7 @@
     let draining = host_hello_of(3, 0, ServerState::Draining);
     greet(&mut balancer, 1, &draining, at(901), &mut outbox);
     outbox.clear();
-    balancer.receive_caller(&raw(&opening(4_001)), at(910), &mut outbox);
+    balancer.receive_caller_packet(&raw(&opening(4_001)), at(910), &mut outbox);
     expect!["reset 100.64.0.7:4001 at 0"].assert_eq(&drain(&mut outbox));
 }
 
@@ -136,7 +136,7 @@
     let mut balancer = with_hosts(&[1], &mut outbox);
     let mut foreign = opening(4_001);
     foreign.destination.set_port(444);
-    balancer.receive_caller(&raw(&foreign), at(910), &mut outbox);
+    balancer.receive_caller_packet(&raw(&foreign), at(910), &mut outbox);
     expect!["reset 100.64.0.7:4001 at 0"].assert_eq(&drain(&mut outbox));
 }
 
@@ -144,7 +144,7 @@
 fn a_flow_that_comes_before_any_host_is_known_waits_for_one() {
     let mut outbox = FlowOutbox::default();
     let mut balancer = balancer();
-    balancer.receive_caller(&raw(&opening(4_001)), at(5), &mut outbox);
+    balancer.receive_caller_packet(&raw(&opening(4_001)), at(5), &mut outbox);
     run(&mut balancer, 5, 100, &mut outbox);
     outbox.clear();
     greet(&mut balancer, 1, &host_hello(1, 0), at(105), &mut outbox);
@@ -158,7 +158,7 @@
 fn copies_of_an_opening_packet_meet_the_same_host() {
     let mut outbox = FlowOutbox::default();
     let mut balancer = with_hosts(&[1, 2], &mut outbox);
-    balancer.receive_caller(&raw(&opening(4_001)), at(910), &mut outbox);
+    balancer.receive_caller_packet(&raw(&opening(4_001)), at(910), &mut outbox);
     let owned = CarryMessage::Owned {
         flow: opening(4_001).caller_flow(),
         load: Default::default(),
@@ -167,7 +167,7 @@
     outbox.clear();
     let mut copy = opening(4_001);
     copy.acknowledged = 1;
-    balancer.receive_caller(&raw(&copy), at(1_110), &mut outbox);
+    balancer.receive_caller_packet(&raw(&copy), at(1_110), &mut outbox);
     expect!["Peer(10.0.1.2): forward Owner best None next [] + 6 bytes"]
         .assert_eq(&drain(&mut outbox));
 }
--- a/crates/flows/tests/search.rs
+++ b/crates/flows/tests/search.rs
@@ -63,7 +63,7 @@
     let mut outbox = FlowOutbox::default();
     let mut balancer = balancer_with_hosts(&mut outbox);
     keep_heard(&mut balancer, 2_000, &mut outbox);
-    balancer.receive_caller(&raw(&request(4_001)), at(2_010), &mut outbox);
+    balancer.receive_caller_packet(&raw(&request(4_001)), at(2_010), &mut outbox);
     balancer.tick(at(2_014), &mut outbox);
     expect![[r#"
         Peer(10.0.1.1): ask for 4001
@@ -80,7 +80,7 @@
     let mut outbox = FlowOutbox::default();
     let mut balancer = balancer_with_hosts(&mut outbox);
     keep_heard(&mut balancer, 2_000, &mut outbox);
-    balancer.receive_caller(&raw(&request(4_001)), at(2_010), &mut outbox);
+    balancer.receive_caller_packet(&raw(&request(4_001)), at(2_010), &mut outbox);
     outbox.clear();
     deny(&mut balancer, 1, true, 2_011, &mut outbox);
     deny(&mut balancer, 2, false, 2_011, &mut outbox);
@@ -101,7 +101,7 @@
             &mut outbox,
         );
     }
-    balancer.receive_caller(&raw(&request(4_001)), at(100), &mut outbox);
+    balancer.receive_caller_packet(&raw(&request(4_001)), at(100), &mut outbox);
     outbox.clear();
     for number in 1..=6 {
         deny(&mut balancer, number, false, 101, &mut outbox);
@@ -122,7 +122,7 @@
     keep_heard(&mut balancer, 2_000, &mut outbox);
     // Host 3 was met and went silent.
     greet(&mut balancer, 3, &host_hello(1, 0), at(500), &mut outbox);
-    balancer.receive_caller(&raw(&request(4_001)), at(2_010), &mut outbox);
+    balancer.receive_caller_packet(&raw(&request(4_001)), at(2_010), &mut outbox);
     outbox.clear();
     for number in 1..=3 {
         deny(&mut balancer, number, true, 2_011, &mut outbox);
@@ -136,7 +136,7 @@
     let mut balancer = balancer_with_hosts(&mut outbox);
     keep_heard(&mut balancer, 4_000, &mut outbox);
     greet(&mut balancer, 3, &host_hello(1, 0), at(500), &mut outbox);
-    balancer.receive_caller(&raw(&request(4_001)), at(4_010), &mut outbox);
+    balancer.receive_caller_packet(&raw(&request(4_001)), at(4_010), &mut outbox);
     outbox.clear();
     for number in 1..=2 {
         deny(&mut balancer, number, true, 4_011, &mut outbox);
@@ -195,7 +195,7 @@
     let mut balancer = balancer_with_hosts(&mut outbox);
     keep_heard(&mut balancer, 2_000, &mut outbox);
     // The first host takes the flow, and its claim is lost.
-    balancer.receive_caller(&raw(&opening(4_001)), at(2_000), &mut outbox);
+    balancer.receive_caller_packet(&raw(&opening(4_001)), at(2_000), &mut outbox);
     balancer.tick(at(2_070), &mut outbox);
     let second = outbox.datagrams().last().map(|(to, _)| to);
     let Some(Destination::Peer(second)) = second else {
@@ -224,7 +224,7 @@
         let down = host_hello_of(number, 0, ServerState::Down);
         greet(&mut balancer, 3, &down, at(millis), &mut outbox);
     }
-    balancer.receive_caller(&raw(&request(4_001)), at(2_010), &mut outbox);
+    balancer.receive_caller_packet(&raw(&request(4_001)), at(2_010), &mut outbox);
     for number in 1..=2 {
         deny(&mut balancer, number, true, 2_016, &mut outbox);
     }
@@ -246,7 +246,7 @@
 fn a_flow_is_left_in_silence_while_hosts_are_still_being_met() {
     let mut outbox = FlowOutbox::default();
     let mut balancer = balancer_with_hosts(&mut outbox);
-    balancer.receive_caller(&raw(&request(4_001)), at(100), &mut outbox);
+    balancer.receive_caller_packet(&raw(&request(4_001)), at(100), &mut outbox);
     outbox.clear();
     deny(&mut balancer, 1, true, 101, &mut outbox);
     deny(&mut balancer, 2, true, 101, &mut outbox);
@@ -272,7 +272,7 @@
             &mut outbox,
         );
     }
-    balancer.receive_caller(&raw(&request(4_001)), at(70), &mut outbox);
+    balancer.receive_caller_packet(&raw(&request(4_001)), at(70), &mut outbox);
     outbox.clear();
     for number in 1..=3 {
         deny(&mut balancer, number, true, 71, &mut outbox);
@@ -297,7 +297,7 @@
         at(2_000),
         &mut outbox,
     );
-    balancer.receive_caller(&raw(&request(4_001)), at(2_010), &mut outbox);
+    balancer.receive_caller_packet(&raw(&request(4_001)), at(2_010), &mut outbox);
     outbox.clear();
     deny(&mut balancer, 1, true, 2_011, &mut outbox);
     deny(&mut balancer, 2, true, 2_011, &mut outbox);
@@ -330,7 +330,7 @@
         at(2_000),
         &mut outbox,
     );
-    balancer.receive_caller(&raw(&request(4_001)), at(2_010), &mut outbox);
+    balancer.receive_caller_packet(&raw(&request(4_001)), at(2_010), &mut outbox);
     outbox.clear();
     deny(&mut balancer, 1, true, 2_011, &mut outbox);
     deny(&mut balancer, 2, true, 2_011, &mut outbox);
@@ -341,15 +341,15 @@
 fn packets_that_came_during_a_search_follow_the_first() {
     let mut outbox = FlowOutbox::default();
     let mut balancer = balancer_with_hosts(&mut outbox);
-    balancer.receive_caller(&raw(&request(4_001)), at(100), &mut outbox);
-    balancer.receive_caller(&raw(&request(4_001)), at(101), &mut outbox);
+    balancer.receive_caller_packet(&raw(&request(4_001)), at(100), &mut outbox);
+    balancer.receive_caller_packet(&raw(&request(4_001)), at(101), &mut outbox);
     outbox.clear();
     let owned = CarryMessage::Owned {
         flow: request(4_001).caller_flow(),
         load: Default::default(),
     };
     balancer.receive_peer(host(2), &owned, None, &[], at(102), &mut outbox);
-    balancer.receive_caller(&raw(&request(4_001)), at(103), &mut outbox);
+    balancer.receive_caller_packet(&raw(&request(4_001)), at(103), &mut outbox);
     expect![[r#"
         Peer(10.0.1.2): forward Owner best None next [] + 6 bytes
         Peer(10.0.1.2): forward Owner best None next [] + 6 bytes
@@ -362,7 +362,7 @@
     let mut outbox = FlowOutbox::default();
     let mut balancer = balancer_with_hosts(&mut outbox);
     for port in 4_001..4_061 {
-        balancer.receive_caller(&raw(&request(port)), at(100), &mut outbox);
+        balancer.receive_caller_packet(&raw(&request(port)), at(100), &mut outbox);
     }
     balancer.tick(at(103), &mut outbox);
     expect![""].assert_eq(&questions(&mut outbox));
@@ -382,7 +382,7 @@
 fn a_lost_question_is_asked_again() {
     let mut outbox = FlowOutbox::default();
     let mut balancer = balancer_with_hosts(&mut outbox);
-    balancer.receive_caller(&raw(&request(4_001)), at(100), &mut outbox);
+    balancer.receive_caller_packet(&raw(&request(4_001)), at(100), &mut outbox);
     balancer.tick(at(104), &mut outbox);
     deny(&mut balancer, 1, true, 105, &mut outbox);
     outbox.clear();
@@ -412,7 +412,7 @@
         at(1_400),
         &mut outbox,
     );
-    balancer.receive_caller(&raw(&request(4_001)), at(2_010), &mut outbox);
+    balancer.receive_caller_packet(&raw(&request(4_001)), at(2_010), &mut outbox);
     balancer.tick(at(2_014), &mut outbox);
     expect![[r#"
         Peer(10.0.1.1): ask for 4001
--- a/crates/hyssopstaird/src/carry/part.rs
+++ b/crates/hyssopstaird/src/carry/part.rs
@@ -29,7 +29,7 @@
         outbox: &mut FlowOutbox,
     ) {
         match self {
-            Self::Balancer(balancer) => balancer.receive_caller(packet, now, outbox),
+            Self::Balancer(balancer) => balancer.receive_caller_packet(packet, now, outbox),
             Self::Host(gate) => gate.receive_server(packet, now, outbox),
         }
     }
