--- a/crates/flows/src/ranking.rs
+++ b/crates/flows/src/ranking.rs
@@ -1,8 +1,8 @@
-//! The order of hosts for a flow, by rendezvous hashing.
+//! Ranks the hosts for a flow by rendezvous hashing.
 //!
-//! Every balancer that knows the same hosts puts them in the same order, and a
-//! host that comes or goes moves no other. New flows go to one of the first few
-//! hosts of their order, so that is where a flow of unknown owner is looked for.
+//! All balancers that know the same hosts rank them in the same order, and adding or
+//! removing a host does not reorder the others. New flows are offered to the hosts that
+//! rank first, so a search for the owner of a flow starts with these.
 
 use std::hash::Hasher;
 use std::net::Ipv4Addr;
@@ -10,7 +10,8 @@
 use hyssopstair_wire::carried::FlowKey;
 use siphasher::sip::SipHasher13;
 
-/// Hashes the two ends of a flow.
+/// Returns a hash of the caller and target addresses of a flow, the same in every
+/// process.
 pub fn hash_flow(flow: &FlowKey) -> u64 {
     let mut hasher = SipHasher13::new();
     hasher.write_u32(u32::from(*flow.caller.ip()));
@@ -20,14 +21,14 @@
     hasher.finish()
 }
 
-/// Sorts hosts for the flow with the hash `flow`, the first choice first.
-pub fn rank_hosts(flow: u64, hosts: &mut [Ipv4Addr]) {
-    // Cached, as a hash for each comparison would cost several times as much.
-    hosts.sort_by_cached_key(|host| (score(flow, *host), *host));
+/// Sorts hosts by their rank for the flow with the hash `flow_hash`, the best first.
+pub fn rank_hosts(flow_hash: u64, hosts: &mut [Ipv4Addr]) {
+    // The keys are cached because hashing in each comparison costs several times as much.
+    hosts.sort_by_cached_key(|host| (rendezvous_score(flow_hash, *host), *host));
 }
 
-fn score(flow: u64, host: Ipv4Addr) -> u64 {
-    let mut hasher = SipHasher13::new_with_keys(flow, 0);
+fn rendezvous_score(flow_hash: u64, host: Ipv4Addr) -> u64 {
+    let mut hasher = SipHasher13::new_with_keys(flow_hash, 0);
     hasher.write_u32(u32::from(host));
     hasher.finish()
 }
--- a/crates/flows/src/route_transfer.rs
+++ b/crates/flows/src/route_transfer.rs
@@ -1,5 +1,7 @@
-//! The routes in force, and how they get from one process to another in
-//! datagrams. The highest version wins, and a process never goes back.
+//! Replicates the route table between processes.
+//!
+//! A table is encoded and sent in datagrams, one part in each. The highest version wins,
+//! and a process never reverts to an older version.
 
 use std::net::Ipv4Addr;
 use std::time::Duration;
@@ -12,24 +14,25 @@
 use crate::outbox::FlowOutbox;
 use crate::routes::RouteTable;
 
-/// Time between two questions for routes; an answer takes a few milliseconds.
-const ASK_INTERVAL: Duration = Duration::from_millis(150);
+/// Minimum interval between requests for routes; an answer takes a few milliseconds.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(150);
 
-/// The routes of a process.
+/// A process's replica of the route table.
 #[derive(Debug, Default)]
 pub struct RouteReplica {
     table: RouteTable,
     assembly: RouteAssembly,
-    asked: MonotonicTime,
+    requested_at: MonotonicTime,
 }
 
 impl RouteReplica {
-    /// Returns the routes in force.
+    /// Returns the route table in force.
     pub fn table(&self) -> &RouteTable {
         &self.table
     }
 
-    /// Puts routes in force, and returns whether they are newer than those before.
+    /// Installs a route table if it is newer than the one in force, and returns whether
+    /// it was installed.
     pub fn install(&mut self, table: RouteTable, outbox: &mut FlowOutbox) -> bool {
         if table.version() <= self.table.version() {
             return false;
@@ -42,7 +45,8 @@
         true
     }
 
-    /// Takes a part of a peer's routes, and returns whether they are in force now.
+    /// Adds a received part of a peer's route table, installs the table once it is
+    /// complete and if it is newer, and returns whether it was installed.
     pub fn receive_part(
         &mut self,
         version: u64,
@@ -51,13 +55,14 @@
         bytes: &[u8],
         outbox: &mut FlowOutbox,
     ) -> bool {
-        match self.assembly.take(version, part, parts, bytes) {
+        match self.assembly.add_part(version, part, parts, bytes) {
             Some(table) => self.install(table, outbox),
             None => false,
         }
     }
 
-    /// Asks a peer that has routes of `version`, if they are newer.
+    /// Requests the routes of a peer if their `version` is newer than the one in force,
+    /// unless routes were requested less than `REQUEST_INTERVAL` ago.
     pub fn request_newer(
         &mut self,
         peer: Ipv4Addr,
@@ -66,13 +71,14 @@
         outbox: &mut FlowOutbox,
     ) {
         let known = self.table.version();
-        if version > known && now.since(self.asked) >= ASK_INTERVAL {
-            self.asked = now;
+        if version > known && now.since(self.requested_at) >= REQUEST_INTERVAL {
+            self.requested_at = now;
             outbox.send_message(peer, &CarryMessage::RoutesWanted { known }, &[]);
         }
     }
 
-    /// Sends the routes to a peer that has those of `known`, if they are newer.
+    /// Sends the route table to a peer if it is newer than the version `known` that the
+    /// peer has.
     pub fn send_newer(&self, peer: Ipv4Addr, known: u64, outbox: &mut FlowOutbox) {
         if self.table.version() > known {
             send_routes(peer, &self.table, outbox);
@@ -80,7 +86,7 @@
     }
 }
 
-/// Parts of one version that have arrived.
+/// Received parts of one version of the route table.
 #[derive(Debug, Default)]
 struct RouteAssembly {
     version: u64,
@@ -88,8 +94,15 @@
 }
 
 impl RouteAssembly {
-    /// Takes a part, and returns the table when it is complete.
-    fn take(&mut self, version: u64, part: u16, parts: u16, bytes: &[u8]) -> Option<RouteTable> {
+    /// Adds a part, and returns the table once all parts have arrived. Invalid parts are
+    /// ignored, and a part of another version discards the parts received so far.
+    fn add_part(
+        &mut self,
+        version: u64,
+        part: u16,
+        parts: u16,
+        bytes: &[u8],
+    ) -> Option<RouteTable> {
         if parts == 0 || part >= parts || bytes.len() > ROUTE_PART_BYTES {
             return None;
         }
@@ -98,14 +111,14 @@
             self.parts = vec![None; usize::from(parts)];
         }
         self.parts[usize::from(part)] = Some(bytes.to_vec());
-        let whole: Option<Vec<&[u8]>> = self.parts.iter().map(|part| part.as_deref()).collect();
-        let table: RouteTable = postcard::from_bytes(&whole?.concat()).ok()?;
+        let complete: Option<Vec<&[u8]>> = self.parts.iter().map(|part| part.as_deref()).collect();
+        let table: RouteTable = postcard::from_bytes(&complete?.concat()).ok()?;
         *self = Self::default();
         (table.version() == version).then_some(table)
     }
 }
 
-/// Sends all parts of a table to a peer.
+/// Sends all parts of a route table to a peer.
 fn send_routes(peer: Ipv4Addr, table: &RouteTable, outbox: &mut FlowOutbox) {
     let Ok(bytes) = postcard::to_stdvec(table) else {
         return;
--- a/crates/flows/src/routes.rs
+++ b/crates/flows/src/routes.rs
@@ -1,4 +1,7 @@
-//! The routes in force: which service new flows to an address go to.
+//! Routes: select the service for new flows to an address.
+//!
+//! Weighted shares are resolved by the hash of the flow, so that every process with the
+//! same routes selects the same service for a flow.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -9,43 +12,43 @@
 
 use crate::ranking::hash_flow;
 
-/// How often a request may run.
+/// Whether a request may be run more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RequestKind {
-    /// Any number of times.
+    /// The request may run any number of times.
     Idempotent,
-    /// Once at most.
+    /// The request may run once at most.
     NonIdempotent,
 }
 
-/// A service that a route sends a share of its flows to.
+/// A service and its share of the flows of a route.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceShare {
     /// Name of the service.
     pub service: String,
-    /// Its share, relative to the others of the route.
+    /// Weight of the service relative to the other services of the route.
     pub weight: u32,
 }
 
-/// One route.
+/// Route for the flows to one address.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteRule {
-    /// The address that callers send to.
+    /// Address that callers send to.
     pub target: SocketAddrV4,
-    /// What kind of requests its flows carry.
+    /// Kind of the requests that its flows carry.
     pub kind: RequestKind,
-    /// Time after which an answer is of no use, in milliseconds.
+    /// Time after which an answer is of no use to the caller, in milliseconds.
     pub timeout_millis: u32,
-    /// Rank of its requests; 0 goes first.
+    /// Priority of its requests; 0 is the highest.
     pub priority: u8,
-    /// The services that serve it.
+    /// Services that its flows are distributed to.
     pub shares: Vec<ServiceShare>,
 }
 
-/// What is known of a service.
+/// Settings of a service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceInfo {
-    /// Its name.
+    /// Name of the service.
     pub name: String,
     /// Path of its health check.
     pub health_path: String,
@@ -61,7 +64,7 @@
 }
 
 impl RouteTable {
-    /// Orders routes for look-up. Of several routes with one address, the first stays.
+    /// Creates a route table. Of several routes with the same target, the first is kept.
     pub fn new(
         version: u64,
         idle_timeout_millis: u32,
@@ -79,17 +82,17 @@
         }
     }
 
-    /// Returns the version; 0 for a table that holds nothing yet.
+    /// Returns the version; 0 for the initial, empty table.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Returns how many routes there are.
+    /// Returns the number of routes.
     pub fn len(&self) -> usize {
         self.routes.len()
     }
 
-    /// Returns whether there is no route.
+    /// Returns whether the table has no routes.
     pub fn is_empty(&self) -> bool {
         self.routes.is_empty()
     }
@@ -99,7 +102,7 @@
         Duration::from_millis(u64::from(self.idle_timeout_millis))
     }
 
-    /// Returns the route of an address.
+    /// Returns the route for flows to `target`, if there is one.
     pub fn route(&self, target: SocketAddrV4) -> Option<&RouteRule> {
         let index = self
             .routes
@@ -108,18 +111,19 @@
         Some(&self.routes[index])
     }
 
-    /// Returns the path of a service's health check.
+    /// Returns the path of a service's health check, if the service is known.
     pub fn health_path(&self, service: &str) -> Option<&str> {
         let index = self
             .services
-            .binary_search_by(|info| info.name.as_str().cmp(service))
+            .binary_search_by(|service_info| service_info.name.as_str().cmp(service))
             .ok()?;
         Some(&self.services[index].health_path)
     }
 }
 
 impl RouteRule {
-    /// Returns the service of a flow, the same at every process.
+    /// Returns the service for a flow, the same in every process. Returns `None` if the
+    /// route has no services, or several whose weights are all 0.
     pub fn service_of(&self, flow: &FlowKey) -> Option<&str> {
         if let [share] = self.shares.as_slice() {
             return Some(&share.service);
@@ -132,18 +136,18 @@
         if total == 0 {
             return None;
         }
-        let mut left = hash_flow(flow) % total;
+        let mut remaining = hash_flow(flow) % total;
         for share in &self.shares {
             let weight = u64::from(share.weight);
-            if left < weight {
+            if remaining < weight {
                 return Some(&share.service);
             }
-            left -= weight;
+            remaining -= weight;
         }
         None
     }
 
-    /// Returns whether the route may send flows to a service.
+    /// Returns whether the route sends a share of its flows to `service`.
     pub fn allows(&self, service: &str) -> bool {
         self.shares
             .iter()
--- a/crates/flows/src/table.rs
+++ b/crates/flows/src/table.rs
@@ -1,59 +1,60 @@
-//! Values by flow, in sorted shards.
+//! A map from flows to values, kept in sorted shards.
 
 use hyssopstair_wire::carried::FlowKey;
 
 use crate::ranking::hash_flow;
 
-/// Sorted vectors that the flows are spread over, so that inserting moves little.
-const SHARDS: usize = 256;
+/// Number of sorted vectors that the flows are spread over, so that an insertion moves
+/// few entries.
+const SHARD_COUNT: usize = 256;
 
-/// Values by flow.
+/// A map from flows to values.
 #[derive(Debug)]
 pub struct FlowTable<V> {
     shards: Vec<Vec<(FlowKey, V)>>,
-    cursor: usize,
+    sweep_cursor: usize,
     length: usize,
 }
 
 impl<V> Default for FlowTable<V> {
     fn default() -> Self {
         Self {
-            shards: (0..SHARDS).map(|_| Vec::new()).collect(),
-            cursor: 0,
+            shards: (0..SHARD_COUNT).map(|_| Vec::new()).collect(),
+            sweep_cursor: 0,
             length: 0,
         }
     }
 }
 
 impl<V> FlowTable<V> {
-    /// Returns how many flows there are.
+    /// Returns the number of flows.
     pub fn len(&self) -> usize {
         self.length
     }
 
-    /// Returns whether there are none.
+    /// Returns whether there are no flows.
     pub fn is_empty(&self) -> bool {
         self.length == 0
     }
 
-    /// Returns the value of a flow.
+    /// Returns the value of a flow, if there is one.
     pub fn get(&self, flow: &FlowKey) -> Option<&V> {
         let shard = &self.shards[shard_of(flow)];
-        let index = find(shard, flow).ok()?;
+        let index = find_flow(shard, flow).ok()?;
         Some(&shard[index].1)
     }
 
-    /// Returns the value of a flow, to be changed.
+    /// Returns a mutable reference to the value of a flow, if there is one.
     pub fn get_mut(&mut self, flow: &FlowKey) -> Option<&mut V> {
         let shard = &mut self.shards[shard_of(flow)];
-        let index = find(shard, flow).ok()?;
+        let index = find_flow(shard, flow).ok()?;
         Some(&mut shard[index].1)
     }
 
-    /// Sets the value of a flow and returns the one before.
+    /// Sets the value of a flow, and returns the previous value.
     pub fn insert(&mut self, flow: FlowKey, value: V) -> Option<V> {
         let shard = &mut self.shards[shard_of(&flow)];
-        match find(shard, &flow) {
+        match find_flow(shard, &flow) {
             Ok(index) => Some(std::mem::replace(&mut shard[index].1, value)),
             Err(index) => {
                 shard.insert(index, (flow, value));
@@ -63,15 +64,15 @@
         }
     }
 
-    /// Removes a flow and returns its value.
+    /// Removes a flow, and returns its value.
     pub fn remove(&mut self, flow: &FlowKey) -> Option<V> {
         let shard = &mut self.shards[shard_of(flow)];
-        let index = find(shard, flow).ok()?;
+        let index = find_flow(shard, flow).ok()?;
         self.length -= 1;
         Some(shard.remove(index).1)
     }
 
-    /// Visits all flows.
+    /// Iterates over all flows and their values, in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = (&FlowKey, &V)> {
         self.shards
             .iter()
@@ -79,7 +80,7 @@
             .map(|(flow, value)| (flow, value))
     }
 
-    /// Visits all flows, to change their values.
+    /// Iterates over all flows and mutable references to their values.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (&FlowKey, &mut V)> {
         self.shards
             .iter_mut()
@@ -87,23 +88,24 @@
             .map(|(flow, value)| (&*flow, value))
     }
 
-    /// Drops what `keep` refuses from the next `shards` shards, so that a whole
-    /// pass over a large table is spread over many calls.
+    /// Removes the entries for which `keep` returns false from the next `shards` shards.
+    /// Each call continues where the previous one ended, so that a pass over a large
+    /// table is spread over many calls.
     pub fn sweep(&mut self, shards: usize, mut keep: impl FnMut(&FlowKey, &mut V) -> bool) {
-        for _ in 0..shards.min(SHARDS) {
-            let shard = &mut self.shards[self.cursor];
-            let before = shard.len();
+        for _ in 0..shards.min(SHARD_COUNT) {
+            let shard = &mut self.shards[self.sweep_cursor];
+            let old_length = shard.len();
             shard.retain_mut(|(flow, value)| keep(flow, value));
-            self.length -= before - shard.len();
-            self.cursor = (self.cursor + 1) % SHARDS;
+            self.length -= old_length - shard.len();
+            self.sweep_cursor = (self.sweep_cursor + 1) % SHARD_COUNT;
         }
     }
 }
 
 fn shard_of(flow: &FlowKey) -> usize {
-    hash_flow(flow) as usize % SHARDS
+    hash_flow(flow) as usize % SHARD_COUNT
 }
 
-fn find<V>(shard: &[(FlowKey, V)], flow: &FlowKey) -> Result<usize, usize> {
+fn find_flow<V>(shard: &[(FlowKey, V)], flow: &FlowKey) -> Result<usize, usize> {
     shard.binary_search_by_key(flow, |(key, _)| *key)
 }
