--- a/crates/flows/src/balancer/mod.rs
+++ b/crates/flows/src/balancer/mod.rs
@@ -1,9 +1,10 @@
-//! What a balancer does with callers' packets and with messages of peers.
+//! The balancer: decides where callers' packets go and handles peers' messages.
 //!
-//! A packet that opens a flow is offered to a host by [`placing`](crate::placing).
-//! Any other goes to the host that the table names, and if that has no entry, or
-//! a wrong one, to all hosts that may hold the flow; the one that does says so.
-//! The table is a hint: losing it costs a search and breaks nothing.
+//! A packet that opens a flow is offered to a host chosen by
+//! [`placing`](crate::placing). Any other packet is forwarded to the host that the
+//! flow table names. If the table has no entry for the flow, or the named host does
+//! not hold it, the balancer queries all hosts that may hold the flow, and the owner
+//! claims it. The table holds only hints: losing it costs searches and breaks no flow.
 
 mod opening;
 mod peers;
@@ -20,9 +21,9 @@
 use hyssopstair_wire::carried::ForwardPurpose;
 use hyssopstair_wire::time::MonotonicTime;
 
-use crate::balancer::opening::OPENING_MEMORY;
+use crate::balancer::opening::OPENING_RETRANSMIT_WINDOW;
 use crate::balancer::opening::PendingOpening;
-use crate::balancer::peers::MET_TOLD;
+use crate::balancer::peers::MAX_RECENT_BALANCERS;
 use crate::balancer::search::PendingSearch;
 use crate::event::DropReason;
 use crate::event::FlowEvent;
@@ -34,119 +35,124 @@
 use crate::routes::RouteTable;
 use crate::table::FlowTable;
 
-/// Time between a tick that looks after pending flows and the next.
+/// Interval between ticks while flows are pending.
 pub const PENDING_TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Shards of the table that one hello sweeps; the whole table takes 16 hellos.
-const SWEPT_SHARDS: usize = 16;
+/// Shards of the flow table that are swept with each hello. A pass over the whole
+/// table takes 16 hellos.
+const SHARDS_PER_SWEEP: usize = 16;
 
-/// Time that a balancer waits for the tables of its peers before it is ready.
-const TABLE_PATIENCE: Duration = Duration::from_millis(60);
+/// Time after the discovery of the first host for which a balancer waits for the flow
+/// tables of its peers before it is ready.
+const TABLE_SYNC_DELAY: Duration = Duration::from_millis(60);
 
-/// What a balancer is told at its start.
+/// Identity and settings of a balancer process.
 #[derive(Debug, Clone)]
 pub struct BalancerIdentity {
-    /// Its address.
+    /// Address of the balancer.
     pub address: Ipv4Addr,
-    /// Its availability zone.
+    /// Availability zone of the balancer.
     pub zone: String,
-    /// The start of its process, in milliseconds since the Unix epoch.
+    /// Start time of the process, in milliseconds since the Unix epoch.
     pub started: u64,
-    /// Age after which a flow may be forgotten.
+    /// Time without packets after which the hint for a flow may be evicted.
     pub max_flow_age: Duration,
 }
 
-/// Where a balancer last knew a flow to be.
+/// Last known owner of a flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct FlowHint {
     owner: Ipv4Addr,
-    used: MonotonicTime,
+    last_used: MonotonicTime,
     /// Whether no other host can hold the flow: the owner itself has claimed it,
-    /// and its opening packet was offered to nobody else.
-    is_sure: bool,
+    /// and the opening packet was offered to no other host.
+    is_exclusive: bool,
 }
 
-/// The decisions of one balancer.
+/// State and decisions of one balancer.
 #[derive(Debug)]
 pub struct FlowBalancer {
     identity: BalancerIdentity,
     routes: RouteReplica,
     members: MemberTable,
     contacts: Vec<Ipv4Addr>,
-    met_balancers: ArrayVec<Ipv4Addr, MET_TOLD>,
+    recent_balancers: ArrayVec<Ipv4Addr, MAX_RECENT_BALANCERS>,
     hints: FlowTable<FlowHint>,
     openings: Vec<PendingOpening>,
-    held: HoldQueue,
-    /// Flows that are looked for, sorted.
+    hold_queue: HoldQueue,
+    /// Pending searches, sorted by flow.
     searches: Vec<PendingSearch>,
-    /// Questions that wait to be sent, by host, and since when.
-    questions: Vec<(Ipv4Addr, Vec<FlowQuestion>)>,
-    questions_since: Option<MonotonicTime>,
-    /// When the next batch of questions may be sent.
-    questions_allowed: MonotonicTime,
+    /// Questions to be sent, sorted by host.
+    queued_questions: Vec<(Ipv4Addr, Vec<FlowQuestion>)>,
+    /// Time at which the first of the queued questions was queued.
+    questions_queued_at: Option<MonotonicTime>,
+    /// Earliest time at which the next batch of questions may be sent.
+    questions_allowed_at: MonotonicTime,
     hello_number: u32,
     next_hello: MonotonicTime,
-    first_host: Option<MonotonicTime>,
-    last_met_host: Option<MonotonicTime>,
-    /// Hosts that peers named as the owners of flows, and since when.
-    told_hosts: Vec<(Ipv4Addr, MonotonicTime)>,
+    first_host_at: Option<MonotonicTime>,
+    last_host_joined_at: Option<MonotonicTime>,
+    /// Hosts that peers reported as owners of flows, with the time of the first
+    /// report, sorted by address.
+    reported_owners: Vec<(Ipv4Addr, MonotonicTime)>,
     is_stopping: bool,
-    ticked: MonotonicTime,
+    last_tick: MonotonicTime,
 }
 
 impl FlowBalancer {
-    /// Creates a balancer that knows the addresses of some others.
+    /// Creates a balancer that sends its first hellos to `contacts`, the addresses of
+    /// other balancers.
     pub fn new(identity: BalancerIdentity, contacts: Vec<Ipv4Addr>, now: MonotonicTime) -> Self {
         let mut balancer = Self {
             identity,
             routes: RouteReplica::default(),
             members: MemberTable::default(),
             contacts: Vec::new(),
-            met_balancers: ArrayVec::new(),
+            recent_balancers: ArrayVec::new(),
             hints: FlowTable::default(),
             openings: Vec::new(),
-            held: HoldQueue::default(),
+            hold_queue: HoldQueue::default(),
             searches: Vec::new(),
-            questions: Vec::new(),
-            questions_since: None,
-            questions_allowed: MonotonicTime::default(),
+            queued_questions: Vec::new(),
+            questions_queued_at: None,
+            questions_allowed_at: MonotonicTime::default(),
             hello_number: 0,
             next_hello: now,
-            first_host: None,
-            last_met_host: None,
-            told_hosts: Vec::new(),
+            first_host_at: None,
+            last_host_joined_at: None,
+            reported_owners: Vec::new(),
             is_stopping: false,
-            ticked: now,
+            last_tick: now,
         };
         balancer.add_contacts(&contacts);
         balancer
     }
 
-    /// Returns the routes in force.
+    /// Returns the route table in force.
     pub fn routes(&self) -> &RouteTable {
         self.routes.table()
     }
 
-    /// Returns the peers that are known.
+    /// Returns the known peers.
     pub fn members(&self) -> &MemberTable {
         &self.members
     }
 
-    /// Returns how many flows the table names a host for.
+    /// Returns the number of flows in the flow table.
     pub fn flows(&self) -> usize {
         self.hints.len()
     }
 
-    /// Returns whether callers' packets are served: routes and a host are known,
-    /// and peers had time to tell what they know.
+    /// Returns whether the balancer can serve callers: it is not stopping, it knows
+    /// routes and a host, and peers have had time to send their flow tables.
     pub fn is_ready(&self, now: MonotonicTime) -> bool {
         let has_waited = self
-            .first_host
-            .is_some_and(|met| now.since(met) >= TABLE_PATIENCE);
+            .first_host_at
+            .is_some_and(|joined_at| now.since(joined_at) >= TABLE_SYNC_DELAY);
         !self.is_stopping && self.routes.table().version() > 0 && has_waited
     }
 
-    /// Adds addresses at which there may be balancers.
+    /// Adds addresses that may belong to other balancers, to be sent hellos.
     pub fn add_contacts(&mut self, contacts: &[Ipv4Addr]) {
         for contact in contacts {
             if *contact == self.identity.address {
@@ -158,14 +164,16 @@
         }
     }
 
-    /// Puts routes in force, unless those in force are as new.
+    /// Installs a route table if it is newer than the one in force, and makes the
+    /// next tick announce it to peers.
     pub fn set_routes(&mut self, routes: RouteTable, outbox: &mut FlowOutbox) {
         if self.routes.install(routes, outbox) {
-            self.say_hello_soon();
+            self.schedule_hello();
         }
     }
 
-    /// Decides about a packet of a caller.
+    /// Handles a packet from a caller: offers its flow to a host, forwards it to the
+    /// flow's owner, or searches for the owner.
     pub fn receive_caller_packet(
         &mut self,
         packet: &RawPacket<'_>,
@@ -176,22 +184,23 @@
         if header.opens_flow() {
             self.receive_opening(packet, now, outbox);
         } else if header.is_open {
-            // Only servers answer an opening packet.
+            // Only servers acknowledge an opening packet.
             outbox.note(FlowEvent::Dropped {
                 reason: DropReason::Malformed,
             });
         } else {
-            self.receive_middle(packet, now, outbox);
+            self.receive_established(packet, now, outbox);
         }
     }
 
-    /// Returns when the next tick is due.
+    /// Returns the time at which the next tick is due.
     pub fn next_tick(&self) -> MonotonicTime {
-        let is_idle = self.openings.is_empty() && self.searches.is_empty() && self.held.is_empty();
+        let is_idle =
+            self.openings.is_empty() && self.searches.is_empty() && self.hold_queue.is_empty();
         let next = if is_idle {
             self.next_hello
         } else {
-            self.next_hello.min(self.ticked + PENDING_TICK_INTERVAL)
+            self.next_hello.min(self.last_tick + PENDING_TICK_INTERVAL)
         };
         match self.questions_due() {
             Some(due) => next.min(due),
@@ -199,34 +208,35 @@
         }
     }
 
-    /// Does what is due.
+    /// Runs the timers that are due: sends questions and hellos, retries offers,
+    /// advances searches, and evicts expired hints and silent peers.
     pub fn tick(&mut self, now: MonotonicTime, outbox: &mut FlowOutbox) {
         if self.questions_due().is_some_and(|due| now >= due) {
             self.send_questions(now, outbox);
         }
-        if now >= self.ticked + PENDING_TICK_INTERVAL {
-            self.ticked = now;
-            self.retry_openings(now, outbox);
-            self.tick_held(now, outbox);
-            self.continue_searches(now, outbox);
+        if now >= self.last_tick + PENDING_TICK_INTERVAL {
+            self.last_tick = now;
+            self.retry_expired_offers(now, outbox);
+            self.process_held_flows(now, outbox);
+            self.advance_searches(now, outbox);
         }
         if now >= self.next_hello {
-            self.greet_all(now, outbox);
-            self.forget_old(now, outbox);
+            self.send_hellos(now, outbox);
+            self.evict_expired(now, outbox);
         }
     }
 
-    /// Prepares the end of the process: the others get the table, and routers are
-    /// to send nothing more.
+    /// Prepares the process to stop: reports it as not ready, so that routers send it
+    /// no more packets, and sends the flow table to the other balancers.
     pub fn stop(&mut self, now: MonotonicTime, outbox: &mut FlowOutbox) {
         self.is_stopping = true;
-        self.greet_all(now, outbox);
+        self.send_hellos(now, outbox);
         for peer in self.members.balancer_addresses() {
-            self.hand_over(peer, outbox);
+            self.send_flow_table(peer, outbox);
         }
     }
 
-    fn receive_middle(
+    fn receive_established(
         &mut self,
         packet: &RawPacket<'_>,
         now: MonotonicTime,
@@ -234,26 +244,26 @@
     ) {
         let flow = packet.header.caller_flow();
         let Some(hint) = self.hints.get_mut(&flow) else {
-            self.search(packet, now, outbox);
+            self.search_owner(packet, now, outbox);
             return;
         };
-        hint.used = now;
+        hint.last_used = now;
         let owner = hint.owner;
-        self.forward(owner, ForwardPurpose::Owner, packet.bytes, outbox);
+        self.forward_packet(owner, ForwardPurpose::Owner, packet.bytes, outbox);
     }
 
-    fn forward(
+    fn forward_packet(
         &self,
         host: Ipv4Addr,
         purpose: ForwardPurpose,
         bytes: &[u8],
         outbox: &mut FlowOutbox,
     ) {
-        let header = self.header(purpose);
+        let header = self.build_header(purpose);
         outbox.send_message(host, &CarryMessage::Forward(header), bytes);
     }
 
-    fn header(&self, purpose: ForwardPurpose) -> CarryHeader {
+    fn build_header(&self, purpose: ForwardPurpose) -> CarryHeader {
         CarryHeader {
             purpose,
             balancer: self.identity.address,
@@ -263,37 +273,45 @@
         }
     }
 
-    /// Lets peers learn at once what has changed.
-    fn say_hello_soon(&mut self) {
+    /// Makes the next tick send hellos, so that peers learn of a change at once.
+    fn schedule_hello(&mut self) {
         self.next_hello = MonotonicTime::default();
     }
 
-    /// Notes that the owner of a flow has claimed it.
-    fn note_claim(&mut self, flow: FlowKey, owner: Ipv4Addr, now: MonotonicTime) {
-        let was_claimed = self.hints.get(&flow).is_some_and(|hint| {
-            let is_recent = now.since(hint.used) < OPENING_MEMORY;
-            !hint.is_sure || (hint.owner != owner && is_recent)
+    /// Records a host's claim to own a flow. The hint is exclusive unless another host
+    /// may hold the flow as well.
+    fn record_claim(&mut self, flow: FlowKey, owner: Ipv4Addr, now: MonotonicTime) {
+        let is_ambiguous = self.hints.get(&flow).is_some_and(|hint| {
+            let is_recent = now.since(hint.last_used) < OPENING_RETRANSMIT_WINDOW;
+            !hint.is_exclusive || (hint.owner != owner && is_recent)
         });
-        let is_sure = !was_claimed && !self.was_offered_twice(&flow);
-        self.learn_owner(flow, owner, is_sure, now);
+        let is_exclusive = !is_ambiguous && !self.has_several_offers(&flow);
+        self.record_owner(flow, owner, is_exclusive, now);
     }
 
-    fn learn_owner(&mut self, flow: FlowKey, owner: Ipv4Addr, is_sure: bool, now: MonotonicTime) {
+    fn record_owner(
+        &mut self,
+        flow: FlowKey,
+        owner: Ipv4Addr,
+        is_exclusive: bool,
+        now: MonotonicTime,
+    ) {
         let hint = FlowHint {
             owner,
-            used: now,
-            is_sure,
+            last_used: now,
+            is_exclusive,
         };
         self.hints.insert(flow, hint);
     }
 
-    fn forget_old(&mut self, now: MonotonicTime, outbox: &mut FlowOutbox) {
-        let oldest = self.identity.max_flow_age;
-        self.hints
-            .sweep(SWEPT_SHARDS, |_, hint| now.since(hint.used) < oldest);
+    fn evict_expired(&mut self, now: MonotonicTime, outbox: &mut FlowOutbox) {
+        let max_age = self.identity.max_flow_age;
+        self.hints.sweep(SHARDS_PER_SWEEP, |_, hint| {
+            now.since(hint.last_used) < max_age
+        });
         for (peer, silence) in self.members.evict_silent(now) {
-            self.told_hosts.retain(|(told, _)| *told != peer);
-            // With no balancer left, the old addresses are the way back.
+            self.reported_owners.retain(|(owner, _)| *owner != peer);
+            // With no balancer left, the old addresses are the only way to rejoin.
             if !self.members.balancers().is_empty() {
                 self.contacts.retain(|contact| *contact != peer);
             }
--- a/crates/flows/src/balancer/opening.rs
+++ b/crates/flows/src/balancer/opening.rs
@@ -1,4 +1,8 @@
 //! Offers new flows to hosts.
+//!
+//! An offer that times out or that all its candidates decline is repeated with hosts
+//! that have not been tried. A flow that no host can accept may be held for a short
+//! time before it is refused.
 
 use std::net::Ipv4Addr;
 use std::time::Duration;
@@ -23,61 +27,64 @@
 use crate::placing::order_candidates;
 use crate::ranking::hash_flow;
 
-/// Time that a host has to take a flow before another one is asked. A round trip
-/// and the server's handshake take 2 ms; the rest is for a machine that runs
-/// several times slower than usual.
-const OFFER_PATIENCE: Duration = Duration::from_millis(60);
+/// Time a host has to accept a flow before the flow is offered to another one. A
+/// round trip and the server's handshake take 2 ms; the rest allows for a machine
+/// that runs several times slower than usual.
+const OFFER_TIMEOUT: Duration = Duration::from_millis(60);
 
-/// Time after which an opening packet is not a copy of an earlier one; callers
-/// send their last copy after 600 ms and give up after 1.4 s.
-pub(super) const OPENING_MEMORY: Duration = Duration::from_millis(1_500);
+/// Time after which an opening packet cannot be a retransmission of an earlier one.
+/// Callers retransmit for the last time after 600 ms and give up after 1.4 s.
+pub(super) const OPENING_RETRANSMIT_WINDOW: Duration = Duration::from_millis(1_500);
 
-/// Hosts that are asked in turn without an answer.
+/// Number of offers after which a flow that times out is not offered again.
 const MAX_ATTEMPTS: u8 = 3;
 
-/// Hosts that one flow was offered to at most.
-const MAX_TRIED: usize = 32;
+/// Maximum number of tried hosts remembered for one flow.
+const MAX_TRIED_HOSTS: usize = 32;
 
-/// Hosts that a flow was offered to.
-type TriedList = ArrayVec<Ipv4Addr, MAX_TRIED>;
+/// Hosts that a flow has already been offered to.
+type TriedHosts = ArrayVec<Ipv4Addr, MAX_TRIED_HOSTS>;
 
-/// A new flow that was offered to a host and not taken yet.
+/// A new flow that was offered to hosts and not accepted yet.
 #[derive(Debug, Clone)]
 pub(super) struct PendingOpening {
     flow: FlowKey,
     host: Ipv4Addr,
-    /// The hosts that were asked in this round.
-    round: CandidateList,
+    /// Hosts of the current offer, in the order in which they are asked.
+    offered_hosts: CandidateList,
     arrived: MonotonicTime,
-    /// Age of the flow when it arrived.
+    /// Age of the flow at `arrived`.
     age: Duration,
-    sent: MonotonicTime,
+    sent_at: MonotonicTime,
     attempt: u8,
-    tried: TriedList,
+    tried: TriedHosts,
     bytes: Vec<u8>,
 }
 
-/// A flow that is to be offered.
+/// A new flow to be offered to hosts.
 #[derive(Debug, Clone)]
 struct NewFlow {
     flow: FlowKey,
     arrived: MonotonicTime,
-    /// Age of the flow when it arrived.
+    /// Age of the flow at `arrived`.
     age: Duration,
     attempt: u8,
-    tried: TriedList,
+    tried: TriedHosts,
     bytes: Vec<u8>,
 }
 
-/// What a flow's route says.
+/// Service, timeout and priority of a flow, from its route.
 #[derive(Debug, Clone)]
-struct RouteFacts {
+struct RouteMatch {
     service: String,
     timeout: Duration,
     priority: u8,
 }
 
 impl FlowBalancer {
+    /// Handles the opening packet of a flow. Ignores it while an offer is pending or the
+    /// flow is held, forwards a retransmission to the host that has accepted the flow,
+    /// and offers the flow otherwise.
     pub(super) fn receive_opening(
         &mut self,
         packet: &RawPacket<'_>,
@@ -85,21 +92,21 @@
         outbox: &mut FlowOutbox,
     ) {
         let flow = packet.header.caller_flow();
-        if self.held.contains(&flow) {
+        if self.hold_queue.contains(&flow) {
             return;
         }
         let pending = self.openings.iter().find(|opening| opening.flow == flow);
-        if pending.is_some_and(|opening| now.since(opening.sent) < OFFER_PATIENCE) {
-            // The first copy is still on its way.
+        if pending.is_some_and(|opening| now.since(opening.sent_at) < OFFER_TIMEOUT) {
+            // The current offer has not timed out yet.
             return;
         }
-        let is_copy = packet.header.acknowledged > 0;
-        if is_copy && pending.is_none() && self.hints.get(&flow).is_some() {
-            // A host took the flow, and its answer was lost.
-            self.receive_middle(packet, now, outbox);
+        let is_retransmit = packet.header.acknowledged > 0;
+        if is_retransmit && pending.is_none() && self.hints.get(&flow).is_some() {
+            // A host accepted the flow, and the answer to the caller was lost.
+            self.receive_established(packet, now, outbox);
             return;
         }
-        let new = NewFlow {
+        let new_flow = NewFlow {
             flow,
             arrived: pending.map_or(now, |opening| opening.arrived),
             age: pending.map_or(copy_age(packet.header.acknowledged), |opening| opening.age),
@@ -108,95 +115,99 @@
             bytes: packet.bytes.to_vec(),
         };
         self.openings.retain(|opening| opening.flow != flow);
-        self.offer(new, now, outbox);
+        self.offer_flow(new_flow, now, outbox);
     }
 
-    /// Offers a flow to the best hosts that were not asked before.
-    fn offer(&mut self, new: NewFlow, now: MonotonicTime, outbox: &mut FlowOutbox) {
+    /// Offers a flow to the best hosts that have not been tried. Holds or refuses the
+    /// flow if there are none.
+    fn offer_flow(&mut self, new_flow: NewFlow, now: MonotonicTime, outbox: &mut FlowOutbox) {
         if self.routes.table().version() == 0 {
             outbox.note(FlowEvent::Dropped {
                 reason: DropReason::NotReady,
             });
             return;
         }
-        let Some(facts) = self.facts(&new.flow) else {
-            self.refuse(new.flow, RefusalReason::NoRoute, outbox);
+        let Some(route_match) = self.match_route(&new_flow.flow) else {
+            self.refuse_flow(new_flow.flow, RefusalReason::NoRoute, outbox);
             return;
         };
-        let order = self.candidates(&new, &facts, now);
-        let Some((first, next)) = order.split_first() else {
-            self.hold_or_refuse(new, &facts, now, outbox);
+        let candidates = self.select_candidates(&new_flow, &route_match, now);
+        let Some((first, next)) = candidates.split_first() else {
+            self.hold_or_refuse(new_flow, &route_match, now, outbox);
             return;
         };
         let first = *first;
-        self.note_placed(new.flow, first, new.attempt, now, outbox);
+        self.record_placement(new_flow.flow, first, new_flow.attempt, now, outbox);
         let header = CarryHeader {
             next: next.iter().copied().collect(),
-            ..self.header(ForwardPurpose::Open)
+            ..self.build_header(ForwardPurpose::Open)
         };
-        outbox.send_message(first, &CarryMessage::Forward(header), &new.bytes);
+        outbox.send_message(first, &CarryMessage::Forward(header), &new_flow.bytes);
         self.openings.push(PendingOpening {
-            flow: new.flow,
+            flow: new_flow.flow,
             host: first,
-            round: order,
-            arrived: new.arrived,
-            age: new.age,
-            sent: now,
-            attempt: new.attempt + 1,
-            tried: new.tried,
-            bytes: new.bytes,
+            offered_hosts: candidates,
+            arrived: new_flow.arrived,
+            age: new_flow.age,
+            sent_at: now,
+            attempt: new_flow.attempt + 1,
+            tried: new_flow.tried,
+            bytes: new_flow.bytes,
         });
     }
 
-    /// Offers flows to other hosts when the first did not answer in time.
-    pub(super) fn retry_openings(&mut self, now: MonotonicTime, outbox: &mut FlowOutbox) {
+    /// Offers flows to other hosts when the first host did not answer in time.
+    pub(super) fn retry_expired_offers(&mut self, now: MonotonicTime, outbox: &mut FlowOutbox) {
         let mut index = 0;
         while index < self.openings.len() {
             let opening = &self.openings[index];
-            let age = now.since(opening.sent);
-            let gives_up = opening.attempt >= MAX_ATTEMPTS;
-            if age < OFFER_PATIENCE || (gives_up && age < OPENING_MEMORY) {
+            let age = now.since(opening.sent_at);
+            let is_last_attempt = opening.attempt >= MAX_ATTEMPTS;
+            if age < OFFER_TIMEOUT || (is_last_attempt && age < OPENING_RETRANSMIT_WINDOW) {
                 index += 1;
                 continue;
             }
             let opening = self.openings.swap_remove(index);
-            if gives_up {
+            if is_last_attempt {
                 continue;
             }
-            let was_heard = self
+            let has_responded = self
                 .members
                 .host(opening.host)
-                .is_some_and(|record| record.peer.heard > opening.sent);
-            if !was_heard {
+                .is_some_and(|record| record.peer.last_seen > opening.sent_at);
+            if !has_responded {
                 self.members.avoid_host(opening.host, now);
             }
             let host = opening.host;
-            self.offer(opening.without(&[host]), now, outbox);
+            self.offer_flow(opening.into_new_flow(&[host]), now, outbox);
         }
     }
 
-    /// Returns whether more than one host may have taken a new flow.
-    pub(super) fn was_offered_twice(&self, flow: &FlowKey) -> bool {
+    /// Returns whether several hosts may have accepted a pending flow, because it was
+    /// offered more than once.
+    pub(super) fn has_several_offers(&self, flow: &FlowKey) -> bool {
         self.openings
             .iter()
             .any(|opening| opening.flow == *flow && opening.attempt > 1)
     }
 
-    /// Notes that a host has taken a flow; there may be room for another one.
-    pub(super) fn end_opening(
+    /// Ends the offer of a flow that a host has accepted, and offers a held flow of the
+    /// same service, because there may be capacity for another one.
+    pub(super) fn complete_opening(
         &mut self,
         flow: &FlowKey,
         now: MonotonicTime,
         outbox: &mut FlowOutbox,
     ) {
         self.openings.retain(|opening| opening.flow != *flow);
-        if !self.held.is_empty() {
-            self.offer_held(flow, now, outbox);
+        if !self.hold_queue.is_empty() {
+            self.offer_next_held(flow, now, outbox);
         }
     }
 
-    /// Offers a flow again that all candidates passed on.
-    pub(super) fn offer_again(
+    /// Offers a flow to other hosts after all candidates of the current offer have
+    /// declined it.
+    pub(super) fn reoffer_returned(
         &mut self,
         packet: &RawPacket<'_>,
         now: MonotonicTime,
@@ -211,89 +222,97 @@
             return;
         };
         let opening = self.openings.swap_remove(index);
-        let round = opening.round.clone();
-        self.offer(opening.without(&round), now, outbox);
+        let offered_hosts = opening.offered_hosts.clone();
+        self.offer_flow(opening.into_new_flow(&offered_hosts), now, outbox);
     }
 
-    /// Offers one waiting flow, and refuses those that waited for too long.
-    pub(super) fn tick_held(&mut self, now: MonotonicTime, outbox: &mut FlowOutbox) {
-        for held in self.held.take_expired(now) {
-            self.refuse(held.flow, RefusalReason::NoCapacity, outbox);
+    /// Refuses the held flows that have waited too long, and offers the next one.
+    pub(super) fn process_held_flows(&mut self, now: MonotonicTime, outbox: &mut FlowOutbox) {
+        for held in self.hold_queue.take_expired(now) {
+            self.refuse_flow(held.flow, RefusalReason::NoCapacity, outbox);
         }
-        if let Some(held) = self.held.take_first(now, |_| true) {
-            self.offer(NewFlow::from(held), now, outbox);
+        if let Some(held) = self.hold_queue.take_first(now, |_| true) {
+            self.offer_flow(NewFlow::from(held), now, outbox);
         }
     }
 
-    /// Offers the next waiting flow to the address of `taken`.
-    fn offer_held(&mut self, taken: &FlowKey, now: MonotonicTime, outbox: &mut FlowOutbox) {
-        let Some(service) = self.facts(taken).map(|facts| facts.service) else {
+    /// Offers the next held flow of the service that has just accepted `accepted`.
+    fn offer_next_held(&mut self, accepted: &FlowKey, now: MonotonicTime, outbox: &mut FlowOutbox) {
+        let Some(service) = self
+            .match_route(accepted)
+            .map(|route_match| route_match.service)
+        else {
             return;
         };
         let routes = self.routes.table();
-        let next = self.held.take_first(now, |held| {
+        let next = self.hold_queue.take_first(now, |held| {
             let route = routes.route(held.flow.target);
             route.and_then(|route| route.service_of(&held.flow)) == Some(service.as_str())
         });
         if let Some(held) = next {
-            self.offer(NewFlow::from(held), now, outbox);
+            self.offer_flow(NewFlow::from(held), now, outbox);
         }
     }
 
     fn hold_or_refuse(
         &mut self,
-        new: NewFlow,
-        facts: &RouteFacts,
+        new_flow: NewFlow,
+        route_match: &RouteMatch,
         now: MonotonicTime,
         outbox: &mut FlowOutbox,
     ) {
         let has_settled = self.has_settled(now);
-        let reason = if new.tried.is_empty() {
+        let reason = if new_flow.tried.is_empty() {
             RefusalReason::NoHost
         } else {
             RefusalReason::NoCapacity
         };
-        let until = new.arrived + hold_limit(facts.timeout, has_settled);
-        let is_hopeless = has_settled && reason == RefusalReason::NoHost;
-        if is_hopeless || now >= until {
-            self.refuse(new.flow, reason, outbox);
+        let until = new_flow.arrived + hold_limit(route_match.timeout, has_settled);
+        let is_unservable = has_settled && reason == RefusalReason::NoHost;
+        if is_unservable || now >= until {
+            self.refuse_flow(new_flow.flow, reason, outbox);
             return;
         }
-        let refused = self.held.push(HeldFlow {
-            flow: new.flow,
-            priority: facts.priority,
-            arrived: new.arrived,
-            age: new.age,
+        let rejected = self.hold_queue.push(HeldFlow {
+            flow: new_flow.flow,
+            priority: route_match.priority,
+            arrived: new_flow.arrived,
+            age: new_flow.age,
             until,
-            bytes: new.bytes,
+            bytes: new_flow.bytes,
         });
-        if let Some(held) = refused {
-            self.refuse(held.flow, reason, outbox);
+        if let Some(held) = rejected {
+            self.refuse_flow(held.flow, reason, outbox);
         }
     }
 
-    fn facts(&self, flow: &FlowKey) -> Option<RouteFacts> {
+    fn match_route(&self, flow: &FlowKey) -> Option<RouteMatch> {
         let route = self.routes.table().route(flow.target)?;
-        Some(RouteFacts {
+        Some(RouteMatch {
             service: route.service_of(flow)?.to_owned(),
             timeout: Duration::from_millis(u64::from(route.timeout_millis)),
             priority: route.priority,
         })
     }
 
-    fn candidates(&self, new: &NewFlow, facts: &RouteFacts, now: MonotonicTime) -> CandidateList {
+    fn select_candidates(
+        &self,
+        new_flow: &NewFlow,
+        route_match: &RouteMatch,
+        now: MonotonicTime,
+    ) -> CandidateList {
         order_candidates(
             self.members.hosts(),
-            &facts.service,
+            &route_match.service,
             &self.identity.zone,
-            hash_flow(&new.flow),
-            &new.tried,
+            hash_flow(&new_flow.flow),
+            &new_flow.tried,
             &self.members.timeouts(),
             now,
         )
     }
 
-    fn refuse(&self, flow: FlowKey, reason: RefusalReason, outbox: &mut FlowOutbox) {
+    fn refuse_flow(&self, flow: FlowKey, reason: RefusalReason, outbox: &mut FlowOutbox) {
         outbox.send_reset(flow, 0);
         outbox.note(FlowEvent::Refused {
             flow,
@@ -302,7 +321,7 @@
         });
     }
 
-    fn note_placed(
+    fn record_placement(
         &mut self,
         flow: FlowKey,
         host: Ipv4Addr,
@@ -314,21 +333,22 @@
         let Some(record) = self.members.host_mut(host) else {
             return;
         };
-        record.sent_since = record.sent_since.saturating_add(1);
+        record.flows_since_report = record.flows_since_report.saturating_add(1);
         outbox.note(FlowEvent::Placed {
             flow,
             host,
             routes,
             in_progress: record.load.in_progress,
-            report_age_millis: now.since(record.reported).as_millis() as u32,
+            report_age_millis: now.since(record.reported_at).as_millis() as u32,
             attempt,
         });
     }
 }
 
 impl PendingOpening {
-    /// Returns the flow, to be offered to others than `hosts`.
-    fn without(self, hosts: &[Ipv4Addr]) -> NewFlow {
+    /// Converts the pending opening into a flow to be offered again, with `hosts` added
+    /// to its tried hosts.
+    fn into_new_flow(self, hosts: &[Ipv4Addr]) -> NewFlow {
         let mut tried = self.tried;
         for host in hosts {
             if !tried.contains(host) && tried.try_push(*host).is_err() {
@@ -353,7 +373,7 @@
             arrived: held.arrived,
             age: held.age,
             attempt: 0,
-            tried: TriedList::new(),
+            tried: TriedHosts::new(),
             bytes: held.bytes,
         }
     }
--- a/crates/flows/src/balancer/peers.rs
+++ b/crates/flows/src/balancer/peers.rs
@@ -1,4 +1,7 @@
-//! Messages between a balancer and its peers.
+//! Messages that a balancer exchanges with hosts and other balancers.
+//!
+//! Hellos carry membership, load and versions. A balancer also sends its flow table
+//! to balancers that start, and a restarted host the flows that the host owns.
 
 use std::net::Ipv4Addr;
 
@@ -21,18 +24,18 @@
 use crate::outbox::FlowOutbox;
 use crate::packet::RawPacket;
 
-/// Balancers met last that every hello names.
-pub(super) const MET_TOLD: usize = 4;
+/// Number of the most recently discovered balancers that every hello names.
+pub(super) const MAX_RECENT_BALANCERS: usize = 4;
 
 impl FlowBalancer {
-    /// Decides about a message of a peer. `packet` is the packet behind it,
-    /// `behind` its bytes or those of another part.
+    /// Handles a message from a peer. `payload` holds the bytes that follow the
+    /// message, and `packet` the packet parsed from them, if they are one.
     pub fn receive_peer(
         &mut self,
         from: Ipv4Addr,
         message: &CarryMessage,
         packet: Option<&RawPacket<'_>>,
-        behind: &[u8],
+        payload: &[u8],
         now: MonotonicTime,
         outbox: &mut FlowOutbox,
     ) {
@@ -40,13 +43,13 @@
             CarryMessage::Hello(hello) => self.receive_hello(from, hello, now, outbox),
             CarryMessage::Owned { flow, load } => {
                 self.members.record_load(from, *load, now);
-                self.note_claim(*flow, from, now);
-                self.end_opening(flow, now, outbox);
-                self.end_search(flow, from, outbox);
+                self.record_claim(*flow, from, now);
+                self.complete_opening(flow, now, outbox);
+                self.complete_search(flow, from, outbox);
             }
             CarryMessage::NotHeld { flows, is_certain } => {
                 for flow in flows {
-                    self.note_not_held(flow, from, *is_certain, now, outbox);
+                    self.record_denial(flow, from, *is_certain, now, outbox);
                 }
             }
             CarryMessage::Returned { purpose } => {
@@ -56,14 +59,14 @@
             }
             CarryMessage::Flows { owner, flows } => {
                 let found = self
-                    .told_hosts
-                    .binary_search_by_key(owner, |(told, _)| *told);
+                    .reported_owners
+                    .binary_search_by_key(owner, |(known_owner, _)| *known_owner);
                 if let Err(index) = found {
-                    self.told_hosts.insert(index, (*owner, now));
+                    self.reported_owners.insert(index, (*owner, now));
                 }
                 for flow in flows {
                     if self.hints.get(flow).is_none() {
-                        self.learn_owner(*flow, *owner, false, now);
+                        self.record_owner(*flow, *owner, false, now);
                     }
                 }
             }
@@ -76,8 +79,8 @@
                 parts,
             } => {
                 let routes = &mut self.routes;
-                if routes.receive_part(*version, *part, *parts, behind, outbox) {
-                    self.say_hello_soon();
+                if routes.receive_part(*version, *part, *parts, payload, outbox) {
+                    self.schedule_hello();
                 }
             }
             CarryMessage::Forward(_) | CarryMessage::Locate { .. } => {
@@ -98,14 +101,14 @@
     ) {
         match purpose {
             ForwardPurpose::Open | ForwardPurpose::OpenHere => {
-                self.offer_again(packet, now, outbox);
+                self.reoffer_returned(packet, now, outbox);
             }
             ForwardPurpose::Owner if packet.header.opens_flow() => {
                 self.hints.remove(&packet.header.caller_flow());
                 self.receive_opening(packet, now, outbox);
             }
             ForwardPurpose::Owner | ForwardPurpose::Probe => {
-                self.search_again(packet, from, now, outbox);
+                self.search_returned(packet, from, now, outbox);
             }
         }
     }
@@ -126,32 +129,32 @@
             outbox.note(FlowEvent::PeerMet { peer: from });
         }
         if is_new || hello.wants_answer {
-            let answer = self.hello(false, now);
+            let answer = self.build_hello(false, now);
             outbox.send_message(from, &CarryMessage::Hello(answer), &[]);
         }
         match &hello.role {
             HelloRole::Host(host) => {
-                self.first_host.get_or_insert(now);
+                self.first_host_at.get_or_insert(now);
                 if is_new {
-                    self.last_met_host = Some(now);
-                    self.ask_new_host(from, now, outbox);
+                    self.last_host_joined_at = Some(now);
+                    self.query_new_host(from, now, outbox);
                 }
                 if is_new && host.is_relearning {
-                    self.tell_flows_of(from, from, outbox);
+                    self.send_flows_of(from, from, outbox);
                 }
                 if host.is_stopping && host.server == ServerState::Down {
-                    self.drop_hints_of(from);
+                    self.remove_hints_of(from);
                     self.members.remove_host(from);
-                    self.told_hosts.retain(|(told, _)| *told != from);
+                    self.reported_owners.retain(|(owner, _)| *owner != from);
                 }
             }
             HelloRole::Balancer(balancer) => {
                 if is_new {
-                    self.note_met_balancer(from);
+                    self.record_recent_balancer(from);
                 }
                 self.add_contacts(&balancer.balancers);
                 if balancer.wants_flows {
-                    self.hand_over(from, outbox);
+                    self.send_flow_table(from, outbox);
                 }
             }
         }
@@ -160,26 +163,27 @@
         }
     }
 
-    /// Greets all peers, and the addresses at which there may be some.
-    pub(super) fn greet_all(&mut self, now: MonotonicTime, outbox: &mut FlowOutbox) {
+    /// Sends hellos to all hosts and contacts. A contact that is not a known balancer
+    /// is asked for a hello in return.
+    pub(super) fn send_hellos(&mut self, now: MonotonicTime, outbox: &mut FlowOutbox) {
         self.next_hello = now + self.members.timeouts().hello_interval;
         self.hello_number += 1;
-        let plain = CarryMessage::Hello(self.hello(false, now));
-        let question = CarryMessage::Hello(self.hello(true, now));
+        let hello = CarryMessage::Hello(self.build_hello(false, now));
+        let hello_request = CarryMessage::Hello(self.build_hello(true, now));
         for host in self.members.hosts() {
-            outbox.send_message(host.peer.address, &plain, &[]);
+            outbox.send_message(host.peer.address, &hello, &[]);
         }
         for contact in &self.contacts {
             let message = if self.members.has_balancer(*contact) {
-                &plain
+                &hello
             } else {
-                &question
+                &hello_request
             };
             outbox.send_message(*contact, message, &[]);
         }
     }
 
-    fn hello(&self, wants_answer: bool, now: MonotonicTime) -> HelloMessage {
+    fn build_hello(&self, wants_answer: bool, now: MonotonicTime) -> HelloMessage {
         HelloMessage {
             started: self.identity.started,
             number: self.hello_number,
@@ -193,50 +197,50 @@
                     .members
                     .reachable_host_count(now)
                     .min(usize::from(u16::MAX)) as u16,
-                balancers: self.balancers_to_tell(),
+                balancers: self.select_balancers(),
             }),
         }
     }
 
-    /// Returns the balancers that this hello names: those met last, and the others
-    /// in turn.
-    fn balancers_to_tell(&self) -> ArrayVec<Ipv4Addr, MAX_PEERS_TOLD> {
-        let mut told: ArrayVec<Ipv4Addr, MAX_PEERS_TOLD> =
-            self.met_balancers.iter().copied().collect();
+    /// Returns the balancers that the current hello names: the most recently discovered
+    /// ones, and the others in rotation.
+    fn select_balancers(&self) -> ArrayVec<Ipv4Addr, MAX_PEERS_TOLD> {
+        let mut selected: ArrayVec<Ipv4Addr, MAX_PEERS_TOLD> =
+            self.recent_balancers.iter().copied().collect();
         let all = self.members.balancers();
-        let turn = MAX_PEERS_TOLD - MET_TOLD;
-        let start = self.hello_number as usize * turn;
+        let others_per_hello = MAX_PEERS_TOLD - MAX_RECENT_BALANCERS;
+        let start = self.hello_number as usize * others_per_hello;
         for offset in 0..all.len() {
-            if told.is_full() {
+            if selected.is_full() {
                 break;
             }
             let address = all[(start + offset) % all.len()].peer.address;
-            if !told.contains(&address) {
-                told.push(address);
+            if !selected.contains(&address) {
+                selected.push(address);
             }
         }
-        told
+        selected
     }
 
-    /// Notes that a balancer was met.
-    fn note_met_balancer(&mut self, address: Ipv4Addr) {
-        self.met_balancers.retain(|met| *met != address);
-        if self.met_balancers.is_full() {
-            self.met_balancers.remove(0);
+    /// Adds a balancer to the most recently discovered ones.
+    fn record_recent_balancer(&mut self, address: Ipv4Addr) {
+        self.recent_balancers.retain(|recent| *recent != address);
+        if self.recent_balancers.is_full() {
+            self.recent_balancers.remove(0);
         }
-        self.met_balancers.push(address);
+        self.recent_balancers.push(address);
     }
 
-    /// Tells a peer all flows of the table.
-    pub(super) fn hand_over(&self, peer: Ipv4Addr, outbox: &mut FlowOutbox) {
+    /// Sends the flow table to a peer.
+    pub(super) fn send_flow_table(&self, peer: Ipv4Addr, outbox: &mut FlowOutbox) {
         for host in self.members.hosts() {
-            self.tell_flows_of(host.peer.address, peer, outbox);
+            self.send_flows_of(host.peer.address, peer, outbox);
         }
     }
 
-    /// Tells a peer the flows of one host.
-    fn tell_flows_of(&self, host: Ipv4Addr, peer: Ipv4Addr, outbox: &mut FlowOutbox) {
-        for batch in self.flows_of(host).chunks(MAX_BATCH) {
+    /// Sends the flows that `host` owns to a peer, in batches.
+    fn send_flows_of(&self, host: Ipv4Addr, peer: Ipv4Addr, outbox: &mut FlowOutbox) {
+        for batch in self.flows_owned_by(host).chunks(MAX_BATCH) {
             let message = CarryMessage::Flows {
                 owner: host,
                 flows: batch.to_vec(),
@@ -245,7 +249,7 @@
         }
     }
 
-    fn flows_of(&self, host: Ipv4Addr) -> Vec<FlowKey> {
+    fn flows_owned_by(&self, host: Ipv4Addr) -> Vec<FlowKey> {
         self.hints
             .iter()
             .filter(|(_, hint)| hint.owner == host)
@@ -253,8 +257,8 @@
             .collect()
     }
 
-    fn drop_hints_of(&mut self, host: Ipv4Addr) {
-        for flow in self.flows_of(host) {
+    fn remove_hints_of(&mut self, host: Ipv4Addr) {
+        for flow in self.flows_owned_by(host) {
             self.hints.remove(&flow);
         }
     }
--- a/crates/flows/src/balancer/search.rs
+++ b/crates/flows/src/balancer/search.rs
@@ -1,15 +1,16 @@
-//! Looks for the host of a flow that the table does not name.
+//! Searches for the owner of a flow that is missing from the flow table.
 //!
-//! The hosts of the service are asked in rounds, the most likely ones first; one
-//! that knows the flow takes the packet. Hosts that have lost their table cannot
-//! tell, and are made to ask their servers, two at a time: each hands the packet
-//! to a server that may not be the right one, and a flow bears few of these.
+//! Hosts are queried in rounds, the most likely ones first. A host that knows the
+//! flow claims it and is sent the packet. A host that has lost its table cannot
+//! answer; it is sent the packet as a probe, and hands it to its server. Only two
+//! servers are probed at a time, because a probed server may not hold the flow, and a
+//! flow tolerates few packets at wrong servers.
 //!
-//! The load it answers: thousands of flows at once after all processes were
-//! killed, at balancers that handle a few hundred datagrams a second. Questions
-//! to one host share datagrams, so that the cost of many searches is that of
-//! asking each host a few times. In a large service those that come first in the
-//! flow's order are asked first, as new flows are offered to the first eight.
+//! After all processes were killed, thousands of flows are searched for at once, on
+//! balancers that handle a few hundred datagrams a second. Questions to one host
+//! therefore share datagrams, so that many searches cost no more than querying each
+//! host a few times. In a large service, the hosts that rank first for the flow are
+//! queried first, because new flows are offered to the first eight.
 
 use std::net::Ipv4Addr;
 use std::time::Duration;
@@ -33,132 +34,140 @@
 use crate::ranking::hash_flow;
 use crate::ranking::rank_hosts;
 
-/// Hosts that are asked before all others.
-const FIRST_ROUND: usize = 64;
+/// Number of hosts queried in the first round of a search.
+const FIRST_ROUND_HOSTS: usize = 64;
 
-/// Time that hosts have to answer before others are asked as well.
-const ROUND_PATIENCE: Duration = Duration::from_millis(20);
+/// Time hosts have to answer before the next round of hosts is queried.
+const ROUND_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// Time for which questions to a host are collected. Callers repeat a packet
-/// after 200 ms at the earliest.
-const QUESTION_DELAY: Duration = Duration::from_millis(4);
+/// Time for which questions to a host are batched. Callers retransmit a packet after
+/// 200 ms at the earliest.
+const QUESTION_BATCH_DELAY: Duration = Duration::from_millis(4);
 
-/// Time after a batch of questions for each datagram in it. The smallest balancers,
-/// which have 0.038 of a core, did not get through 76 searches a second without.
-const QUESTION_PACE: Duration = Duration::from_millis(1);
+/// Pause after a batch of questions, for each datagram in it. Without the pause, the
+/// smallest balancers, which have 0.038 of a core, could not complete 76 searches a
+/// second.
+const QUESTION_DATAGRAM_INTERVAL: Duration = Duration::from_millis(1);
 
-/// Time after which a host that has not answered is asked again: two round trips
+/// Time after which hosts that have not answered are queried again: two round trips
 /// between busy processes.
-const ASK_AGAIN: Duration = Duration::from_millis(40);
+const RETRY_INTERVAL: Duration = Duration::from_millis(40);
 
-/// Time that a search goes on while a host may hold the flow and cannot tell, or
-/// is still to be met. Callers repeat a packet after 200, 400 and 800 ms.
-const SEARCH_MEMORY: Duration = Duration::from_millis(800);
+/// Time after which a search is abandoned. Until then it continues while a host may
+/// hold the flow and cannot tell, or has not been discovered yet. Callers retransmit a
+/// packet after 200, 400 and 800 ms.
+const SEARCH_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Searches at the same time; packets beyond them are left to the caller's
-/// repetition, so that a lost table cannot turn into a flood.
+/// Maximum number of pending searches. Packets of further flows are dropped, and the
+/// caller retransmits them, so that a lost table cannot cause a flood of queries.
 const MAX_SEARCHES: usize = 512;
 
-/// Packets of one flow that a search keeps.
-const MAX_KEPT_PACKETS: usize = 4;
+/// Maximum number of packets of one flow that a search queues.
+const MAX_QUEUED_PACKETS: usize = 4;
 
-/// Hosts that the log of a search without a result names.
-const MAX_NAMED: usize = 4;
+/// Maximum number of undecided hosts that the event of a failed search names.
+const MAX_LOGGED_HOSTS: usize = 4;
 
-/// Servers that are handed the packet of a search at the same time.
+/// Maximum number of servers probed at the same time by one search.
 const MAX_PROBES: usize = 2;
 
-/// Time without meeting another host after which all hosts are known: processes
-/// that start together do so within 0.3 s.
+/// Time without the discovery of a host after which all hosts are taken as known.
+/// Processes that start together discover each other within 0.3 s.
 const SETTLE_TIME: Duration = Duration::from_millis(500);
 
-/// Time since the first host was met after which flows from before an outage of
-/// everything are certain to be gone.
+/// Time since the discovery of the first host after which flows from before a full
+/// outage are certain to be gone.
 const OUTAGE_SETTLE_TIME: Duration = Duration::from_millis(50);
 
-/// Hosts that must all have a new server to show an outage of everything.
-const OUTAGE_HOSTS: usize = 3;
+/// Minimum number of hosts with a server, all of them new, that indicates a full
+/// outage.
+const MIN_OUTAGE_HOSTS: usize = 3;
 
-/// A flow whose host is looked for.
+/// A search for the owner of one flow.
 #[derive(Debug, Clone)]
 pub(super) struct PendingSearch {
     flow: FlowKey,
-    started: MonotonicTime,
-    /// When somebody was asked last.
-    asked: MonotonicTime,
-    /// Hosts that are not asked yet, the most likely last.
-    left: Vec<Ipv4Addr>,
-    /// Hosts that were asked and have not answered.
-    waiting: Vec<Ipv4Addr>,
-    /// Hosts that cannot tell without their server.
-    doubtful: Vec<Ipv4Addr>,
-    /// Hosts whose server was handed the packet and has not shown what it knows.
+    started_at: MonotonicTime,
+    /// Time of the last question or probe; a queued question counts from the time at
+    /// which it is due.
+    last_asked: MonotonicTime,
+    /// Hosts that have not been queried yet, the most likely last.
+    remaining: Vec<Ipv4Addr>,
+    /// Hosts that were queried and whose answer is pending.
+    awaiting: Vec<Ipv4Addr>,
+    /// Hosts that cannot answer without probing their server.
+    uncertain: Vec<Ipv4Addr>,
+    /// Hosts whose server was sent the packet and has not shown whether it holds the
+    /// flow.
     probing: Vec<Ipv4Addr>,
-    /// Hosts that did not answer in time.
-    silent: Vec<Ipv4Addr>,
+    /// Hosts that did not answer in time, or were not expected to answer.
+    unanswered: Vec<Ipv4Addr>,
     packets: Vec<Vec<u8>>,
     acknowledged: Option<u32>,
     is_first_round: bool,
-    /// Whether hosts that did not answer were asked again.
-    is_repeated: bool,
-    /// Whether the host that the table named has denied the flow.
-    is_owner_sure: bool,
+    /// Whether hosts that did not answer were queried again.
+    is_retried: bool,
+    /// Whether the host that the table named as the exclusive owner has denied the
+    /// flow.
+    was_denied_by_owner: bool,
 }
 
 impl PendingSearch {
-    fn forget(&mut self, host: Ipv4Addr) {
+    fn remove_host(&mut self, host: Ipv4Addr) {
         for list in [
-            &mut self.left,
-            &mut self.waiting,
-            &mut self.doubtful,
+            &mut self.remaining,
+            &mut self.awaiting,
+            &mut self.uncertain,
             &mut self.probing,
-            &mut self.silent,
+            &mut self.unanswered,
         ] {
             list.retain(|listed| *listed != host);
         }
     }
 
-    /// Returns whether all that were asked have answered.
-    fn is_round_over(&self) -> bool {
-        self.waiting.is_empty() && self.doubtful.is_empty() && self.probing.is_empty()
+    /// Returns whether no answer to a question or probe is pending.
+    fn is_round_complete(&self) -> bool {
+        self.awaiting.is_empty() && self.uncertain.is_empty() && self.probing.is_empty()
     }
 
-    /// Returns whether every host that answers has said that it does not hold the
-    /// flow.
-    fn is_denied(&self) -> bool {
-        self.is_round_over() && self.left.is_empty()
+    /// Returns whether every host that answers has denied the flow.
+    fn is_denied_by_all(&self) -> bool {
+        self.is_round_complete() && self.remaining.is_empty()
     }
 
-    /// Returns the hosts that have not said whether they hold the flow.
-    fn undecided(&self) -> impl Iterator<Item = Ipv4Addr> {
-        let asked = self.waiting.iter().chain(&self.probing);
-        asked.chain(&self.silent).copied()
+    /// Returns the hosts that were queried or probed and have not said whether they
+    /// hold the flow.
+    fn undecided_hosts(&self) -> impl Iterator<Item = Ipv4Addr> {
+        let asked = self.awaiting.iter().chain(&self.probing);
+        asked.chain(&self.unanswered).copied()
     }
 
-    /// Stops waiting for hosts that cannot hold the flow: those that were silent for
-    /// long, and those that had no server when they were heard last and are late
-    /// with a hello or with two answers.
-    fn drop_gone_hosts(&mut self, members: &MemberTable, now: MonotonicTime) {
-        let late_after = members.timeouts().late_after();
-        let is_repeated = self.is_repeated;
-        self.silent.retain(|host| {
+    /// Removes the unanswered hosts that cannot hold the flow: those that have been
+    /// silent for too long, and those whose last hello reported no server and that are
+    /// overdue with a hello or with two answers.
+    fn remove_gone_hosts(&mut self, members: &MemberTable, now: MonotonicTime) {
+        let overdue_after = members.timeouts().overdue_after();
+        let is_retried = self.is_retried;
+        self.unanswered.retain(|host| {
             members.host(*host).is_some_and(|record| {
-                let is_late = is_repeated || now.since(record.peer.heard) >= late_after;
-                let is_gone = is_late && record.server == ServerState::Down;
+                let is_overdue = is_retried || now.since(record.peer.last_seen) >= overdue_after;
+                let is_gone = is_overdue && record.server == ServerState::Down;
                 record.may_hold_flows(now) && !is_gone
             })
         });
     }
 
-    /// Gives up waiting for those that were asked.
-    fn end_round(&mut self) {
-        self.silent.append(&mut self.waiting);
-        self.silent.append(&mut self.probing);
+    /// Stops waiting for the pending answers of the current round.
+    fn time_out_round(&mut self) {
+        self.unanswered.append(&mut self.awaiting);
+        self.unanswered.append(&mut self.probing);
     }
 }
 
 impl FlowBalancer {
-    pub(super) fn search(
+    /// Starts a search for the owner of a packet's flow, or queues the packet if the
+    /// search is already pending.
+    pub(super) fn search_owner(
         &mut self,
         packet: &RawPacket<'_>,
         now: MonotonicTime,
@@ -168,7 +177,7 @@
         let index = match self.find_search(&flow) {
             Ok(index) => {
                 let search = &mut self.searches[index];
-                if search.packets.len() < MAX_KEPT_PACKETS {
+                if search.packets.len() < MAX_QUEUED_PACKETS {
                     search.packets.push(packet.bytes.to_vec());
                 }
                 return;
@@ -184,25 +193,26 @@
         });
         let search = PendingSearch {
             flow,
-            started: now,
-            asked: now,
-            left: self.likely_hosts(&flow, now),
-            waiting: Vec::new(),
-            doubtful: Vec::new(),
+            started_at: now,
+            last_asked: now,
+            remaining: self.rank_likely_hosts(&flow, now),
+            awaiting: Vec::new(),
+            uncertain: Vec::new(),
             probing: Vec::new(),
-            silent: Vec::new(),
+            unanswered: Vec::new(),
             packets: vec![packet.bytes.to_vec()],
             acknowledged: packet.header.acknowledged_position(),
             is_first_round: true,
-            is_repeated: false,
-            is_owner_sure: false,
+            is_retried: false,
+            was_denied_by_owner: false,
         };
         self.searches.insert(index, search);
-        self.ask_next(index, now, outbox);
+        self.continue_search(index, now, outbox);
     }
 
-    /// Sends a returned packet on to all hosts that may hold its flow.
-    pub(super) fn search_again(
+    /// Forwards a returned packet to the flow's owner if the table now names a host
+    /// other than `from`. Otherwise removes the hint and searches for the owner.
+    pub(super) fn search_returned(
         &mut self,
         packet: &RawPacket<'_>,
         from: Ipv4Addr,
@@ -213,36 +223,41 @@
         match self.hints.get(&flow) {
             Some(hint) if hint.owner != from => {
                 let owner = hint.owner;
-                self.forward(owner, ForwardPurpose::Owner, packet.bytes, outbox);
+                self.forward_packet(owner, ForwardPurpose::Owner, packet.bytes, outbox);
             }
             _ => {
                 let hint = self.hints.remove(&flow);
-                let was_named = hint.is_some_and(|hint| hint.is_sure);
-                self.search(packet, now, outbox);
+                let was_exclusive = hint.is_some_and(|hint| hint.is_exclusive);
+                self.search_owner(packet, now, outbox);
                 if let Ok(index) = self.find_search(&flow) {
                     let search = &mut self.searches[index];
-                    search.is_owner_sure = was_named;
-                    search.forget(from);
+                    search.was_denied_by_owner = was_exclusive;
+                    search.remove_host(from);
                 }
             }
         }
     }
 
-    /// Ends a search that found the host.
-    pub(super) fn end_search(&mut self, flow: &FlowKey, owner: Ipv4Addr, outbox: &mut FlowOutbox) {
+    /// Ends a search that found the owner, and forwards the queued packets to it.
+    pub(super) fn complete_search(
+        &mut self,
+        flow: &FlowKey,
+        owner: Ipv4Addr,
+        outbox: &mut FlowOutbox,
+    ) {
         let Ok(index) = self.find_search(flow) else {
             return;
         };
         let search = self.searches.remove(index);
-        // A host that asked its server has the first packet.
-        let sent = usize::from(search.probing.contains(&owner));
-        for bytes in search.packets.iter().skip(sent) {
-            self.forward(owner, ForwardPurpose::Owner, bytes, outbox);
+        // A probed host already has the first packet.
+        let delivered = usize::from(search.probing.contains(&owner));
+        for bytes in search.packets.iter().skip(delivered) {
+            self.forward_packet(owner, ForwardPurpose::Owner, bytes, outbox);
         }
     }
 
-    /// Notes that a host does not hold a flow, or cannot tell.
-    pub(super) fn note_not_held(
+    /// Handles a host's answer that it does not hold a flow, or cannot tell.
+    pub(super) fn record_denial(
         &mut self,
         flow: &FlowKey,
         host: Ipv4Addr,
@@ -254,16 +269,16 @@
             return;
         };
         let search = &mut self.searches[index];
-        search.forget(host);
+        search.remove_host(host);
         if !is_certain {
-            search.doubtful.push(host);
+            search.uncertain.push(host);
         }
-        self.ask_next(index, now, outbox);
-        self.conclude_if_denied(index, now, outbox);
+        self.continue_search(index, now, outbox);
+        self.finish_if_denied(index, now, outbox);
     }
 
-    /// Asks a host that was met while searches are under way.
-    pub(super) fn ask_new_host(
+    /// Queries a newly discovered host in all pending searches.
+    pub(super) fn query_new_host(
         &mut self,
         host: Ipv4Addr,
         now: MonotonicTime,
@@ -271,39 +286,40 @@
     ) {
         for index in 0..self.searches.len() {
             let search = &mut self.searches[index];
-            search.forget(host);
-            search.left.push(host);
-            self.ask_next(index, now, outbox);
+            search.remove_host(host);
+            search.remaining.push(host);
+            self.continue_search(index, now, outbox);
         }
     }
 
-    pub(super) fn continue_searches(&mut self, now: MonotonicTime, outbox: &mut FlowOutbox) {
+    /// Times out rounds and searches, and queries hosts that have not answered again.
+    pub(super) fn advance_searches(&mut self, now: MonotonicTime, outbox: &mut FlowOutbox) {
         for index in (0..self.searches.len()).rev() {
             let search = &mut self.searches[index];
-            if now.since(search.started) >= SEARCH_MEMORY {
+            if now.since(search.started_at) >= SEARCH_TIMEOUT {
                 let search = self.searches.remove(index);
-                self.note_unowned(&search, now, outbox);
+                self.record_unowned(&search, now, outbox);
                 continue;
             }
-            if now.since(search.asked) >= ROUND_PATIENCE {
-                search.end_round();
+            if now.since(search.last_asked) >= ROUND_TIMEOUT {
+                search.time_out_round();
             }
-            search.drop_gone_hosts(&self.members, now);
-            if now.since(search.asked) >= ASK_AGAIN && search.left.is_empty() {
-                search.left = std::mem::take(&mut search.silent);
-                search.is_repeated = true;
+            search.remove_gone_hosts(&self.members, now);
+            if now.since(search.last_asked) >= RETRY_INTERVAL && search.remaining.is_empty() {
+                search.remaining = std::mem::take(&mut search.unanswered);
+                search.is_retried = true;
             }
-            self.ask_next(index, now, outbox);
-            self.conclude_if_denied(index, now, outbox);
+            self.continue_search(index, now, outbox);
+            self.finish_if_denied(index, now, outbox);
         }
     }
 
-    fn note_unowned(&self, search: &PendingSearch, now: MonotonicTime, outbox: &mut FlowOutbox) {
+    fn record_unowned(&self, search: &PendingSearch, now: MonotonicTime, outbox: &mut FlowOutbox) {
         let silence = |host| {
             let record = self.members.host(host)?;
-            Some(now.since(record.peer.heard).as_millis() as u32)
+            Some(now.since(record.peer.last_seen).as_millis() as u32)
         };
-        let undecided = search.undecided().take(MAX_NAMED);
+        let undecided = search.undecided_hosts().take(MAX_LOGGED_HOSTS);
         outbox.note(FlowEvent::Unowned {
             flow: search.flow,
             undecided: undecided
@@ -315,19 +331,19 @@
         });
     }
 
-    /// Returns when questions are to be sent, if there are any.
+    /// Returns the time at which queued questions are to be sent, if there are any.
     pub(super) fn questions_due(&self) -> Option<MonotonicTime> {
-        let first = self.questions_since?;
-        Some((first + QUESTION_DELAY).max(self.questions_allowed))
+        let first = self.questions_queued_at?;
+        Some((first + QUESTION_BATCH_DELAY).max(self.questions_allowed_at))
     }
 
-    /// Sends the questions that were collected for each host.
+    /// Sends the queued questions to each host.
     pub(super) fn send_questions(&mut self, now: MonotonicTime, outbox: &mut FlowOutbox) {
-        self.questions_since = None;
-        self.questions_allowed = now;
-        for (host, questions) in std::mem::take(&mut self.questions) {
+        self.questions_queued_at = None;
+        self.questions_allowed_at = now;
+        for (host, questions) in std::mem::take(&mut self.queued_questions) {
             for batch in questions.chunks(MAX_QUESTIONS) {
-                self.questions_allowed = self.questions_allowed + QUESTION_PACE;
+                self.questions_allowed_at = self.questions_allowed_at + QUESTION_DATAGRAM_INTERVAL;
                 let questions = batch.to_vec();
                 outbox.send_message(host, &CarryMessage::Locate { questions }, &[]);
             }
@@ -339,12 +355,13 @@
             .binary_search_by_key(flow, |search| search.flow)
     }
 
-    /// Returns the hosts that may hold a flow, the most likely last. A flow stays
-    /// where it is when its route goes to another service.
-    fn likely_hosts(&self, flow: &FlowKey, now: MonotonicTime) -> Vec<Ipv4Addr> {
+    /// Returns the hosts that may hold a flow, the most likely last. Hosts of other
+    /// services are included, because an open flow stays at its host when its route
+    /// changes to another service.
+    fn rank_likely_hosts(&self, flow: &FlowKey, now: MonotonicTime) -> Vec<Ipv4Addr> {
         let route = self.routes.table().route(flow.target);
         let service = route.and_then(|route| route.service_of(flow));
-        let of_service = |host: &Ipv4Addr| {
+        let serves_route = |host: &Ipv4Addr| {
             let record = self.members.host(*host);
             record.is_some_and(|record| Some(record.service.as_str()) == service)
         };
@@ -357,83 +374,89 @@
             .collect();
         rank_hosts(hash_flow(flow), &mut hosts);
         hosts.reverse();
-        hosts.sort_by_key(of_service);
+        hosts.sort_by_key(serves_route);
         hosts
     }
 
-    /// Makes doubtful hosts ask their servers, or asks the next round of hosts.
-    fn ask_next(&mut self, index: usize, now: MonotonicTime, outbox: &mut FlowOutbox) {
-        if self.searches[index].is_round_over() {
-            self.ask_round(index, now);
+    /// Queries the next round of hosts if the current one is complete, and probes the
+    /// servers of uncertain hosts.
+    fn continue_search(&mut self, index: usize, now: MonotonicTime, outbox: &mut FlowOutbox) {
+        if self.searches[index].is_round_complete() {
+            self.query_next_round(index, now);
         }
-        let message = CarryMessage::Forward(self.header(ForwardPurpose::Probe));
+        let message = CarryMessage::Forward(self.build_header(ForwardPurpose::Probe));
         let search = &mut self.searches[index];
-        if !search.waiting.is_empty() {
-            // One of them may know the flow; no server is asked in vain then.
+        if !search.awaiting.is_empty() {
+            // A host that was queried may claim the flow, which makes probes unnecessary.
             return;
         }
-        while search.probing.len() < MAX_PROBES && !search.doubtful.is_empty() {
-            let host = search.doubtful.remove(0);
-            search.asked = now;
+        while search.probing.len() < MAX_PROBES && !search.uncertain.is_empty() {
+            let host = search.uncertain.remove(0);
+            search.last_asked = now;
             outbox.send_message(host, &message, &search.packets[0]);
             search.probing.push(host);
         }
     }
 
-    /// Asks the next round of hosts: the most likely ones, and then all others.
-    fn ask_round(&mut self, index: usize, now: MonotonicTime) {
+    /// Queries the next round of hosts: first the most likely ones, then all others.
+    fn query_next_round(&mut self, index: usize, now: MonotonicTime) {
         let search = &mut self.searches[index];
         let start = if search.is_first_round {
-            search.left.len().saturating_sub(FIRST_ROUND)
+            search.remaining.len().saturating_sub(FIRST_ROUND_HOSTS)
         } else {
             0
         };
         search.is_first_round = false;
-        let round = search.left.split_off(start);
+        let round = search.remaining.split_off(start);
         for host in round.into_iter().rev() {
-            self.ask_host(index, host, now);
+            self.query_host(index, host, now);
         }
     }
 
-    /// Asks a host, unless it is known to have lost its table.
-    fn ask_host(&mut self, index: usize, host: Ipv4Addr, now: MonotonicTime) {
+    /// Queues a question to a host, or marks the host as uncertain if it is known to
+    /// have lost its table.
+    fn query_host(&mut self, index: usize, host: Ipv4Addr, now: MonotonicTime) {
         let record = self.members.host(host);
         let is_relearning = record.is_some_and(|record| record.is_relearning);
-        let late_after = self.members.timeouts().late_after();
-        let is_heard = record.is_some_and(|record| now.since(record.peer.heard) < late_after);
+        let overdue_after = self.members.timeouts().overdue_after();
+        let is_responsive =
+            record.is_some_and(|record| now.since(record.peer.last_seen) < overdue_after);
         if is_relearning {
-            self.searches[index].doubtful.push(host);
+            self.searches[index].uncertain.push(host);
             return;
         }
-        self.questions_since.get_or_insert(now);
-        let sent = self.questions_due().unwrap_or(now);
+        self.questions_queued_at.get_or_insert(now);
+        let send_at = self.questions_due().unwrap_or(now);
         let search = &mut self.searches[index];
-        search.asked = sent;
-        if is_heard {
-            search.waiting.push(host);
+        search.last_asked = send_at;
+        if is_responsive {
+            search.awaiting.push(host);
         } else {
-            // It is asked as well, and nobody waits for its answer.
-            search.silent.push(host);
+            // The host is queried, but the round does not wait for its answer.
+            search.unanswered.push(host);
         }
         let question = FlowQuestion {
             flow: search.flow,
             acknowledged: search.acknowledged,
         };
-        match self.questions.binary_search_by_key(&host, |(to, _)| *to) {
-            Ok(index) => self.questions[index].1.push(question),
-            Err(index) => self.questions.insert(index, (host, vec![question])),
+        match self
+            .queued_questions
+            .binary_search_by_key(&host, |(to, _)| *to)
+        {
+            Ok(index) => self.queued_questions[index].1.push(question),
+            Err(index) => self.queued_questions.insert(index, (host, vec![question])),
         }
     }
 
-    /// Ends a search for a flow that every host has denied, unless there may be
-    /// another host.
-    fn conclude_if_denied(&mut self, index: usize, now: MonotonicTime, outbox: &mut FlowOutbox) {
+    /// Ends the search and resets the flow if every host has denied it, unless another
+    /// host may hold it.
+    fn finish_if_denied(&mut self, index: usize, now: MonotonicTime, outbox: &mut FlowOutbox) {
         let search = &self.searches[index];
-        if !search.is_denied() {
+        if !search.is_denied_by_all() {
             return;
         }
-        let is_certain = search.silent.is_empty() && self.is_steady(now);
-        if !(search.is_owner_sure || is_certain) {
+        let is_certain = search.unanswered.is_empty() && self.is_membership_complete(now);
+        if !(search.was_denied_by_owner || is_certain) {
             return;
         }
         let search = self.searches.remove(index);
@@ -444,45 +467,47 @@
         });
     }
 
-    /// Returns whether no host was met for a while, so that there are no others.
+    /// Returns whether no host was discovered recently, so that all hosts are taken as
+    /// known.
     pub(super) fn has_settled(&self, now: MonotonicTime) -> bool {
-        if self.is_after_outage() {
+        if self.is_after_full_outage() {
             return self
-                .first_host
-                .is_some_and(|met| now.since(met) >= OUTAGE_SETTLE_TIME);
+                .first_host_at
+                .is_some_and(|joined_at| now.since(joined_at) >= OUTAGE_SETTLE_TIME);
         }
-        self.last_met_host
-            .is_some_and(|met| now.since(met) >= SETTLE_TIME)
+        self.last_host_joined_at
+            .is_some_and(|joined_at| now.since(joined_at) >= SETTLE_TIME)
     }
 
-    /// Returns whether everything has just started, so that no flow is older.
-    fn is_after_outage(&self) -> bool {
+    /// Returns whether all servers have just started, so that no older flow exists.
+    fn is_after_full_outage(&self) -> bool {
         let members = &self.members;
-        members.hosts_with_server().count() >= OUTAGE_HOSTS
+        members.hosts_with_server().count() >= MIN_OUTAGE_HOSTS
             && members
                 .hosts_with_server()
                 .all(|record| record.is_server_new)
     }
 
-    /// Returns whether every host that may hold a flow is known and can be asked.
-    fn is_steady(&self, now: MonotonicTime) -> bool {
+    /// Returns whether every host that may hold a flow is known and can be queried.
+    fn is_membership_complete(&self, now: MonotonicTime) -> bool {
         let timeouts = self.members.timeouts();
-        let heard = self.members.reachable_host_count(now);
-        let is_cut_off = heard * 2 <= self.members.hosts_with_server().count();
-        let is_in_doubt = self.members.hosts_with_server().any(|record| {
-            let silence = now.since(record.peer.heard);
+        let reachable = self.members.reachable_host_count(now);
+        let is_partitioned = reachable * 2 <= self.members.hosts_with_server().count();
+        let has_suspect_host = self.members.hosts_with_server().any(|record| {
+            let silence = now.since(record.peer.last_seen);
             record.may_hold_flows(now) && silence >= timeouts.suspect_after
         });
-        let is_one_unmet = self.told_hosts.iter().any(|(told, since)| {
-            self.members.host(*told).is_none() && now.since(*since) < HOST_UNREACHABLE_TIMEOUT
+        let has_unknown_owner = self.reported_owners.iter().any(|(owner, since)| {
+            self.members.host(*owner).is_none() && now.since(*since) < HOST_UNREACHABLE_TIMEOUT
         });
-        let do_peers_hear_more = self
+        let do_peers_reach_more = self
             .members
             .balancers()
             .iter()
-            .filter(|record| now.since(record.peer.heard) < timeouts.suspect_after)
-            .any(|record| usize::from(record.hosts) > heard);
-        let may_exist = is_cut_off || is_in_doubt || is_one_unmet || do_peers_hear_more;
-        self.has_settled(now) && !may_exist
+            .filter(|record| now.since(record.peer.last_seen) < timeouts.suspect_after)
+            .any(|record| usize::from(record.reachable_hosts) > reachable);
+        let may_miss_hosts =
+            is_partitioned || has_suspect_host || has_unknown_owner || do_peers_reach_more;
+        self.has_settled(now) && !may_miss_hosts
     }
 }
--- a/crates/flows/src/members.rs
+++ b/crates/flows/src/members.rs
@@ -1,4 +1,7 @@
-//! The processes that a process knows, from their own hellos.
+//! Membership: the hosts and balancers that a process knows from their hellos.
+//!
+//! Each process keeps its own table. Timeouts grow with the number of peers, so that
+//! the cost of hellos stays bounded.
 
 use std::net::Ipv4Addr;
 use std::time::Duration;
@@ -10,143 +13,143 @@
 use hyssopstair_wire::carried::ServerState;
 use hyssopstair_wire::time::MonotonicTime;
 
-/// Shortest time between two hellos to the same peer. It bounds how old a load
-/// report is; a quarter of a second costs a balancer 40 datagrams a second for
-/// ten hosts.
+/// Minimum interval between hellos to the same peer. It bounds the age of load reports;
+/// a quarter of a second costs a balancer 40 datagrams a second with ten hosts.
 pub const MIN_HELLO_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Hellos that a process sends in a second at most, so that the cost of
-/// membership stays the same as the fleet grows.
-const HELLOS_PER_SECOND: u32 = 100;
+/// Maximum number of hellos that a process sends per second, so that the cost of
+/// membership stays constant as the fleet grows.
+const MAX_HELLOS_PER_SECOND: u32 = 100;
 
-/// Hellos in a row that a peer may miss before new flows avoid it.
-const MISSED_HELLOS: u32 = 4;
+/// Number of consecutive hellos that a peer may miss before new flows avoid it.
+const MAX_MISSED_HELLOS: u32 = 4;
 
-/// Time after which a silent peer is forgotten. It is longer than any cut that
-/// the users' machines go through, so that a peer is found again after one.
+/// Silence after which a peer is evicted. It is longer than any network partition of
+/// the users' machines, so that peers find each other again after one.
 pub const PEER_EVICTION_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Silence after which a host does not keep flows from being reset. A planned
+/// Silence after which a host no longer prevents flows from being reset. A planned
 /// restart takes less, and callers have given up by then.
 pub const HOST_UNREACHABLE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Time for which a host that did not answer an opening packet is avoided, unless
-/// it is heard before.
-const UNANSWERED_PENALTY: Duration = Duration::from_secs(2);
+/// Time for which new flows avoid a host that did not answer an opening packet, unless
+/// a message from it arrives before.
+const UNANSWERED_AVOIDANCE: Duration = Duration::from_secs(2);
 
-/// What every peer has.
+/// Properties that all peers have.
 #[derive(Debug, Clone)]
 pub struct PeerRecord {
-    /// Its address.
+    /// Address of the peer.
     pub address: Ipv4Addr,
-    /// The start of its process.
+    /// Start time of its process, in milliseconds since the Unix epoch.
     pub started: u64,
-    /// The number of its last hello.
-    pub number: u32,
-    /// Its availability zone.
+    /// Number of its last hello.
+    pub hello_number: u32,
+    /// Name of its availability zone.
     pub zone: String,
-    /// The version of its routes.
-    pub routes: u64,
-    /// When it was heard last.
-    pub heard: MonotonicTime,
+    /// Version of its routes; 0 while it has none.
+    pub routes_version: u64,
+    /// Time at which its last hello or load report arrived.
+    pub last_seen: MonotonicTime,
 }
 
-/// A host, as its hellos describe it.
+/// A host, as described by its hellos.
 #[derive(Debug, Clone)]
 pub struct HostRecord {
-    /// What every peer has.
+    /// Properties that all peers have.
     pub peer: PeerRecord,
-    /// Name of its service.
+    /// Name of the service of its backend server.
     pub service: String,
-    /// What its server does.
+    /// State of its backend server.
     pub server: ServerState,
-    /// How busy it was.
+    /// Load that it reported last.
     pub load: CarryLoad,
-    /// When it told so.
-    pub reported: MonotonicTime,
-    /// New flows sent there since then.
-    pub sent_since: u16,
-    /// Until when it is avoided, as it did not answer.
+    /// Time at which that report arrived.
+    pub reported_at: MonotonicTime,
+    /// Number of new flows sent to it since that report.
+    pub flows_since_report: u16,
+    /// Time until which new flows avoid it because it did not answer.
     pub avoided_until: MonotonicTime,
-    /// Whether it may hold flows that it does not know.
+    /// Whether its server may hold flows that are missing from its table.
     pub is_relearning: bool,
-    /// Whether its server has started a short while ago.
+    /// Whether its server started recently.
     pub is_server_new: bool,
-    /// Whether the process is about to stop.
+    /// Whether the process is stopping.
     pub is_stopping: bool,
 }
 
 impl HostRecord {
-    /// Returns whether new flows may go there.
+    /// Returns whether new flows may be offered to the host.
     pub fn accepts_new_flows(&self, timeouts: &MemberTimeouts, now: MonotonicTime) -> bool {
         self.server == ServerState::Ready
             && !self.is_stopping
             && now >= self.avoided_until
-            && now.since(self.peer.heard) < timeouts.suspect_after
+            && now.since(self.peer.last_seen) < timeouts.suspect_after
     }
 
-    /// Returns whether the host may hold flows that balancers look for. One that has
-    /// been silent for long does not count: its callers are better off with another
-    /// server, whether it lives or not.
+    /// Returns whether the host may hold flows that balancers search for. A host that
+    /// has been silent for [`HOST_UNREACHABLE_TIMEOUT`] does not count: its callers are
+    /// better served by another server, whether the host is running or not.
     pub fn may_hold_flows(&self, now: MonotonicTime) -> bool {
-        now.since(self.peer.heard) < HOST_UNREACHABLE_TIMEOUT
+        now.since(self.peer.last_seen) < HOST_UNREACHABLE_TIMEOUT
     }
 
-    /// Returns whether a flow may go there when no host takes new ones for sure.
+    /// Returns whether a flow may be offered to the host when no host is known to
+    /// accept new flows.
     pub fn is_fallback(&self) -> bool {
         !self.is_stopping && matches!(self.server, ServerState::Ready | ServerState::Unknown)
     }
 }
 
-/// A balancer, as its hellos describe it.
+/// A balancer, as described by its hellos.
 #[derive(Debug, Clone)]
 pub struct BalancerRecord {
-    /// What every peer has.
+    /// Properties that all peers have.
     pub peer: PeerRecord,
-    /// Whether it is about to stop.
+    /// Whether the process is stopping.
     pub is_stopping: bool,
-    /// How many hosts it hears.
-    pub hosts: u16,
+    /// Number of hosts with a server that it has received messages from recently.
+    pub reachable_hosts: u16,
 }
 
-/// Times that depend on how many peers there are.
+/// Intervals and timeouts that depend on the number of peers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MemberTimeouts {
-    /// Time between two hellos to the same peer.
+    /// Interval between hellos to the same peer.
     pub hello_interval: Duration,
     /// Silence after which new flows avoid a peer.
     pub suspect_after: Duration,
 }
 
 impl MemberTimeouts {
-    /// Returns the times for a fleet in which a process greets `peers` others.
-    pub fn for_peers(peers: usize) -> Self {
-        let spread = Duration::from_secs(1) * peers as u32 / HELLOS_PER_SECOND;
-        let hello_interval = MIN_HELLO_INTERVAL.max(spread);
+    /// Returns the timeouts for a process that sends hellos to `peer_count` peers.
+    pub fn for_peer_count(peer_count: usize) -> Self {
+        let spread_interval = Duration::from_secs(1) * peer_count as u32 / MAX_HELLOS_PER_SECOND;
+        let hello_interval = MIN_HELLO_INTERVAL.max(spread_interval);
         Self {
             hello_interval,
-            suspect_after: hello_interval * MISSED_HELLOS,
+            suspect_after: hello_interval * MAX_MISSED_HELLOS,
         }
     }
 
-    /// Returns the silence after which a hello of a peer is late.
-    pub fn late_after(&self) -> Duration {
+    /// Returns the silence after which a hello of a peer is overdue.
+    pub fn overdue_after(&self) -> Duration {
         self.hello_interval * 2
     }
 }
 
-/// What a hello changed.
+/// Effect of a hello on the member table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HelloOutcome {
-    /// The sender was not known, or has started again.
+    /// The sender was not known, or has restarted.
     Joined,
-    /// It repeats or updates what was known.
+    /// The hello updates the record of a known sender.
     Updated,
-    /// It was overtaken by a later one.
+    /// The hello is not newer than the last one of its sender, and was ignored.
     Stale,
 }
 
-/// All peers that a process knows, sorted by address.
+/// The peers that a process knows, sorted by address.
 #[derive(Debug, Default)]
 pub struct MemberTable {
     hosts: Vec<HostRecord>,
@@ -154,49 +157,49 @@
 }
 
 impl MemberTable {
-    /// Returns the hosts.
+    /// Returns the known hosts, sorted by address.
     pub fn hosts(&self) -> &[HostRecord] {
         &self.hosts
     }
 
-    /// Returns the balancers.
+    /// Returns the known balancers, sorted by address.
     pub fn balancers(&self) -> &[BalancerRecord] {
         &self.balancers
     }
 
-    /// Returns the hosts, to be changed.
+    /// Returns the known hosts as a mutable slice.
     pub fn hosts_mut(&mut self) -> &mut [HostRecord] {
         &mut self.hosts
     }
 
-    /// Returns the host at an address.
+    /// Returns the host at `address`, if it is known.
     pub fn host(&self, address: Ipv4Addr) -> Option<&HostRecord> {
         let index = self.find_host(address).ok()?;
         Some(&self.hosts[index])
     }
 
-    /// Returns the host at an address, to be changed.
+    /// Returns a mutable reference to the host at `address`, if it is known.
     pub fn host_mut(&mut self, address: Ipv4Addr) -> Option<&mut HostRecord> {
         let index = self.find_host(address).ok()?;
         Some(&mut self.hosts[index])
     }
 
-    /// Returns how many hosts with a server were heard lately.
+    /// Returns the number of hosts with a server that are not suspect.
     pub fn reachable_host_count(&self, now: MonotonicTime) -> usize {
         let limit = self.timeouts().suspect_after;
         self.hosts_with_server()
-            .filter(|record| now.since(record.peer.heard) < limit)
+            .filter(|record| now.since(record.peer.last_seen) < limit)
             .count()
     }
 
-    /// Visits the hosts that have not said that their server has ended.
+    /// Iterates over the hosts that have not reported their server as down.
     pub fn hosts_with_server(&self) -> impl Iterator<Item = &HostRecord> {
         self.hosts
             .iter()
             .filter(|record| record.server != ServerState::Down)
     }
 
-    /// Returns the addresses of the balancers.
+    /// Returns the addresses of the known balancers.
     pub fn balancer_addresses(&self) -> Vec<Ipv4Addr> {
         self.balancers
             .iter()
@@ -204,27 +207,27 @@
             .collect()
     }
 
-    /// Returns whether a balancer is known.
+    /// Returns whether a balancer at `address` is known.
     pub fn has_balancer(&self, address: Ipv4Addr) -> bool {
         self.find_balancer(address).is_ok()
     }
 
-    /// Returns the times for the present number of peers.
+    /// Returns the timeouts for the current number of peers.
     pub fn timeouts(&self) -> MemberTimeouts {
-        MemberTimeouts::for_peers(self.hosts.len().max(self.balancers.len()))
+        MemberTimeouts::for_peer_count(self.hosts.len().max(self.balancers.len()))
     }
 
-    /// Returns the highest version of routes that a peer has, and who.
+    /// Returns the highest route version that a peer has, and the address of that peer.
     pub fn newest_routes(&self) -> Option<(u64, Ipv4Addr)> {
         let hosts = self.hosts.iter().map(|record| &record.peer);
         let balancers = self.balancers.iter().map(|record| &record.peer);
         balancers
             .chain(hosts)
-            .map(|peer| (peer.routes, peer.address))
+            .map(|peer| (peer.routes_version, peer.address))
             .max()
     }
 
-    /// Notes a hello.
+    /// Records a hello of the peer at `from`, and returns its effect.
     pub fn record_hello(
         &mut self,
         from: Ipv4Addr,
@@ -234,63 +237,63 @@
         let peer = PeerRecord {
             address: from,
             started: hello.started,
-            number: hello.number,
+            hello_number: hello.number,
             zone: hello.zone.clone(),
-            routes: hello.routes,
-            heard: now,
+            routes_version: hello.routes,
+            last_seen: now,
         };
         match &hello.role {
             HelloRole::Host(host) => self.record_host(peer, host, now),
             HelloRole::Balancer(balancer) => self.record_balancer(BalancerRecord {
                 peer,
                 is_stopping: balancer.is_stopping,
-                hosts: balancer.hosts,
+                reachable_hosts: balancer.hosts,
             }),
         }
     }
 
-    /// Forgets the peers that were silent for too long, and returns them with
-    /// their silence.
+    /// Removes the peers that have been silent for [`PEER_EVICTION_TIMEOUT`], and
+    /// returns their addresses with the time since their last message.
     pub fn evict_silent(&mut self, now: MonotonicTime) -> Vec<(Ipv4Addr, Duration)> {
-        let mut lost = Vec::new();
+        let mut evicted = Vec::new();
         let mut keep = |peer: &PeerRecord| {
-            let silence = now.since(peer.heard);
+            let silence = now.since(peer.last_seen);
             if silence >= PEER_EVICTION_TIMEOUT {
-                lost.push((peer.address, silence));
+                evicted.push((peer.address, silence));
             }
             silence < PEER_EVICTION_TIMEOUT
         };
         self.hosts.retain(|record| keep(&record.peer));
         self.balancers.retain(|record| keep(&record.peer));
-        lost
+        evicted
     }
 
-    /// Notes that a host did not answer in time.
+    /// Makes new flows avoid a host that did not answer in time.
     pub fn avoid_host(&mut self, address: Ipv4Addr, now: MonotonicTime) {
         if let Some(record) = self.host_mut(address) {
-            record.avoided_until = now + UNANSWERED_PENALTY;
+            record.avoided_until = now + UNANSWERED_AVOIDANCE;
         }
     }
 
-    /// Notes the load that a host told with another message.
+    /// Records the load that a host reported in a message other than a hello.
     pub fn record_load(&mut self, address: Ipv4Addr, load: CarryLoad, now: MonotonicTime) {
         if let Some(record) = self.host_mut(address) {
             record.load = load;
-            record.reported = now;
-            record.sent_since = 0;
-            record.peer.heard = now;
+            record.reported_at = now;
+            record.flows_since_report = 0;
+            record.peer.last_seen = now;
             record.avoided_until = MonotonicTime::default();
         }
     }
 
-    /// Forgets a balancer that has stopped.
+    /// Removes a balancer that has stopped.
     pub fn remove_balancer(&mut self, address: Ipv4Addr) {
         if let Ok(index) = self.find_balancer(address) {
             self.balancers.remove(index);
         }
     }
 
-    /// Forgets a host that has ended with its server.
+    /// Removes a host that has stopped along with its server.
     pub fn remove_host(&mut self, address: Ipv4Addr) {
         if let Ok(index) = self.find_host(address) {
             self.hosts.remove(index);
@@ -307,8 +310,8 @@
             service: hello.service.clone(),
             server: hello.server,
             load: hello.load,
-            reported: now,
-            sent_since: 0,
+            reported_at: now,
+            flows_since_report: 0,
             avoided_until: MonotonicTime::default(),
             is_relearning: hello.is_relearning,
             is_server_new: hello.is_server_new,
@@ -317,7 +320,7 @@
         };
         match self.find_host(record.peer.address) {
             Ok(index) => {
-                let outcome = compare(&self.hosts[index].peer, &record.peer);
+                let outcome = compare_hellos(&self.hosts[index].peer, &record.peer);
                 if outcome != HelloOutcome::Stale {
                     self.hosts[index] = record;
                 }
@@ -333,7 +336,7 @@
     fn record_balancer(&mut self, record: BalancerRecord) -> HelloOutcome {
         match self.find_balancer(record.peer.address) {
             Ok(index) => {
-                let outcome = compare(&self.balancers[index].peer, &record.peer);
+                let outcome = compare_hellos(&self.balancers[index].peer, &record.peer);
                 if outcome != HelloOutcome::Stale {
                     self.balancers[index] = record;
                 }
@@ -357,12 +360,13 @@
     }
 }
 
-/// A process that has started again is told by another start, not by a later
-/// one, because the time of day may have been set back in between.
-fn compare(known: &PeerRecord, told: &PeerRecord) -> HelloOutcome {
-    if known.started != told.started {
+/// Compares the last recorded hello of a peer with a received one. Any different start
+/// time, not only a later one, indicates a restart, because the system clock may have
+/// been set back in between.
+fn compare_hellos(known: &PeerRecord, received: &PeerRecord) -> HelloOutcome {
+    if known.started != received.started {
         HelloOutcome::Joined
-    } else if told.number > known.number {
+    } else if received.hello_number > known.hello_number {
         HelloOutcome::Updated
     } else {
         HelloOutcome::Stale
--- a/crates/flows/src/placing.rs
+++ b/crates/flows/src/placing.rs
@@ -1,13 +1,17 @@
-//! Which hosts a new flow is offered to, and in which order.
+//! Selects and orders the hosts that a new flow is offered to.
 //!
-//! The load it answers: servers that work on two or three requests at a time
-//! and are 40 to 90 % busy, some of them cold, slow or about to leave, behind
-//! balancers that see only a part of the traffic. A flow cannot move once it is
-//! open, so the choice counts for all its requests. Reports are up to a quarter
-//! of a second old; what a balancer sent since then it counts itself, and the
-//! host that is asked first corrects the rest by passing the flow on. A server that
-//! fails its requests at once seems idle and fast, and would draw nearly all flows;
-//! one that answers in a fraction of the time of its like is taken for such.
+//! Placement is designed for servers that work on two or three requests at a time and
+//! are 40 to 90 % busy, some of them cold, slow or about to stop, behind balancers that
+//! each see only a part of the traffic. A flow cannot move once it is open, so the
+//! choice applies to all its requests.
+//!
+//! Load reports are up to a quarter of a second old. A balancer adds the flows that it
+//! has sent since the last report, and the host that is offered the flow first corrects
+//! the rest by passing the flow on.
+//!
+//! A server that fails its requests at once looks idle and fast, and would attract
+//! nearly all flows. A server that answers in a fraction of the time of the other
+//! servers of its service is therefore assumed to be failing.
 
 use std::net::Ipv4Addr;
 
@@ -19,97 +23,107 @@
 use crate::members::MemberTimeouts;
 use crate::ranking::rank_hosts;
 
-/// Answer time that is assumed of a host that has not told one, in
-/// microseconds, where no other host has either.
-const ASSUMED_ANSWER_MICROS: u64 = 20_000;
+/// Median answer time that is assumed while no host has reported one, in microseconds.
+const DEFAULT_ANSWER_MICROS: u64 = 20_000;
 
-/// Part of a slot that an idle open flow is counted as. A feed asks about once a
-/// second for 15 to 22 ms.
-const FLOW_SLOT_SHARE: f64 = 0.02;
+/// Slots that each open flow counts as, in addition to its requests in progress. A feed
+/// sends about one request a second, which takes 15 to 22 ms.
+const OPEN_FLOW_SLOTS: f64 = 0.02;
 
-/// Longest factor by which a host's answer time counts against it, so that one
-/// slow answer does not empty a host.
-const MAX_TEMPO: f64 = 4.0;
+/// Maximum factor by which a long answer time raises the cost of a host, so that one
+/// slow answer does not keep all new flows away from it.
+const MAX_ANSWER_FACTOR: f64 = 4.0;
 
-/// Part of the usual answer time, as a divisor, below which answers are likely to
-/// be errors. Requests of one service differ by a factor of two at most.
-const HASTY_DIVISOR: u64 = 4;
+/// Divisor of the median answer time: shorter answer times are likely to be those of
+/// errors. Requests of one service differ by a factor of two at most.
+const FAST_ERROR_DIVISOR: u64 = 4;
 
-/// Tempo of a server with such answers: it gets new flows once all others are full.
-const HASTY_TEMPO: f64 = 4.0;
+/// Cost factor of a host that probably answers with errors. It gets new flows once all
+/// other hosts are full.
+const FAST_ERROR_FACTOR: f64 = 4.0;
 
-/// Cost of leaving the availability zone, as a part of one answer.
+/// Cost of leaving the availability zone, in median answer times.
 const OTHER_ZONE_COST: f64 = 0.05;
 
-/// Returns the hosts of a service that a new flow may be offered to, the best
-/// first, without those in `tried`.
+/// Returns the hosts of `service` that a new flow may be offered to, without those in
+/// `excluded`. Of the usable hosts, the [`MAX_CANDIDATES`] that rank first for
+/// `flow_hash` are returned, in the order of their expected cost, the lowest first.
 pub fn order_candidates(
     hosts: &[HostRecord],
     service: &str,
     zone: &str,
-    flow: u64,
-    tried: &[Ipv4Addr],
+    flow_hash: u64,
+    excluded: &[Ipv4Addr],
     timeouts: &MemberTimeouts,
     now: MonotonicTime,
 ) -> CandidateList {
-    let of_service =
-        |record: &&HostRecord| record.service == service && !tried.contains(&record.peer.address);
+    let is_candidate = |record: &&HostRecord| {
+        record.service == service && !excluded.contains(&record.peer.address)
+    };
     let usable: Vec<&HostRecord> = hosts
         .iter()
-        .filter(of_service)
+        .filter(is_candidate)
         .filter(|record| record.accepts_new_flows(timeouts, now))
         .collect();
     let usable = if usable.is_empty() {
-        // A host that was silent for a while is better than none.
+        // A host that is suspect or avoided is better than none.
         hosts
             .iter()
-            .filter(of_service)
+            .filter(is_candidate)
             .filter(|record| record.is_fallback())
             .collect()
     } else {
         usable
     };
     let mut addresses: Vec<Ipv4Addr> = usable.iter().map(|record| record.peer.address).collect();
-    rank_hosts(flow, &mut addresses);
+    rank_hosts(flow_hash, &mut addresses);
     addresses.truncate(MAX_CANDIDATES);
-    let usual = usual_answer_micros(&usable);
+    let median_micros = median_answer_micros(&usable);
     let mut scored: Vec<(f64, Ipv4Addr)> = usable
         .iter()
         .filter(|record| addresses.contains(&record.peer.address))
-        .map(|record| (expected_cost(record, zone, usual), record.peer.address))
+        .map(|record| {
+            (
+                expected_cost(record, zone, median_micros),
+                record.peer.address,
+            )
+        })
         .collect();
     scored.sort_by(|left, right| left.0.total_cmp(&right.0));
     scored.into_iter().map(|(_, address)| address).collect()
 }
 
-/// The median of what hosts told, so that one that is slow or lies moves little.
-fn usual_answer_micros(hosts: &[&HostRecord]) -> u64 {
-    let mut told: Vec<u64> = hosts
+/// Returns the median of the reported answer times, in microseconds. A single host that
+/// is slow or reports a wrong time has little influence on the median.
+fn median_answer_micros(hosts: &[&HostRecord]) -> u64 {
+    let mut answer_times: Vec<u64> = hosts
         .iter()
         .map(|record| u64::from(record.load.answer_micros))
         .filter(|micros| *micros > 0)
         .collect();
-    told.sort_unstable();
-    told.get(told.len() / 2)
+    answer_times.sort_unstable();
+    answer_times
+        .get(answer_times.len() / 2)
         .copied()
-        .unwrap_or(ASSUMED_ANSWER_MICROS)
+        .unwrap_or(DEFAULT_ANSWER_MICROS)
 }
 
-/// The time that a request would take there, in usual answers.
-fn expected_cost(record: &HostRecord, zone: &str, usual: u64) -> f64 {
+/// Returns the expected time of a request at a host, in median answer times.
+fn expected_cost(record: &HostRecord, zone: &str, median_micros: u64) -> f64 {
     let load = &record.load;
     let slots = f64::from(load.slots.max(1));
     let reported = (f64::from(load.in_progress) + f64::from(load.mean_sixteenths) / 16.0) / 2.0;
-    let busy = reported + f64::from(record.sent_since) + FLOW_SLOT_SHARE * f64::from(load.flows);
-    let tempo = match load.answer_micros {
+    let busy_slots =
+        reported + f64::from(record.flows_since_report) + OPEN_FLOW_SLOTS * f64::from(load.flows);
+    let answer_factor = match load.answer_micros {
         0 => 1.0,
-        micros if u64::from(micros) < usual / HASTY_DIVISOR => HASTY_TEMPO,
-        micros => (f64::from(micros) / usual as f64).clamp(0.5, MAX_TEMPO),
+        micros if u64::from(micros) < median_micros / FAST_ERROR_DIVISOR => FAST_ERROR_FACTOR,
+        micros => (f64::from(micros) / median_micros as f64).clamp(0.5, MAX_ANSWER_FACTOR),
     };
-    let distance = if record.peer.zone == zone {
+    let zone_cost = if record.peer.zone == zone {
         0.0
     } else {
         OTHER_ZONE_COST
     };
-    tempo * (1.0 + busy / slots) + distance
+    answer_factor * (1.0 + busy_slots / slots) + zone_cost
 }
