--- a/crates/flows/src/host/mod.rs
+++ b/crates/flows/src/host/mod.rs
@@ -38,7 +38,7 @@
 use crate::outbox::Destination;
 use crate::outbox::FlowOutbox;
 use crate::packet::RawPacket;
-use crate::route_transfer::RouteKeeper;
+use crate::route_transfer::RouteReplica;
 use crate::routes::RouteTable;
 use crate::table::FlowTable;
 
@@ -73,7 +73,7 @@
 pub struct FlowHost {
     identity: HostIdentity,
     created_at: MonotonicTime,
-    routes: RouteKeeper,
+    routes: RouteReplica,
     members: MemberTable,
     /// Addresses that hellos are sent to, ascending.
     contacts: Vec<Ipv4Addr>,
@@ -94,7 +94,7 @@
         let mut host = Self {
             identity,
             created_at: now,
-            routes: RouteKeeper::default(),
+            routes: RouteReplica::default(),
             members: MemberTable::default(),
             contacts: Vec::new(),
             flows: FlowTable::default(),
@@ -208,7 +208,7 @@
         self.sweep_flows(now, outbox);
         if now >= self.next_hello {
             self.send_hellos(now, outbox);
-            for (peer, silence) in self.members.forget_silent(now) {
+            for (peer, silence) in self.members.evict_silent(now) {
                 // Without any balancer left, the last known addresses are the only way to
                 // reconnect, so they are kept.
                 if !self.members.balancers().is_empty() {
--- a/crates/flows/src/host/peers.rs
+++ b/crates/flows/src/host/peers.rs
@@ -56,7 +56,7 @@
                 }
             }
             CarryMessage::RoutesWanted { known } => {
-                self.routes.tell(from, *known, outbox);
+                self.routes.send_newer(from, *known, outbox);
             }
             CarryMessage::RoutesPart {
                 version,
@@ -64,7 +64,7 @@
                 parts,
             } => {
                 self.routes
-                    .take_part(*version, *part, *parts, payload, outbox);
+                    .receive_part(*version, *part, *parts, payload, outbox);
             }
             CarryMessage::Flows { .. }
             | CarryMessage::Owned { .. }
@@ -75,7 +75,7 @@
 
     /// Puts routes in force if their version is newer than the current one.
     pub fn set_routes(&mut self, routes: RouteTable, outbox: &mut FlowOutbox) {
-        self.routes.put(routes, outbox);
+        self.routes.install(routes, outbox);
     }
 
     /// Adds addresses that hellos are sent to because balancers may run there.
@@ -111,7 +111,7 @@
 
     /// Sends a hello to all contacts, and schedules the next round.
     pub(super) fn send_hellos(&mut self, now: MonotonicTime, outbox: &mut FlowOutbox) {
-        self.next_hello = now + self.members.limits().hello_interval;
+        self.next_hello = now + self.members.timeouts().hello_interval;
         self.hello_number += 1;
         for contact in &self.contacts {
             let hello = self.build_hello(!self.members.has_balancer(*contact), now);
@@ -144,21 +144,21 @@
         now: MonotonicTime,
         outbox: &mut FlowOutbox,
     ) {
-        let outcome = self.members.record(from, hello, now);
-        if outcome == HelloOutcome::Late {
+        let outcome = self.members.record_hello(from, hello, now);
+        if outcome == HelloOutcome::Stale {
             return;
         }
-        if outcome == HelloOutcome::Met {
+        if outcome == HelloOutcome::Joined {
             outbox.record_event(FlowEvent::PeerMet { peer: from });
         }
         if let HelloRole::Balancer(balancer) = &hello.role {
             self.add_contacts(&balancer.balancers);
             self.add_contacts(&[from]);
-            if outcome == HelloOutcome::Met {
+            if outcome == HelloOutcome::Joined {
                 let answer = CarryMessage::Hello(self.build_hello(false, now));
                 outbox.enqueue_message(from, &answer, &[]);
             }
         }
-        self.routes.ask(from, hello.routes, now, outbox);
+        self.routes.request_newer(from, hello.routes, now, outbox);
     }
 }
