--- a/crates/hyssopstaird/src/carry/process.rs
+++ b/crates/hyssopstaird/src/carry/process.rs
@@ -8,7 +8,7 @@
 use error_stack::Report;
 use error_stack::ResultExt;
 use hyssopstair_adapter::packet::clear_bounced;
-use hyssopstair_adapter::packet::decode_packet;
+use hyssopstair_adapter::packet::decode_header;
 use hyssopstair_adapter::packet::encode_reset;
 use hyssopstair_flows::balancer::BalancerIdentity;
 use hyssopstair_flows::balancer::FlowBalancer;
@@ -207,7 +207,7 @@
                 self.note_malformed(now);
                 continue;
             };
-            let packet = decode_packet(behind).map(|header| RawPacket {
+            let packet = decode_header(behind).map(|header| RawPacket {
                 header,
                 bytes: behind,
             });
@@ -230,7 +230,7 @@
                 break;
             };
             let now = self.clock.now();
-            let Some(header) = decode_packet(&buffer[..length]) else {
+            let Some(header) = decode_header(&buffer[..length]) else {
                 self.note_malformed(now);
                 continue;
             };
--- a/crates/soak/src/caller.rs
+++ b/crates/soak/src/caller.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use hyssopstair_adapter::packet::HEADER_LENGTH;
-use hyssopstair_adapter::packet::decode_packet;
+use hyssopstair_adapter::packet::HEADER_BYTES;
+use hyssopstair_adapter::packet::decode_header;
 use hyssopstair_adapter::packet::encode_header;
 use hyssopstair_flows::packet::FlowPacket;
 use hyssopstair_wire::carried::FlowKey;
@@ -262,7 +262,7 @@
             let IpAddr::V4(sender) = from.ip() else {
                 continue;
             };
-            let Some(header) = decode_packet(&buffer[..length]) else {
+            let Some(header) = decode_header(&buffer[..length]) else {
                 self.find(&format!("{} got what is no packet", self.address));
                 continue;
             };
@@ -275,10 +275,7 @@
             if header.is_reset {
                 return Some(Reply::Reset(header, sender));
             }
-            return Some(Reply::Packet(
-                header,
-                buffer[HEADER_LENGTH..length].to_vec(),
-            ));
+            return Some(Reply::Packet(header, buffer[HEADER_BYTES..length].to_vec()));
         }
         None
     }
--- a/crates/soak/src/server.rs
+++ b/crates/soak/src/server.rs
@@ -11,8 +11,8 @@
 use std::time::UNIX_EPOCH;
 
 use http::Method;
-use hyssopstair_adapter::packet::HEADER_LENGTH;
-use hyssopstair_adapter::packet::decode_packet;
+use hyssopstair_adapter::packet::HEADER_BYTES;
+use hyssopstair_adapter::packet::decode_header;
 use hyssopstair_adapter::packet::encode_header;
 use hyssopstair_flows::packet::FlowPacket;
 use hyssopstair_wire::carried::FlowKey;
@@ -241,7 +241,7 @@
                 continue;
             };
             let bytes = &mut buffer[..length];
-            let Some(header) = decode_packet(bytes) else {
+            let Some(header) = decode_header(bytes) else {
                 let text = format!("server {} got what is no packet", self.address);
                 self.judge.borrow_mut().find(Instant::now(), &text);
                 continue;
@@ -332,7 +332,7 @@
             self.send(socket, &encode_header(&reply));
             return;
         }
-        let data = &bytes[HEADER_LENGTH..];
+        let data = &bytes[HEADER_BYTES..];
         if data.is_empty() {
             return;
         }
