--- a/crates/hyssopstaird/src/carry/checks.rs
+++ b/crates/hyssopstaird/src/carry/checks.rs
@@ -1,4 +1,4 @@
-//! Attempts to reach the server beside a host.
+//! Checks whether the backend server beside a host can be reached.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -11,18 +11,19 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Longest wait for the server, which runs on the same machine.
+/// Timeout of a check; the server runs on the same instance.
 const CHECK_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Makes one attempt.
+/// Checks the server once, either its health at a path or only whether it accepts
+/// connections. Returns [`CheckResult::Silent`] if the check fails or times out.
 pub async fn check_server(server: SocketAddrV4, check: ServerCheck, path: &str) -> CheckResult {
-    match timeout(CHECK_TIMEOUT, attempt(server, check, path)).await {
+    match timeout(CHECK_TIMEOUT, run_check(server, check, path)).await {
         Ok(result) => result,
         Err(_) => CheckResult::Silent,
     }
 }
 
-async fn attempt(server: SocketAddrV4, check: ServerCheck, path: &str) -> CheckResult {
+async fn run_check(server: SocketAddrV4, check: ServerCheck, path: &str) -> CheckResult {
     let stream = match TcpStream::connect(server).await {
         Ok(stream) => stream,
         Err(error) if error.kind() == std::io::ErrorKind::ConnectionRefused => {
@@ -33,12 +34,16 @@
     if check == ServerCheck::Connect {
         return CheckResult::Connected;
     }
-    ask_health(stream, server, path)
+    request_health(stream, server, path)
         .await
         .unwrap_or(CheckResult::Silent)
 }
 
-async fn ask_health(stream: TcpStream, server: SocketAddrV4, path: &str) -> Option<CheckResult> {
+async fn request_health(
+    stream: TcpStream,
+    server: SocketAddrV4,
+    path: &str,
+) -> Option<CheckResult> {
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
     tokio::spawn(async move {
         let _ = connection.await;
--- a/crates/hyssopstaird/src/carry/command.rs
+++ b/crates/hyssopstaird/src/carry/command.rs
@@ -1,4 +1,5 @@
-//! What other tasks tell the loop of the process.
+//! Commands that other tasks send to the event loop, and the status that the loop
+//! publishes to them.
 
 use std::net::Ipv4Addr;
 use std::sync::Arc;
@@ -11,42 +12,42 @@
 use hyssopstair_flows::routes::RouteTable;
 use tokio::sync::oneshot;
 
-/// Commands that wait at most; a sender then waits too.
-pub const COMMAND_QUEUE: usize = 64;
+/// Capacity of the command queue; a sender waits while the queue is full.
+pub const COMMAND_QUEUE_CAPACITY: usize = 64;
 
-/// One command.
+/// A command for the event loop.
 #[derive(Debug)]
 pub enum CarryCommand {
-    /// Routes were read.
-    Routes(RouteTable),
-    /// Balancers may be at these addresses.
-    Contacts(Vec<Ipv4Addr>),
-    /// The server beside the host has sent a heartbeat.
+    /// Puts routes that were read from the store in force.
+    SetRoutes(RouteTable),
+    /// Adds addresses at which there may be balancers.
+    AddContacts(Vec<Ipv4Addr>),
+    /// Handles a heartbeat of the server beside the host.
     Heartbeat {
         /// The heartbeat.
-        beat: ServerHeartbeat,
-        /// Is told when the heartbeat is in force.
-        done: oneshot::Sender<()>,
+        heartbeat: ServerHeartbeat,
+        /// Notified when the heartbeat is accepted; dropped if it is outdated.
+        applied: oneshot::Sender<()>,
     },
-    /// The server beside the host ends.
+    /// Handles a deregistration: the server beside the host is shutting down.
     Deregistration {
-        /// Its name.
+        /// ID of the server.
         id: String,
-        /// Is told when this is in force.
-        done: oneshot::Sender<()>,
+        /// Notified when the deregistration is handled.
+        applied: oneshot::Sender<()>,
     },
-    /// An attempt to reach the server has ended.
-    Checked(CheckResult),
-    /// A dependency was lost or came back.
-    Dependency {
-        /// Its name.
+    /// Handles the result of a check of the server.
+    CheckDone(CheckResult),
+    /// Logs that a dependency failed or recovered.
+    DependencyChanged {
+        /// Name of the dependency.
         name: &'static str,
-        /// Why it is lost; nothing when it is back.
+        /// Why it failed; `None` if it recovered.
         error: Option<String>,
     },
 }
 
-/// What the loop tells other tasks.
+/// State of the event loop, shared with other tasks.
 #[derive(Debug, Clone, Default)]
 pub struct ProcessStatus {
     inner: Arc<StatusCells>,
@@ -55,30 +56,34 @@
 #[derive(Debug, Default)]
 struct StatusCells {
     is_ready: AtomicBool,
-    routes: AtomicU64,
-    balancers: AtomicU64,
+    routes_version: AtomicU64,
+    balancer_count: AtomicU64,
 }
 
 impl ProcessStatus {
-    /// Returns whether the process takes traffic.
+    /// Returns whether the process is ready for traffic.
     pub fn is_ready(&self) -> bool {
         self.inner.is_ready.load(Ordering::Relaxed)
     }
 
-    /// Returns the version of the routes in force; 0 for none.
-    pub fn routes(&self) -> u64 {
-        self.inner.routes.load(Ordering::Relaxed)
+    /// Returns the version of the routes in force; 0 if there are none.
+    pub fn routes_version(&self) -> u64 {
+        self.inner.routes_version.load(Ordering::Relaxed)
     }
 
-    /// Returns how many balancers are known.
-    pub fn balancers(&self) -> u64 {
-        self.inner.balancers.load(Ordering::Relaxed)
+    /// Returns the number of known balancers.
+    pub fn balancer_count(&self) -> u64 {
+        self.inner.balancer_count.load(Ordering::Relaxed)
     }
 
-    /// Sets what the loop knows.
-    pub fn set(&self, is_ready: bool, routes: u64, balancers: u64) {
+    /// Publishes the state of the event loop.
+    pub fn publish(&self, is_ready: bool, routes_version: u64, balancer_count: u64) {
         self.inner.is_ready.store(is_ready, Ordering::Relaxed);
-        self.inner.routes.store(routes, Ordering::Relaxed);
-        self.inner.balancers.store(balancers, Ordering::Relaxed);
+        self.inner
+            .routes_version
+            .store(routes_version, Ordering::Relaxed);
+        self.inner
+            .balancer_count
+            .store(balancer_count, Ordering::Relaxed);
     }
 }
--- a/crates/hyssopstaird/src/carry/http.rs
+++ b/crates/hyssopstaird/src/carry/http.rs
@@ -1,4 +1,5 @@
-//! Answers calls over HTTP: readiness, and the heartbeats of the server.
+//! The HTTP server of a process: readiness probes, metrics, and the heartbeats and
+//! deregistrations of the backend server beside a host.
 
 use std::convert::Infallible;
 use std::net::SocketAddrV4;
@@ -29,87 +30,90 @@
 use crate::carry::metrics::CarryMetrics;
 use crate::error::DaemonError;
 
-/// Longest body of a call, in bytes. A heartbeat has 300.
+/// Maximum size of a request body, in bytes; a heartbeat has 300.
 const MAX_BODY_BYTES: usize = 16 * 1024;
 
-/// Time after which a connection without a call is closed, so that silent ones
-/// do not use up descriptors.
-const IDLE_CONNECTION: Duration = Duration::from_secs(30);
+/// Time after which a connection is closed, so that idle connections do not use up
+/// the file descriptors.
+const CONNECTION_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Pause after a failure to accept, which lasts while descriptors are used up.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
+/// Delay after a failed accept: accepting keeps failing while the file descriptors
+/// are used up, and would otherwise be retried in a busy loop.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Path of the metrics.
 const METRICS_PATH: &str = "/metrics";
 
-/// Answers calls at one address.
+/// Answers HTTP calls. A clone is started for each address.
 #[derive(Debug, Clone)]
 pub struct CallServer {
-    commands: mpsc::Sender<CarryCommand>,
+    command_sender: mpsc::Sender<CarryCommand>,
     status: ProcessStatus,
     metrics: CarryMetrics,
 }
 
 impl CallServer {
-    /// Creates a server that asks and tells the loop of the process.
+    /// Creates a server that reads the status of the event loop and sends commands to
+    /// it.
     pub fn new(
-        commands: mpsc::Sender<CarryCommand>,
+        command_sender: mpsc::Sender<CarryCommand>,
         status: ProcessStatus,
         metrics: CarryMetrics,
     ) -> Self {
         Self {
-            commands,
+            command_sender,
             status,
             metrics,
         }
     }
 
-    /// Binds an address and answers calls there from now on.
+    /// Binds an address and answers calls there in the background.
     ///
     /// # Errors
     ///
-    /// Returns an error when the address is in use.
+    /// Returns an error if the address cannot be bound, for example because it is in
+    /// use.
     pub async fn start(self, address: SocketAddrV4) -> Result<(), Report<DaemonError>> {
-        let listener = TcpListener::bind(address)
-            .await
-            .change_context_lazy(|| DaemonError::new(format!("failed to bind {address}")))?;
-        tokio::spawn(self.accept(listener));
+        let listener = TcpListener::bind(address).await.change_context_lazy(|| {
+            DaemonError::new(format!("failed to bind TCP address {address}"))
+        })?;
+        tokio::spawn(self.accept_connections(listener));
         Ok(())
     }
 
-    async fn accept(self, listener: TcpListener) {
+    async fn accept_connections(self, listener: TcpListener) {
         loop {
             let Ok((stream, _)) = listener.accept().await else {
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             };
             let server = self.clone();
             tokio::spawn(async move {
-                let service = service_fn(|request| server.answer(request));
+                let service = service_fn(|request| server.answer_request(request));
                 let connection =
                     http1::Builder::new().serve_connection(TokioIo::new(stream), service);
-                // The caller sees why its connection ended.
-                let _ = tokio::time::timeout(IDLE_CONNECTION, connection).await;
+                // A failure is ignored here, because the client sees it too.
+                let _ = tokio::time::timeout(CONNECTION_TIMEOUT, connection).await;
             });
         }
     }
 
-    async fn answer(
+    async fn answer_request(
         &self,
         request: Request<Incoming>,
     ) -> Result<Response<Full<Bytes>>, Infallible> {
         if request.uri().path() == METRICS_PATH {
-            return Ok(Response::new(Full::from(self.metrics.text())));
+            return Ok(Response::new(Full::from(self.metrics.encode_text())));
         }
         let call = calls::decode_call(request.method().as_str(), request.uri().path());
         let status = match call {
             Some(InboundCall::Readiness) if self.status.is_ready() => StatusCode::OK,
             Some(InboundCall::Readiness) => StatusCode::SERVICE_UNAVAILABLE,
-            Some(InboundCall::Heartbeat { id }) => self.take_heartbeat(&id, request).await,
-            Some(InboundCall::Deregistration { id }) => self.take_deregistration(id).await,
+            Some(InboundCall::Heartbeat { id }) => self.handle_heartbeat(&id, request).await,
+            Some(InboundCall::Deregistration { id }) => self.handle_deregistration(id).await,
             None => StatusCode::NOT_FOUND,
         };
-        let mut response = Response::new(Full::from(calls::HEARTBEAT_ANSWER));
+        let mut response = Response::new(Full::from(calls::RESPONSE_BODY));
         *response.status_mut() = status;
         response.headers_mut().insert(
             http::header::CONTENT_TYPE,
@@ -118,30 +122,41 @@
         Ok(response)
     }
 
-    async fn take_heartbeat(&self, id: &str, request: Request<Incoming>) -> StatusCode {
+    async fn handle_heartbeat(&self, id: &str, request: Request<Incoming>) -> StatusCode {
         let body = Limited::new(request.into_body(), MAX_BODY_BYTES)
             .collect()
             .await;
         let Ok(body) = body else {
             return StatusCode::BAD_REQUEST;
         };
-        let Some(beat) = decode_heartbeat(id, &body.to_bytes()) else {
+        let Some(heartbeat) = decode_heartbeat(id, &body.to_bytes()) else {
             return StatusCode::BAD_REQUEST;
         };
-        let (done, wait) = oneshot::channel();
-        self.confirm(CarryCommand::Heartbeat { beat, done }, wait)
-            .await
+        let (applied, applied_receiver) = oneshot::channel();
+        self.apply_command(
+            CarryCommand::Heartbeat { heartbeat, applied },
+            applied_receiver,
+        )
+        .await
     }
 
-    async fn take_deregistration(&self, id: String) -> StatusCode {
-        let (done, wait) = oneshot::channel();
-        self.confirm(CarryCommand::Deregistration { id, done }, wait)
-            .await
+    async fn handle_deregistration(&self, id: String) -> StatusCode {
+        let (applied, applied_receiver) = oneshot::channel();
+        self.apply_command(
+            CarryCommand::Deregistration { id, applied },
+            applied_receiver,
+        )
+        .await
     }
 
-    /// Confirms only what the loop has put in force.
-    async fn confirm(&self, command: CarryCommand, wait: oneshot::Receiver<()>) -> StatusCode {
-        if self.commands.send(command).await.is_err() || wait.await.is_err() {
+    /// Sends a command to the event loop and waits until it is applied. Returns status
+    /// 503 if the loop rejects the command: only what is in force is confirmed.
+    async fn apply_command(
+        &self,
+        command: CarryCommand,
+        applied_receiver: oneshot::Receiver<()>,
+    ) -> StatusCode {
+        if self.command_sender.send(command).await.is_err() || applied_receiver.await.is_err() {
             return StatusCode::SERVICE_UNAVAILABLE;
         }
         StatusCode::OK
--- a/crates/hyssopstaird/src/carry/journal.rs
+++ b/crates/hyssopstaird/src/carry/journal.rs
@@ -1,8 +1,8 @@
-//! Structured logs: one JSON object a line on standard output.
+//! Structured logs: one JSON object per line on standard output.
 //!
-//! Lines of one kind are limited in each second, and the number of those left out
-//! is written with the next. Standard output is written in batches and never
-//! waited for, so a reader that does not read costs lines and no packets.
+//! The number of lines of each kind is limited per second; the next line of that kind
+//! says how many were suppressed. Lines are written in batches, and writes never wait,
+//! so a reader that stalls causes the loss of log lines but not of packets.
 
 use std::io;
 use std::io::Write;
@@ -19,149 +19,155 @@
 use serde_json::Value;
 use serde_json::json;
 
-/// Lines of one kind in a second.
-const LINES_PER_SECOND: u32 = 20;
+/// Maximum number of lines of one kind per second.
+const MAX_LINES_PER_SECOND: u32 = 20;
 
-/// Bytes after which lines are written.
+/// Size from which a batch is written, in bytes.
 const BATCH_BYTES: usize = 8 * 1024;
 
-/// Time after which lines are written.
+/// Age from which a batch is written.
 const BATCH_AGE: Duration = Duration::from_millis(500);
 
-/// Pause before lines are written again that a reader has not taken.
-const RETRY_PAUSE: Duration = Duration::from_millis(100);
+/// Delay before the next write when the reader did not accept a whole batch.
+const WRITE_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Bytes that wait for a reader at most; further lines are left out.
-const BUFFER_BYTES: usize = 256 * 1024;
+/// Size of the buffer, in bytes, from which further lines are dropped.
+const MAX_BUFFER_BYTES: usize = 256 * 1024;
 
-/// Kinds of lines, each with a limit of its own: those of events, and those about
-/// the process.
-const KINDS: usize = EventKind::ALL.len() + 1;
+/// Number of kinds of lines, each with a limit of its own: one for each kind of event,
+/// and one for lines about the process.
+const LINE_KINDS: usize = EventKind::ALL.len() + 1;
 
 /// The kind of lines about the process.
 const PROCESS_KIND: usize = EventKind::ALL.len();
 
-/// The logs of a process.
+/// Writes the logs of a process.
 #[derive(Debug)]
 pub struct EventJournal {
     buffer: Vec<u8>,
-    buffer_started: MonotonicTime,
-    /// Before when nothing is written, as the reader did not take the last batch.
-    blocked_until: MonotonicTime,
-    second: u64,
-    written: [u32; KINDS],
-    left_out: [u64; KINDS],
-    lost_lines: u64,
+    batch_started: MonotonicTime,
+    /// When the next write may happen, after the reader did not accept a whole batch.
+    retry_at: MonotonicTime,
+    current_second: u64,
+    /// Lines of each kind that were admitted in the current second.
+    admitted_lines: [u32; LINE_KINDS],
+    /// Lines of each kind that the limit has suppressed and no line has reported yet.
+    suppressed_lines: [u64; LINE_KINDS],
+    /// Lines that the full buffer has dropped and no line has reported yet.
+    dropped_lines: u64,
 }
 
-/// One line, before it is limited.
+/// The contents of one line.
 struct LogLine {
     kind: usize,
-    part: &'static str,
-    text: &'static str,
+    component: &'static str,
+    message: &'static str,
     fields: Value,
 }
 
 impl EventJournal {
-    /// Creates the journal, and lets standard output refuse what it cannot take.
+    /// Creates the journal, and sets standard output to non-blocking mode.
     pub fn start() -> Self {
         let flags = fcntl(io::stdout(), FcntlArg::F_GETFL).map(OFlag::from_bits_truncate);
         if let Ok(flags) = flags {
-            // Without this, a reader that stops reading would stop the process.
-            let set = fcntl(io::stdout(), FcntlArg::F_SETFL(flags | OFlag::O_NONBLOCK));
-            if let Err(error) = set {
-                eprintln!("journal: standard output may block: {error}");
+            // In blocking mode, a reader that stops reading would block the process.
+            let result = fcntl(io::stdout(), FcntlArg::F_SETFL(flags | OFlag::O_NONBLOCK));
+            if let Err(error) = result {
+                eprintln!("journal: failed to make standard output non-blocking: {error}");
             }
         }
         Self {
             buffer: Vec::new(),
-            buffer_started: MonotonicTime::default(),
-            blocked_until: MonotonicTime::default(),
-            second: 0,
-            written: [0; KINDS],
-            left_out: [0; KINDS],
-            lost_lines: 0,
+            batch_started: MonotonicTime::default(),
+            retry_at: MonotonicTime::default(),
+            current_second: 0,
+            admitted_lines: [0; LINE_KINDS],
+            suppressed_lines: [0; LINE_KINDS],
+            dropped_lines: 0,
         }
     }
 
-    /// Writes an event.
+    /// Logs an event, unless its kind has reached its limit.
     pub fn write_event(&mut self, event: &FlowEvent, now: MonotonicTime) {
         let kind = event.kind() as usize;
-        if self.takes(kind, now) {
-            let line = describe(event, kind);
-            self.append(line, now);
+        if self.admit_line(kind, now) {
+            let line = describe_event(event, kind);
+            self.append_line(line, now);
         }
     }
 
-    /// Writes a line about the process itself.
-    pub fn write_process(&mut self, text: &'static str, fields: Value, now: MonotonicTime) {
+    /// Logs a message about the process itself, unless such messages have reached
+    /// their limit.
+    pub fn write_process(&mut self, message: &'static str, fields: Value, now: MonotonicTime) {
         let line = LogLine {
             kind: PROCESS_KIND,
-            part: "process",
-            text,
+            component: "process",
+            message,
             fields,
         };
-        if self.takes(PROCESS_KIND, now) {
-            self.append(line, now);
+        if self.admit_line(PROCESS_KIND, now) {
+            self.append_line(line, now);
         }
     }
 
-    /// Writes lines that are old enough, or all at the end of the process.
+    /// Writes the buffered lines if the batch is large or old enough, or if it is the
+    /// last one before the process ends.
     pub fn flush(&mut self, now: MonotonicTime, is_last: bool) {
-        let age = now.since(self.buffer_started);
+        let age = now.since(self.batch_started);
         let is_due = self.buffer.len() >= BATCH_BYTES || age >= BATCH_AGE;
-        let may_write = is_due && now >= self.blocked_until;
+        let may_write = is_due && now >= self.retry_at;
         if self.buffer.is_empty() || !(may_write || is_last) {
             return;
         }
-        self.buffer_started = now;
+        self.batch_started = now;
         let written = io::stdout().lock().write(&self.buffer).unwrap_or(0);
         if written < self.buffer.len() {
-            // The reader takes nothing; what is left waits, and is bounded.
-            self.blocked_until = now + RETRY_PAUSE;
+            // The reader has stalled. The rest stays in the buffer, whose size is limited.
+            self.retry_at = now + WRITE_RETRY_DELAY;
         }
         self.buffer.drain(..written);
     }
 
-    fn takes(&mut self, kind: usize, now: MonotonicTime) -> bool {
+    /// Counts a line of a kind, and returns whether the limit allows it.
+    fn admit_line(&mut self, kind: usize, now: MonotonicTime) -> bool {
         let second = now.0 / 1_000_000;
-        if second != self.second {
-            self.second = second;
-            self.written = [0; KINDS];
+        if second != self.current_second {
+            self.current_second = second;
+            self.admitted_lines = [0; LINE_KINDS];
         }
-        if self.written[kind] >= LINES_PER_SECOND {
-            self.left_out[kind] += 1;
+        if self.admitted_lines[kind] >= MAX_LINES_PER_SECOND {
+            self.suppressed_lines[kind] += 1;
             return false;
         }
-        self.written[kind] += 1;
+        self.admitted_lines[kind] += 1;
         true
     }
 
-    fn append(&mut self, line: LogLine, now: MonotonicTime) {
+    fn append_line(&mut self, line: LogLine, now: MonotonicTime) {
         if self.buffer.is_empty() {
-            self.buffer_started = now;
+            self.batch_started = now;
         }
-        if self.buffer.len() >= BUFFER_BYTES {
-            self.lost_lines += 1;
+        if self.buffer.len() >= MAX_BUFFER_BYTES {
+            self.dropped_lines += 1;
             return;
         }
         let mut object = line.fields;
         object["t_ms"] = json!(now.0 / 1_000);
-        object["msg"] = json!(format!("{}: {}", line.part, line.text));
-        let left_out = std::mem::take(&mut self.left_out[line.kind]);
-        if left_out > 0 {
-            object["left_out"] = json!(left_out);
+        object["msg"] = json!(format!("{}: {}", line.component, line.message));
+        let suppressed_lines = std::mem::take(&mut self.suppressed_lines[line.kind]);
+        if suppressed_lines > 0 {
+            object["left_out"] = json!(suppressed_lines);
         }
-        if self.lost_lines > 0 {
-            object["lost_lines"] = json!(std::mem::take(&mut self.lost_lines));
+        if self.dropped_lines > 0 {
+            object["lost_lines"] = json!(std::mem::take(&mut self.dropped_lines));
         }
         self.buffer.extend_from_slice(object.to_string().as_bytes());
         self.buffer.push(b'\n');
     }
 }
 
-fn describe(event: &FlowEvent, kind: usize) -> LogLine {
-    let (part, text, fields) = match event {
+fn describe_event(event: &FlowEvent, kind: usize) -> LogLine {
+    let (component, message, fields) = match event {
         FlowEvent::Placed {
             flow,
             host,
@@ -171,9 +177,9 @@
             attempt,
         } => (
             "balancer",
-            "offered a new flow to a host",
+            "sent a new flow to a host",
             json!({
-                "flow": name(flow), "host": host, "routes": routes, "in_progress": in_progress,
+                "flow": flow_name(flow), "host": host, "routes": routes, "in_progress": in_progress,
                 "report_age_ms": report_age_millis, "attempt": attempt,
             }),
         ),
@@ -184,9 +190,9 @@
             in_progress,
         } => (
             "host",
-            "passed a new flow on",
+            "passed a new flow on to another host",
             json!({
-                "flow": name(flow), "host": host, "server": format!("{server:?}"),
+                "flow": flow_name(flow), "host": host, "server": format!("{server:?}"),
                 "in_progress": in_progress,
             }),
         ),
@@ -196,8 +202,8 @@
             in_progress,
         } => (
             "host",
-            "handed a new flow to the server",
-            json!({ "flow": name(flow), "balancer": balancer, "in_progress": in_progress }),
+            "delivered a new flow to the server",
+            json!({ "flow": flow_name(flow), "balancer": balancer, "in_progress": in_progress }),
         ),
         FlowEvent::Refused {
             flow,
@@ -206,27 +212,27 @@
         } => (
             "balancer",
             "refused a flow before it opened",
-            json!({ "flow": name(flow), "reason": format!("{reason:?}"), "routes": routes }),
+            json!({ "flow": flow_name(flow), "reason": format!("{reason:?}"), "routes": routes }),
         ),
         FlowEvent::Broken { flow, reason } => (
             "flow",
-            "reset an open flow whose server is gone",
-            json!({ "flow": name(flow), "reason": format!("{reason:?}") }),
+            "reset an open flow that its server no longer holds",
+            json!({ "flow": flow_name(flow), "reason": format!("{reason:?}") }),
         ),
         FlowEvent::Searching { flow, hosts } => (
             "balancer",
-            "looking for the host of a flow",
-            json!({ "flow": name(flow), "hosts": hosts }),
+            "searching for the host of a flow",
+            json!({ "flow": flow_name(flow), "hosts": hosts }),
         ),
         FlowEvent::Unowned { flow, undecided } => (
             "balancer",
-            "found no host for a packet",
-            json!({ "flow": name(flow), "undecided": undecided.iter().map(silent_host).collect::<Vec<_>>() }),
+            "found no host for a flow and dropped its packet",
+            json!({ "flow": flow_name(flow), "undecided": undecided.iter().map(describe_silent_host).collect::<Vec<_>>() }),
         ),
         FlowEvent::Answered { flow, micros } => (
             "host",
-            "the server answered",
-            json!({ "flow": name(flow), "took_us": micros }),
+            "server answered a request",
+            json!({ "flow": flow_name(flow), "took_us": micros }),
         ),
         FlowEvent::Unanswered {
             flow,
@@ -234,8 +240,8 @@
             is_closed,
         } => (
             "host",
-            "the server did not answer a request",
-            json!({ "flow": name(flow), "waited_ms": waited_millis, "closed": is_closed }),
+            "server did not answer a request",
+            json!({ "flow": flow_name(flow), "waited_ms": waited_millis, "closed": is_closed }),
         ),
         FlowEvent::Server {
             before,
@@ -243,24 +249,24 @@
             source,
         } => (
             "host",
-            "the state of the server changed",
+            "server state changed",
             json!({
                 "before": format!("{before:?}"), "state": format!("{state:?}"),
                 "source": format!("{source:?}"),
             }),
         ),
-        FlowEvent::PeerMet { peer } => ("roster", "met a peer", json!({ "peer": peer })),
+        FlowEvent::PeerMet { peer } => ("roster", "discovered a peer", json!({ "peer": peer })),
         FlowEvent::PeerLost {
             peer,
             silent_millis,
         } => (
             "roster",
-            "forgot a silent peer",
+            "removed a silent peer",
             json!({ "peer": peer, "silent_ms": silent_millis }),
         ),
         FlowEvent::Routes { version, routes } => (
             "routes",
-            "new routes are in force",
+            "put new routes in force",
             json!({ "version": version, "routes": routes }),
         ),
         FlowEvent::Dropped { reason } => (
@@ -271,16 +277,16 @@
     };
     LogLine {
         kind,
-        part,
-        text,
+        component,
+        message,
         fields,
     }
 }
 
-fn silent_host(silent: &SilentHost) -> Value {
+fn describe_silent_host(silent: &SilentHost) -> Value {
     json!({ "host": silent.host, "silent_ms": silent.silent_millis })
 }
 
-fn name(flow: &FlowKey) -> String {
+fn flow_name(flow: &FlowKey) -> String {
     format!("{}>{}", flow.caller, flow.target)
 }
--- a/crates/hyssopstaird/src/carry/metrics.rs
+++ b/crates/hyssopstaird/src/carry/metrics.rs
@@ -1,6 +1,7 @@
-//! Counters and histograms of a process, in the text form of Prometheus.
+//! Metrics of a process, in the Prometheus text format.
 //!
-//! The names are OpenTelemetry's, written with underscores as that form asks.
+//! The metrics have OpenTelemetry's names, with underscores in place of dots, which
+//! the format does not allow.
 
 use hyssopstair_flows::event::EventKind;
 use hyssopstair_flows::event::FlowEvent;
@@ -11,64 +12,66 @@
 use prometheus::Registry;
 use prometheus::TextEncoder;
 
-/// Upper bounds of the buckets of answer times, in seconds. Targets are between
-/// 0.1 and 0.8 s.
-const ANSWER_BUCKETS: [f64; 10] = [0.005, 0.01, 0.02, 0.03, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6];
+/// Upper bounds of the histogram buckets for the time to an answer, in seconds. The
+/// targets for this time are between 0.1 and 0.8 s.
+const ANSWER_BUCKETS_SECONDS: [f64; 10] = [0.005, 0.01, 0.02, 0.03, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6];
 
-/// The numbers of a process.
+/// The metrics of a process.
 #[derive(Debug, Clone)]
 pub struct CarryMetrics {
     registry: Registry,
-    events: Vec<IntCounter>,
-    answers: Histogram,
-    /// Datagrams that could not be sent.
-    pub lost_datagrams: IntCounter,
-    /// Flows that are known.
-    pub flows: IntGauge,
-    /// Peers that are known.
-    pub peers: IntGauge,
+    /// One counter for each [`EventKind`], in the order of [`EventKind::ALL`].
+    event_counters: Vec<IntCounter>,
+    answer_seconds: Histogram,
+    /// Counts datagrams that could not be sent.
+    pub unsent_datagrams: IntCounter,
+    /// Number of known flows.
+    pub flow_count: IntGauge,
+    /// Number of known peers.
+    pub peer_count: IntGauge,
     /// Version of the routes in force.
-    pub routes: IntGauge,
+    pub routes_version: IntGauge,
 }
 
 impl CarryMetrics {
-    /// Creates the numbers, all zero.
+    /// Creates the metrics, all zero.
     ///
     /// # Errors
     ///
-    /// Returns an error when two have one name.
+    /// Returns an error if a name is invalid or two metrics have the same name.
     pub fn new() -> Result<Self, prometheus::Error> {
         let registry = Registry::new();
-        let mut events = Vec::new();
+        let mut event_counters = Vec::new();
         for kind in EventKind::ALL {
-            let name = format!("{}_total", text_name(kind.metric()));
+            let name = format!("{}_total", prometheus_name(kind.metric()));
             let counter = IntCounter::new(name, kind.description())?;
             registry.register(Box::new(counter.clone()))?;
-            events.push(counter);
+            event_counters.push(counter);
         }
         let options = HistogramOpts::new(
             "hyssopstair_server_answer_duration_seconds",
             "Time from a request to the first data of its answer",
         );
-        let answers = Histogram::with_opts(options.buckets(ANSWER_BUCKETS.to_vec()))?;
-        registry.register(Box::new(answers.clone()))?;
-        let lost_datagrams = IntCounter::new(
+        let answer_seconds =
+            Histogram::with_opts(options.buckets(ANSWER_BUCKETS_SECONDS.to_vec()))?;
+        registry.register(Box::new(answer_seconds.clone()))?;
+        let unsent_datagrams = IntCounter::new(
             "hyssopstair_datagram_unsent_total",
             "Datagrams that could not be sent",
         )?;
-        registry.register(Box::new(lost_datagrams.clone()))?;
-        let gauge = |name: &str, help: &str| -> Result<IntGauge, prometheus::Error> {
+        registry.register(Box::new(unsent_datagrams.clone()))?;
+        let register_gauge = |name: &str, help: &str| -> Result<IntGauge, prometheus::Error> {
             let gauge = IntGauge::new(name, help)?;
             registry.register(Box::new(gauge.clone()))?;
             Ok(gauge)
         };
         Ok(Self {
-            events,
-            answers,
-            lost_datagrams,
-            flows: gauge("hyssopstair_flow_known", "Flows in the table")?,
-            peers: gauge("hyssopstair_peer_known", "Peers that are known")?,
-            routes: gauge(
+            event_counters,
+            answer_seconds,
+            unsent_datagrams,
+            flow_count: register_gauge("hyssopstair_flow_known", "Flows in the table")?,
+            peer_count: register_gauge("hyssopstair_peer_known", "Peers that are known")?,
+            routes_version: register_gauge(
                 "hyssopstair_routes_version",
                 "Version of the routes in force",
             )?,
@@ -77,21 +80,22 @@
     }
 
     /// Counts an event.
-    pub fn count(&self, event: &FlowEvent) {
-        self.events[event.kind() as usize].inc();
+    pub fn count_event(&self, event: &FlowEvent) {
+        self.event_counters[event.kind() as usize].inc();
         if let FlowEvent::Answered { micros, .. } = event {
-            self.answers.observe(f64::from(*micros) / 1e6);
+            self.answer_seconds.observe(f64::from(*micros) / 1e6);
         }
     }
 
-    /// Returns all numbers as text.
-    pub fn text(&self) -> String {
+    /// Returns all metrics in the text format, or a comment with the error if they
+    /// cannot be encoded.
+    pub fn encode_text(&self) -> String {
         TextEncoder::new()
             .encode_to_string(&self.registry.gather())
             .unwrap_or_else(|error| format!("# failed to write the metrics: {error}\n"))
     }
 }
 
-fn text_name(name: &str) -> String {
+fn prometheus_name(name: &str) -> String {
     name.replace('.', "_")
 }
--- a/crates/hyssopstaird/src/carry/mod.rs
+++ b/crates/hyssopstaird/src/carry/mod.rs
@@ -1,8 +1,9 @@
-//! A process that carries flows without ending them.
+//! A process that carries flows without terminating them.
 //!
-//! The decisions are in the package `flows`, and what the platform speaks in the
-//! adapter; the modules here connect the two with sockets. Read [`process`] next:
-//! its loop hands each datagram to the decisions and sends what they want sent.
+//! The crate `flows` makes the decisions and the adapter translates the platform's
+//! protocols; the modules here connect both to sockets. Start with [`process`]: its
+//! event loop passes each datagram to the decisions and sends the datagrams that
+//! they return.
 
 pub mod checks;
 pub mod command;
--- a/crates/hyssopstaird/src/carry/part.rs
+++ b/crates/hyssopstaird/src/carry/part.rs
@@ -1,4 +1,4 @@
-//! The decisions of either role behind one set of calls.
+//! One interface to the decisions of both roles, balancer and host.
 
 use std::net::Ipv4Addr;
 
@@ -10,18 +10,18 @@
 use hyssopstair_wire::carried::CarryMessage;
 use hyssopstair_wire::time::MonotonicTime;
 
-/// The decisions of a process.
+/// The decisions of a process, by its role.
 #[derive(Debug)]
 pub enum CarryPart {
-    /// Those of a balancer.
+    /// The process is a balancer.
     Balancer(Box<FlowBalancer>),
-    /// Those of a host.
+    /// The process is a host.
     Host(Box<FlowGate>),
 }
 
 impl CarryPart {
-    /// Decides about a packet from outside: a caller's at a balancer, the server's
-    /// at a host.
+    /// Handles a packet of a flow: a balancer receives it from a caller, a host from
+    /// its server.
     pub fn receive_packet(
         &mut self,
         packet: &RawPacket<'_>,
@@ -30,33 +30,35 @@
     ) {
         match self {
             Self::Balancer(balancer) => balancer.receive_caller(packet, now, outbox),
-            Self::Host(gate) => gate.receive_server(packet, now, outbox),
+            Self::Host(host) => host.receive_server(packet, now, outbox),
         }
     }
 
-    /// Decides about a message of a peer.
+    /// Handles a message from a peer. `payload` is the rest of the datagram behind
+    /// the message, and `packet` is the same payload with its decoded header, if it is a
+    /// packet.
     pub fn receive_peer(
         &mut self,
         from: Ipv4Addr,
         message: &CarryMessage,
         packet: Option<&RawPacket<'_>>,
-        behind: &[u8],
+        payload: &[u8],
         now: MonotonicTime,
         outbox: &mut FlowOutbox,
     ) {
         match self {
             Self::Balancer(balancer) => {
-                balancer.receive_peer(from, message, packet, behind, now, outbox);
+                balancer.receive_peer(from, message, packet, payload, now, outbox);
             }
-            Self::Host(gate) => gate.receive_peer(from, message, packet, behind, now, outbox),
+            Self::Host(host) => host.receive_peer(from, message, packet, payload, now, outbox),
         }
     }
 
-    /// Does what is due.
+    /// Does the periodic work that is due.
     pub fn tick(&mut self, now: MonotonicTime, outbox: &mut FlowOutbox) {
         match self {
             Self::Balancer(balancer) => balancer.tick(now, outbox),
-            Self::Host(gate) => gate.tick(now, outbox),
+            Self::Host(host) => host.tick(now, outbox),
         }
     }
 
@@ -64,7 +66,7 @@
     pub fn next_tick(&self) -> MonotonicTime {
         match self {
             Self::Balancer(balancer) => balancer.next_tick(),
-            Self::Host(gate) => gate.next_tick(),
+            Self::Host(host) => host.next_tick(),
         }
     }
 
@@ -72,7 +74,7 @@
     pub fn set_routes(&mut self, routes: RouteTable, outbox: &mut FlowOutbox) {
         match self {
             Self::Balancer(balancer) => balancer.set_routes(routes, outbox),
-            Self::Host(gate) => gate.set_routes(routes, outbox),
+            Self::Host(host) => host.set_routes(routes, outbox),
         }
     }
 
@@ -80,55 +82,55 @@
     pub fn add_contacts(&mut self, contacts: &[Ipv4Addr]) {
         match self {
             Self::Balancer(balancer) => balancer.add_contacts(contacts),
-            Self::Host(gate) => gate.add_contacts(contacts),
+            Self::Host(host) => host.add_contacts(contacts),
         }
     }
 
-    /// Prepares the end of the process.
+    /// Tells the peers that the process is about to stop.
     pub fn stop(&mut self, now: MonotonicTime, outbox: &mut FlowOutbox) {
         match self {
             Self::Balancer(balancer) => balancer.stop(now, outbox),
-            Self::Host(gate) => gate.stop(now, outbox),
+            Self::Host(host) => host.stop(now, outbox),
         }
     }
 
-    /// Returns whether the process takes traffic.
+    /// Returns whether the process is ready for traffic.
     pub fn is_ready(&self, now: MonotonicTime) -> bool {
         match self {
             Self::Balancer(balancer) => balancer.is_ready(now),
-            Self::Host(gate) => gate.routes().version() > 0,
+            Self::Host(host) => host.routes().version() > 0,
         }
     }
 
-    /// Returns the version of the routes in force.
+    /// Returns the version of the routes in force; 0 if there are none.
     pub fn routes_version(&self) -> u64 {
         match self {
             Self::Balancer(balancer) => balancer.routes().version(),
-            Self::Host(gate) => gate.routes().version(),
+            Self::Host(host) => host.routes().version(),
         }
     }
 
-    /// Returns how many balancers are known.
-    pub fn balancers(&self) -> usize {
+    /// Returns the number of known balancers.
+    pub fn balancer_count(&self) -> usize {
         match self {
             Self::Balancer(balancer) => balancer.members().balancers().len(),
-            Self::Host(gate) => gate.members().balancers().len(),
+            Self::Host(host) => host.members().balancers().len(),
         }
     }
 
-    /// Returns how many flows are known.
-    pub fn flows(&self) -> usize {
+    /// Returns the number of known flows.
+    pub fn flow_count(&self) -> usize {
         match self {
             Self::Balancer(balancer) => balancer.flows(),
-            Self::Host(gate) => gate.flows(),
+            Self::Host(host) => host.flows(),
         }
     }
 
-    /// Returns how many peers are known.
-    pub fn peers(&self) -> usize {
+    /// Returns the number of known peers, hosts and balancers together.
+    pub fn peer_count(&self) -> usize {
         let members = match self {
             Self::Balancer(balancer) => balancer.members(),
-            Self::Host(gate) => gate.members(),
+            Self::Host(host) => host.members(),
         };
         members.hosts().len() + members.balancers().len()
     }
--- a/crates/hyssopstaird/src/carry/process.rs
+++ b/crates/hyssopstaird/src/carry/process.rs
@@ -1,4 +1,7 @@
-//! The loop of a process: datagrams, commands and time go in, datagrams come out.
+//! The event loop of a process.
+//!
+//! The loop waits for datagrams, commands, signals and timers, passes each to the
+//! decisions in [`CarryPart`], and then sends and logs what they put in the outbox.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddrV4;
@@ -7,7 +10,7 @@
 
 use error_stack::Report;
 use error_stack::ResultExt;
-use hyssopstair_adapter::packet::clear_bounced;
+use hyssopstair_adapter::packet::clear_bounced_flag;
 use hyssopstair_adapter::packet::decode_header;
 use hyssopstair_adapter::packet::encode_reset;
 use hyssopstair_flows::balancer::BalancerIdentity;
@@ -34,102 +37,108 @@
 use tokio::time::sleep;
 
 use crate::carry::checks::check_server;
-use crate::carry::command::COMMAND_QUEUE;
+use crate::carry::command::COMMAND_QUEUE_CAPACITY;
 use crate::carry::command::CarryCommand;
 use crate::carry::command::ProcessStatus;
 use crate::carry::http::CallServer;
 use crate::carry::journal::EventJournal;
 use crate::carry::metrics::CarryMetrics;
 use crate::carry::part::CarryPart;
-use crate::carry::sockets::DATAGRAM_BYTES;
 use crate::carry::sockets::DatagramSocket;
+use crate::carry::sockets::RECEIVE_BUFFER_BYTES;
 use crate::carry::store_tasks::StoreTask;
 use crate::clock::ProcessClock;
 use crate::clock::unix_millis;
 use crate::error::DaemonError;
 
-/// Datagrams that are read from one socket before the other has its turn.
-const READ_BATCH: usize = 64;
+/// Maximum number of datagrams that are read from one socket before the other socket is
+/// read.
+const MAX_READ_BATCH: usize = 64;
 
-/// Time for which a balancer goes on after the signal to stop: routers need two
-/// probes, half a second apart, to see that it is not ready.
-const BALANCER_LINGER: Duration = Duration::from_millis(1_600);
+/// Time for which a balancer keeps running after the signal to stop: routers need two
+/// readiness probes, half a second apart, to see that it is not ready.
+const BALANCER_DRAIN_TIME: Duration = Duration::from_millis(1_600);
 
-/// Time for which a host goes on at least, so that balancers stop choosing it.
-const HOST_LINGER: Duration = Duration::from_millis(150);
+/// Minimum time for which a host keeps running after the signal to stop, so that
+/// balancers stop sending it new flows.
+const MIN_HOST_DRAIN_TIME: Duration = Duration::from_millis(150);
 
-/// Time for which a host waits for answers that are under way.
-const HOST_PATIENCE: Duration = Duration::from_millis(1_500);
+/// Maximum time for which a host keeps running after the signal to stop, to wait for
+/// answers to requests in progress.
+const MAX_HOST_DRAIN_TIME: Duration = Duration::from_millis(1_500);
 
-/// Part of the time to stop that is left for the end itself.
-const GRACE_RESERVE: Duration = Duration::from_millis(1_000);
+/// Part of the grace period that is kept back for the exit itself.
+const EXIT_RESERVE: Duration = Duration::from_millis(1_000);
 
-/// Runs a process until it is told to stop.
+/// Runs a process until it receives the signal to stop and has drained. `path` is the
+/// settings file, which a hangup signal reloads.
 ///
 /// # Errors
 ///
-/// Returns an error when an address is in use.
+/// Returns an error if an address cannot be bound, for example because it is in use.
 pub async fn run(settings: CarrySettings, path: &Path) -> Result<(), Report<DaemonError>> {
-    let (sender, commands) = mpsc::channel(COMMAND_QUEUE);
-    let mut process = CarryProcess::start(settings, path, sender, commands).await?;
+    let (command_sender, command_receiver) = mpsc::channel(COMMAND_QUEUE_CAPACITY);
+    let mut process = CarryProcess::start(settings, path, command_sender, command_receiver).await?;
     process.run().await;
     Ok(())
 }
 
-/// One process.
+/// The state of the event loop.
 struct CarryProcess {
     settings: CarrySettings,
-    path: std::path::PathBuf,
+    settings_path: std::path::PathBuf,
     clock: ProcessClock,
     part: CarryPart,
     outbox: FlowOutbox,
-    /// Messages between processes.
-    inner: DatagramSocket,
-    /// Callers' packets at a balancer, the server's at a host.
-    outer: DatagramSocket,
+    /// Exchanges messages with peers.
+    peer_socket: DatagramSocket,
+    /// Receives packets of flows, from callers at a balancer and from the server at a
+    /// host, and sends packets to callers and the server.
+    packet_socket: DatagramSocket,
     status: ProcessStatus,
-    sender: mpsc::Sender<CarryCommand>,
-    commands: mpsc::Receiver<CarryCommand>,
+    command_sender: mpsc::Sender<CarryCommand>,
+    command_receiver: mpsc::Receiver<CarryCommand>,
     journal: EventJournal,
     metrics: CarryMetrics,
-    stop_asked: Option<MonotonicTime>,
+    /// When the signal to stop arrived.
+    stop_requested: Option<MonotonicTime>,
 }
 
 impl CarryProcess {
     async fn start(
         settings: CarrySettings,
         path: &Path,
-        sender: mpsc::Sender<CarryCommand>,
-        commands: mpsc::Receiver<CarryCommand>,
+        command_sender: mpsc::Sender<CarryCommand>,
+        command_receiver: mpsc::Receiver<CarryCommand>,
     ) -> Result<Self, Report<DaemonError>> {
         let clock = ProcessClock::start();
         let status = ProcessStatus::default();
-        let inner = DatagramSocket::bind(settings.inner())?;
-        let outer = DatagramSocket::bind(outer_address(&settings))?;
+        let peer_socket = DatagramSocket::bind(settings.inner())?;
+        let packet_socket = DatagramSocket::bind(packet_socket_address(&settings))?;
         let metrics = CarryMetrics::new()
-            .change_context_lazy(|| DaemonError::new("failed to create the metrics"))?;
-        let server = CallServer::new(sender.clone(), status.clone(), metrics.clone());
-        server.clone().start(settings.readiness).await?;
+            .change_context_lazy(|| DaemonError::new("failed to register the metrics"))?;
+        let call_server = CallServer::new(command_sender.clone(), status.clone(), metrics.clone());
+        call_server.clone().start(settings.readiness).await?;
         if let Some(address) = settings.metrics {
-            server.clone().start(address).await?;
+            call_server.clone().start(address).await?;
         }
-        if let Some(beside) = &settings.server {
-            server.start(beside.heartbeats).await?;
+        if let Some(server) = &settings.server {
+            call_server.start(server.heartbeats).await?;
         }
         let part = create_part(&settings, clock.now());
         let mut process = Self {
-            path: path.to_owned(),
+            settings_path: path.to_owned(),
             clock,
             part,
             outbox: FlowOutbox::default(),
-            inner,
-            outer,
+            peer_socket,
+            packet_socket,
             status,
-            sender,
-            commands,
+            command_sender,
+            command_receiver,
             journal: EventJournal::start(),
             metrics,
-            stop_asked: None,
+            stop_requested: None,
             settings,
         };
         process.start_store_tasks();
@@ -145,18 +154,18 @@
 
     fn start_store_tasks(&self) {
         let task = StoreTask {
-            store: self.settings.store,
+            store_address: self.settings.store,
             address: *self.settings.packets.ip(),
-            commands: self.sender.clone(),
+            command_sender: self.command_sender.clone(),
             status: self.status.clone(),
         };
         match self.settings.role {
             CarryRole::Balancer => {
                 tokio::spawn(task.clone().watch_configuration());
-                tokio::spawn(task.announce());
+                tokio::spawn(task.maintain_registration());
             }
             CarryRole::Host => {
-                tokio::spawn(task.assist_host());
+                tokio::spawn(task.poll_missing_state());
             }
         }
     }
@@ -169,181 +178,194 @@
             return;
         };
         self.tick();
-        while !self.is_done() {
-            self.wait(&mut terminate, &mut reload).await;
-            self.read_inner();
-            self.read_outer();
+        while !self.may_exit() {
+            self.wait_for_event(&mut terminate, &mut reload).await;
+            self.read_peer_messages();
+            self.read_packets();
             self.tick();
         }
         let now = self.clock.now();
         self.part.stop(now, &mut self.outbox);
-        self.flush(now);
-        let fields = json!({ "lost_datagrams": self.metrics.lost_datagrams.get() });
+        self.flush_outbox(now);
+        let fields = json!({ "lost_datagrams": self.metrics.unsent_datagrams.get() });
         self.journal.write_process("stopped", fields, now);
         self.journal.flush(now, true);
     }
 
-    async fn wait(&mut self, terminate: &mut Signal, reload: &mut Signal) {
+    /// Waits for a datagram, a command, a signal or the next tick, and handles commands
+    /// and signals.
+    async fn wait_for_event(&mut self, terminate: &mut Signal, reload: &mut Signal) {
         let now = self.clock.now();
-        let pause = self.part.next_tick().since(now);
+        let delay = self.part.next_tick().since(now);
         tokio::select! {
-            () = self.inner.readable() => {}
-            () = self.outer.readable() => {}
-            Some(command) = self.commands.recv() => self.obey(command),
+            () = self.peer_socket.wait_readable() => {}
+            () = self.packet_socket.wait_readable() => {}
+            Some(command) = self.command_receiver.recv() => self.handle_command(command),
             _ = terminate.recv() => self.begin_stop(),
-            _ = reload.recv() => self.reload(),
-            () = sleep(pause) => {}
+            _ = reload.recv() => self.reload_settings(),
+            () = sleep(delay) => {}
         }
     }
 
-    fn read_inner(&mut self) {
-        let mut buffer = [0; DATAGRAM_BYTES];
-        for _ in 0..READ_BATCH {
-            let Some((length, from)) = self.inner.read(&mut buffer) else {
+    fn read_peer_messages(&mut self) {
+        let mut buffer = [0; RECEIVE_BUFFER_BYTES];
+        for _ in 0..MAX_READ_BATCH {
+            let Some((length, from)) = self.peer_socket.try_receive(&mut buffer) else {
                 break;
             };
             let now = self.clock.now();
-            let Some((message, behind)) = CarryMessage::decode(&buffer[..length]) else {
-                self.note_malformed(now);
+            let Some((message, payload)) = CarryMessage::decode(&buffer[..length]) else {
+                self.report_malformed(now);
                 continue;
             };
-            let packet = decode_header(behind).map(|header| RawPacket {
+            let packet = decode_header(payload).map(|header| RawPacket {
                 header,
-                bytes: behind,
+                bytes: payload,
             });
             self.part.receive_peer(
                 from,
                 &message,
                 packet.as_ref(),
-                behind,
+                payload,
                 now,
                 &mut self.outbox,
             );
-            self.flush(now);
+            self.flush_outbox(now);
         }
     }
 
-    fn read_outer(&mut self) {
-        let mut buffer = [0; DATAGRAM_BYTES];
-        for _ in 0..READ_BATCH {
-            let Some((length, _)) = self.outer.read(&mut buffer) else {
+    fn read_packets(&mut self) {
+        let mut buffer = [0; RECEIVE_BUFFER_BYTES];
+        for _ in 0..MAX_READ_BATCH {
+            let Some((length, _)) = self.packet_socket.try_receive(&mut buffer) else {
                 break;
             };
             let now = self.clock.now();
             let Some(header) = decode_header(&buffer[..length]) else {
-                self.note_malformed(now);
+                self.report_malformed(now);
                 continue;
             };
             if header.is_bounced {
-                clear_bounced(&mut buffer);
+                clear_bounced_flag(&mut buffer);
             }
             let packet = RawPacket {
                 header,
                 bytes: &buffer[..length],
             };
             self.part.receive_packet(&packet, now, &mut self.outbox);
-            self.flush(now);
+            self.flush_outbox(now);
         }
     }
 
-    fn note_malformed(&mut self, now: MonotonicTime) {
+    fn report_malformed(&mut self, now: MonotonicTime) {
         self.outbox.note(FlowEvent::Dropped {
             reason: DropReason::Malformed,
         });
-        self.flush(now);
+        self.flush_outbox(now);
     }
 
+    /// Does the work that is due, publishes the metrics and the status, and writes logs.
     fn tick(&mut self) {
         let now = self.clock.now();
         if now >= self.part.next_tick() {
             self.part.tick(now, &mut self.outbox);
         }
-        self.check_server(now);
-        self.metrics.flows.set(self.part.flows() as i64);
-        self.metrics.peers.set(self.part.peers() as i64);
-        self.metrics.routes.set(self.part.routes_version() as i64);
-        self.status.set(
-            self.part.is_ready(now) && self.stop_asked.is_none(),
+        self.start_due_check(now);
+        self.metrics.flow_count.set(self.part.flow_count() as i64);
+        self.metrics.peer_count.set(self.part.peer_count() as i64);
+        self.metrics
+            .routes_version
+            .set(self.part.routes_version() as i64);
+        self.status.publish(
+            self.part.is_ready(now) && self.stop_requested.is_none(),
             self.part.routes_version(),
-            self.part.balancers() as u64,
+            self.part.balancer_count() as u64,
         );
-        self.flush(now);
+        self.flush_outbox(now);
         self.journal.flush(now, false);
     }
 
-    fn check_server(&mut self, now: MonotonicTime) {
-        let (CarryPart::Host(gate), Some(server)) = (&mut self.part, &self.settings.server) else {
+    /// Starts the check of the server that is due, if any, in the background.
+    fn start_due_check(&mut self, now: MonotonicTime) {
+        let (CarryPart::Host(host), Some(server)) = (&mut self.part, &self.settings.server) else {
             return;
         };
-        let Some(check) = gate.due_check(now) else {
+        let Some(check) = host.due_check(now) else {
             return;
         };
-        let path = gate.health_path().unwrap_or("/").to_owned();
+        let path = host.health_path().unwrap_or("/").to_owned();
         let address = server.address;
-        let sender = self.sender.clone();
+        let command_sender = self.command_sender.clone();
         tokio::spawn(async move {
             let result = check_server(address, check, &path).await;
-            // The loop ends only with the process.
-            let _ = sender.send(CarryCommand::Checked(result)).await;
+            // Sending fails only when the event loop has ended, and with it the process.
+            let _ = command_sender.send(CarryCommand::CheckDone(result)).await;
         });
     }
 
-    fn obey(&mut self, command: CarryCommand) {
+    fn handle_command(&mut self, command: CarryCommand) {
         let now = self.clock.now();
         match command {
-            CarryCommand::Routes(routes) => self.part.set_routes(routes, &mut self.outbox),
-            CarryCommand::Contacts(contacts) => self.part.add_contacts(&contacts),
-            CarryCommand::Heartbeat { beat, done } => {
+            CarryCommand::SetRoutes(routes) => self.part.set_routes(routes, &mut self.outbox),
+            CarryCommand::AddContacts(contacts) => self.part.add_contacts(&contacts),
+            CarryCommand::Heartbeat { heartbeat, applied } => {
                 let verdict = match &mut self.part {
-                    CarryPart::Host(gate) => gate.receive_heartbeat(&beat, now, &mut self.outbox),
+                    CarryPart::Host(host) => {
+                        host.receive_heartbeat(&heartbeat, now, &mut self.outbox)
+                    }
                     CarryPart::Balancer(_) => HeartbeatVerdict::Outdated,
                 };
-                // What is not in force is not confirmed.
+                // Only a heartbeat in force is confirmed.
                 if verdict == HeartbeatVerdict::Accepted {
-                    // A server that has stopped waiting asks again.
-                    let _ = done.send(());
+                    // A server that no longer waits for the response sends another heartbeat.
+                    let _ = applied.send(());
                 }
             }
-            CarryCommand::Deregistration { id, done } => {
-                if let CarryPart::Host(gate) = &mut self.part {
-                    gate.receive_deregistration(&id, &mut self.outbox);
+            CarryCommand::Deregistration { id, applied } => {
+                if let CarryPart::Host(host) = &mut self.part {
+                    host.receive_deregistration(&id, &mut self.outbox);
                 }
-                let _ = done.send(());
+                let _ = applied.send(());
             }
-            CarryCommand::Checked(result) => {
-                if let CarryPart::Host(gate) = &mut self.part {
-                    gate.receive_check(result, now, &mut self.outbox);
+            CarryCommand::CheckDone(result) => {
+                if let CarryPart::Host(host) = &mut self.part {
+                    host.receive_check(result, now, &mut self.outbox);
                 }
             }
-            CarryCommand::Dependency { name, error } => {
-                let text = if error.is_some() {
-                    "lost a dependency"
+            CarryCommand::DependencyChanged { name, error } => {
+                let message = if error.is_some() {
+                    "dependency failed"
                 } else {
-                    "regained a dependency"
+                    "dependency recovered"
                 };
                 let fields = json!({ "dependency": name, "error": error });
-                self.journal.write_process(text, fields, now);
+                self.journal.write_process(message, fields, now);
             }
         }
-        self.flush(now);
+        self.flush_outbox(now);
     }
 
+    /// Starts to drain: readiness is withdrawn and the peers are told. Later signals to
+    /// stop are ignored.
     fn begin_stop(&mut self) {
-        if self.stop_asked.is_some() {
+        if self.stop_requested.is_some() {
             return;
         }
         let now = self.clock.now();
-        self.stop_asked = Some(now);
+        self.stop_requested = Some(now);
         self.journal
             .write_process("stopping", json!({ "cause": "signal" }), now);
         self.part.stop(now, &mut self.outbox);
-        self.flush(now);
+        self.flush_outbox(now);
     }
 
-    fn reload(&mut self) {
+    /// Reads the settings file again and applies its contacts and the service of the
+    /// server. Other settings change only with a restart.
+    fn reload_settings(&mut self) {
         let now = self.clock.now();
-        let read = std::fs::read_to_string(&self.path).map_err(|error| error.to_string());
-        match read.and_then(|text| CarrySettings::parse(&text)) {
+        let file_text =
+            std::fs::read_to_string(&self.settings_path).map_err(|error| error.to_string());
+        match file_text.and_then(|text| CarrySettings::parse(&text)) {
             Ok(settings) => {
                 let contacts: Vec<Ipv4Addr> = settings
                     .contacts
@@ -351,81 +373,87 @@
                     .map(|contact| *contact.ip())
                     .collect();
                 self.part.add_contacts(&contacts);
-                if let (CarryPart::Host(gate), Some(server)) = (&mut self.part, &settings.server) {
-                    gate.set_service(&server.service, now, &mut self.outbox);
+                if let (CarryPart::Host(host), Some(server)) = (&mut self.part, &settings.server) {
+                    host.set_service(&server.service, now, &mut self.outbox);
                 }
                 self.journal
                     .write_process("reloaded the settings", json!({}), now);
             }
             Err(error) => {
                 self.journal.write_process(
-                    "kept the settings, as the new ones are wrong",
+                    "failed to reload the settings; kept the current ones",
                     json!({ "error": error }),
                     now,
                 );
             }
         }
-        self.flush(now);
+        self.flush_outbox(now);
     }
 
-    /// Returns whether the process may end.
-    fn is_done(&self) -> bool {
-        let Some(asked) = self.stop_asked else {
+    /// Returns whether the process was asked to stop and has drained, or has used up its
+    /// grace period.
+    fn may_exit(&self) -> bool {
+        let Some(stop_requested) = self.stop_requested else {
             return false;
         };
         let now = self.clock.now();
-        let age = now.since(asked);
-        let grace = Duration::from_secs_f64(self.settings.grace_seconds);
-        if age >= grace.saturating_sub(GRACE_RESERVE) {
+        let elapsed = now.since(stop_requested);
+        let grace_period = Duration::from_secs_f64(self.settings.grace_seconds);
+        if elapsed >= grace_period.saturating_sub(EXIT_RESERVE) {
             return true;
         }
         match &self.part {
-            CarryPart::Balancer(_) => age >= BALANCER_LINGER,
-            CarryPart::Host(gate) => {
+            CarryPart::Balancer(_) => elapsed >= BALANCER_DRAIN_TIME,
+            CarryPart::Host(host) => {
                 let is_idle =
-                    gate.in_progress(now) == 0 || gate.server_state() == ServerState::Down;
-                age >= HOST_PATIENCE || (is_idle && age >= HOST_LINGER)
+                    host.in_progress(now) == 0 || host.server_state() == ServerState::Down;
+                elapsed >= MAX_HOST_DRAIN_TIME || (is_idle && elapsed >= MIN_HOST_DRAIN_TIME)
             }
         }
     }
 
-    /// Sends and logs what the decisions want.
-    fn flush(&mut self, now: MonotonicTime) {
+    /// Sends the datagrams in the outbox, counts and logs its events, and clears it.
+    fn flush_outbox(&mut self, now: MonotonicTime) {
         let caller_port = self.settings.packets.port();
-        let inner_port = self.settings.inner_ports.0;
+        let peer_port = self.settings.inner_ports.0;
         let server = self.settings.server.as_ref();
         for (destination, bytes) in self.outbox.datagrams() {
             let result = match destination {
                 Destination::Server => match server {
-                    Some(server) => self.outer.write(bytes, server.address),
+                    Some(server) => self.packet_socket.try_send(bytes, server.address),
                     None => Ok(()),
                 },
                 Destination::Caller(address) => self
-                    .outer
-                    .write(bytes, SocketAddrV4::new(address, caller_port)),
+                    .packet_socket
+                    .try_send(bytes, SocketAddrV4::new(address, caller_port)),
                 Destination::Peer(address) => self
-                    .inner
-                    .write(bytes, SocketAddrV4::new(address, inner_port)),
+                    .peer_socket
+                    .try_send(bytes, SocketAddrV4::new(address, peer_port)),
             };
             if result.is_err() {
-                self.metrics.lost_datagrams.inc();
+                self.metrics.unsent_datagrams.inc();
             }
         }
         for reset in self.outbox.resets() {
             let to = SocketAddrV4::new(*reset.flow.caller.ip(), caller_port);
-            if self.outer.write(&encode_reset(reset), to).is_err() {
-                self.metrics.lost_datagrams.inc();
+            if self
+                .packet_socket
+                .try_send(&encode_reset(reset), to)
+                .is_err()
+            {
+                self.metrics.unsent_datagrams.inc();
             }
         }
         for event in self.outbox.events() {
-            self.metrics.count(event);
+            self.metrics.count_event(event);
             self.journal.write_event(event, now);
         }
         self.outbox.clear();
     }
 }
 
-fn outer_address(settings: &CarrySettings) -> SocketAddrV4 {
+/// Returns the address at which the process receives packets of flows.
+fn packet_socket_address(settings: &CarrySettings) -> SocketAddrV4 {
     match (settings.role, &settings.server) {
         (CarryRole::Host, Some(ServerSettings { outbound, .. })) => *outbound,
         _ => settings.packets,
--- a/crates/hyssopstaird/src/carry/sockets.rs
+++ b/crates/hyssopstaird/src/carry/sockets.rs
@@ -1,4 +1,4 @@
-//! The UDP sockets of a process.
+//! Non-blocking UDP sockets.
 
 use std::io;
 use std::net::Ipv4Addr;
@@ -11,26 +11,27 @@
 
 use crate::error::DaemonError;
 
-/// Room for any datagram that is sent here.
-pub const DATAGRAM_BYTES: usize = 2_048;
+/// Size of a receive buffer, in bytes. Every datagram that is sent between callers,
+/// servers and processes fits in it.
+pub const RECEIVE_BUFFER_BYTES: usize = 2_048;
 
-/// A UDP socket that is read when it is readable and written at once.
+/// A UDP socket whose reads wait for the event loop and whose writes never wait.
 #[derive(Debug)]
 pub struct DatagramSocket {
     reader: UdpSocket,
-    // Writing does not go through the event loop: a datagram that cannot be sent
-    // at once is lost like one on the network.
+    // Writes bypass the event loop: a datagram that cannot be sent immediately is
+    // dropped, like one that is lost on the network.
     writer: std::net::UdpSocket,
 }
 
 impl DatagramSocket {
-    /// Binds an address.
+    /// Binds a socket to an address.
     ///
     /// # Errors
     ///
-    /// Returns an error when the address is in use.
+    /// Returns an error if the address is in use or the socket cannot be set up.
     pub fn bind(address: SocketAddrV4) -> Result<Self, Report<DaemonError>> {
-        let context = || DaemonError::new(format!("failed to bind {address} for datagrams"));
+        let context = || DaemonError::new(format!("failed to bind UDP address {address}"));
         let writer = std::net::UdpSocket::bind(address).change_context_lazy(context)?;
         writer.set_nonblocking(true).change_context_lazy(context)?;
         let reader = writer.try_clone().change_context_lazy(context)?;
@@ -38,31 +39,32 @@
         Ok(Self { reader, writer })
     }
 
-    /// Waits until there is something to read.
-    pub async fn readable(&self) {
-        // An error shows at the next read.
+    /// Waits until a datagram can be received.
+    pub async fn wait_readable(&self) {
+        // The next read meets the same error.
         let _ = self.reader.readable().await;
     }
 
-    /// Reads a datagram; nothing when there is none.
-    pub fn read(&self, buffer: &mut [u8]) -> Option<(usize, Ipv4Addr)> {
+    /// Receives a datagram into the buffer and returns its length and sender. Returns
+    /// `None` if no datagram is waiting or the read fails.
+    pub fn try_receive(&self, buffer: &mut [u8]) -> Option<(usize, Ipv4Addr)> {
         loop {
             match self.reader.try_recv_from(buffer) {
                 Ok((length, SocketAddr::V4(from))) => return Some((length, *from.ip())),
                 Ok(_) => {}
-                // An earlier datagram found nobody listening.
+                // Reports that nothing listens where an earlier datagram was sent.
                 Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => {}
                 Err(_) => return None,
             }
         }
     }
 
-    /// Writes a datagram.
+    /// Sends a datagram without waiting.
     ///
     /// # Errors
     ///
-    /// Returns an error when it is lost.
-    pub fn write(&self, bytes: &[u8], to: SocketAddrV4) -> io::Result<()> {
+    /// Returns an error if the datagram was not sent; it is not sent again.
+    pub fn try_send(&self, bytes: &[u8], to: SocketAddrV4) -> io::Result<()> {
         self.writer.send_to(bytes, to).map(|_| ())
     }
 }
--- a/crates/hyssopstaird/src/carry/store.rs
+++ b/crates/hyssopstaird/src/carry/store.rs
@@ -1,4 +1,4 @@
-//! A connection to the platform's key-value store.
+//! An HTTP client for the platform's key-value store.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -15,32 +15,33 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Longest wait for a connection; the store answers in 4 ms.
+/// Timeout for opening a connection; the store usually responds in 4 ms.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Longest wait for an answer beyond the time that the call itself waits. A slow
-/// store takes up to a hundred times as long as usual.
-pub const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Time limit for a response, in addition to the time for which the store itself may
+/// hold back the response. A slow store takes up to a hundred times as long as usual.
+pub const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Why a call gave no answer.
+/// Why a call of the store failed.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// No connection; nothing was done.
+    /// The connection could not be opened; the call was not executed.
     #[error("failed to connect: {0}")]
     Connect(String),
-    /// The call may or may not have been executed.
-    #[error("no answer: {0}")]
-    NoAnswer(String),
-    /// The store refused the call.
-    #[error("status {0}")]
-    Refused(StatusCode),
-    /// The answer is not in the form of one.
+    /// No response arrived; the call may or may not have been executed.
+    #[error("no response: {0}")]
+    NoResponse(String),
+    /// The store rejected the call.
+    #[error("store returned status {0}")]
+    Rejected(StatusCode),
+    /// The response could not be decoded.
     #[error("{0}")]
-    Format(#[from] hyssopstair_adapter::store::StoreFormatError),
+    Decode(#[from] hyssopstair_adapter::store::StoreDecodeError),
 }
 
-/// A connection that is opened when it is needed. After a call without an answer
-/// nothing more comes on it, so the next call opens another.
+/// A connection to the store that is opened when it is needed. After a call without a
+/// response, no further response arrives on the connection; it is dropped, and the
+/// next call opens a new one.
 #[derive(Debug)]
 pub struct StoreConnection {
     address: SocketAddrV4,
@@ -48,7 +49,7 @@
 }
 
 impl StoreConnection {
-    /// Creates a connection that is not open yet.
+    /// Creates a connection without opening it.
     pub fn new(address: SocketAddrV4) -> Self {
         Self {
             address,
@@ -56,30 +57,33 @@
         }
     }
 
-    /// Makes a call that is answered within `wait` and [`ANSWER_TIMEOUT`].
+    /// Sends a request and returns the body of the response. `hold_time` is the time
+    /// for which the request allows the store to hold back the response; the call
+    /// times out [`RESPONSE_TIMEOUT`] later.
     ///
     /// # Errors
     ///
-    /// Returns an error when there is no answer, or one that refuses the call.
+    /// Returns an error if the connection fails, the call times out, or the status of
+    /// the response is not a success.
     pub async fn call(
         &mut self,
         request: StoreRequest,
-        wait: Duration,
+        hold_time: Duration,
     ) -> Result<Bytes, StoreError> {
         let mut sender = match self.sender.take() {
             Some(sender) if !sender.is_closed() => sender,
             _ => self.connect().await?,
         };
-        let exchange = exchange(&mut sender, self.request(request));
-        let (status, body) = match timeout(wait + ANSWER_TIMEOUT, exchange).await {
-            Ok(result) => result.map_err(|error| StoreError::NoAnswer(error.to_string()))?,
-            Err(_) => return Err(StoreError::NoAnswer("timed out".to_owned())),
+        let exchange = send_request(&mut sender, self.build_request(request));
+        let (status, body) = match timeout(hold_time + RESPONSE_TIMEOUT, exchange).await {
+            Ok(result) => result.map_err(|error| StoreError::NoResponse(error.to_string()))?,
+            Err(_) => return Err(StoreError::NoResponse("timed out".to_owned())),
         };
         self.sender = Some(sender);
         if status.is_success() {
             Ok(body)
         } else {
-            Err(StoreError::Refused(status))
+            Err(StoreError::Rejected(status))
         }
     }
 
@@ -91,24 +95,24 @@
         let (sender, connection) = http1::handshake(TokioIo::new(stream))
             .await
             .map_err(|error| StoreError::Connect(error.to_string()))?;
-        // How it ended shows at the next call.
+        // The next call notices if the connection has ended.
         tokio::spawn(async move {
             let _ = connection.await;
         });
         Ok(sender)
     }
 
-    fn request(&self, request: StoreRequest) -> Request<Full<Bytes>> {
-        let mut built = Request::new(Full::from(request.body));
-        *built.method_mut() = match request.method {
+    fn build_request(&self, request: StoreRequest) -> Request<Full<Bytes>> {
+        let mut http_request = Request::new(Full::from(request.body));
+        *http_request.method_mut() = match request.method {
             "POST" => http::Method::POST,
             "DELETE" => http::Method::DELETE,
             _ => http::Method::GET,
         };
         if let Ok(uri) = request.target.parse() {
-            *built.uri_mut() = uri;
+            *http_request.uri_mut() = uri;
         }
-        let headers = built.headers_mut();
+        let headers = http_request.headers_mut();
         if let Ok(host) = self.address.to_string().parse() {
             headers.insert(http::header::HOST, host);
         }
@@ -116,11 +120,11 @@
             http::header::CONTENT_TYPE,
             http::HeaderValue::from_static("application/json"),
         );
-        built
+        http_request
     }
 }
 
-async fn exchange(
+async fn send_request(
     sender: &mut SendRequest<Full<Bytes>>,
     request: Request<Full<Bytes>>,
 ) -> Result<(StatusCode, Bytes), hyper::Error> {
--- a/crates/hyssopstaird/src/carry/store_tasks.rs
+++ b/crates/hyssopstaird/src/carry/store_tasks.rs
@@ -1,5 +1,7 @@
-//! What a process does with the store: balancers watch the configuration and
-//! announce themselves; hosts read there only what no peer has told them.
+//! Background tasks that use the platform's store.
+//!
+//! Balancers watch the configuration and register themselves. Hosts read from the
+//! store only what they have not received from a peer.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddrV4;
@@ -17,215 +19,238 @@
 use crate::carry::store::StoreConnection;
 use crate::carry::store::StoreError;
 
-/// Longest wait of one watch. A connection that has gone silent is noticed after
-/// it; meanwhile versions come from peers.
-const WATCH_WAIT: Duration = Duration::from_secs(4);
+/// Time for which a watch waits for a change. A connection that has gone silent is
+/// noticed after this time; until then, new versions arrive from peers.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Pause after a change before the next watch, so that a run of changes costs
-/// few calls. A change has three seconds to get into force.
-const WATCH_PAUSE: Duration = Duration::from_millis(250);
+/// Delay between a change and the next watch, so that a burst of changes costs few
+/// calls. A change has to be in force within three seconds.
+const WATCH_DELAY: Duration = Duration::from_millis(250);
 
-/// Pause after a call that failed; the store comes back within seconds.
-const RETRY_PAUSE: Duration = Duration::from_millis(250);
+/// Delay after a failed call; outages of the store last seconds.
+const RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// Time for which an entry outlives a process that does not renew it.
-const ENTRY_LEASE: Duration = Duration::from_secs(30);
+/// Time to live of a balancer's registration that is not renewed.
+const REGISTRATION_TTL: Duration = Duration::from_secs(30);
 
-/// Time between two renewals: a third of the lease, so that two may fail.
+/// Interval between renewals: a third of the time to live, so that two renewals may
+/// fail.
 const RENEW_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Time that a host waits for peers before it asks the store.
-const HOST_PATIENCE: Duration = Duration::from_millis(700);
+/// Time for which a host waits for its peers before it reads from the store.
+const HOST_POLL_INTERVAL: Duration = Duration::from_millis(700);
 
-/// How a task reaches the loop and the store.
+/// A background task, with its access to the event loop and the store.
 #[derive(Debug, Clone)]
 pub struct StoreTask {
     /// Address of the store.
-    pub store: SocketAddrV4,
-    /// The address of the process.
+    pub store_address: SocketAddrV4,
+    /// IP address of the process.
     pub address: Ipv4Addr,
-    /// The loop.
-    pub commands: mpsc::Sender<CarryCommand>,
-    /// What the loop knows.
+    /// Queue of commands for the event loop.
+    pub command_sender: mpsc::Sender<CarryCommand>,
+    /// Status published by the event loop.
     pub status: ProcessStatus,
 }
 
 impl StoreTask {
-    /// Keeps the routes as new as the store's.
+    /// Keeps a balancer's routes up to date with the configuration in the store.
     pub async fn watch_configuration(self) {
-        let mut connection = StoreConnection::new(self.store);
-        let mut known: Option<u64> = None;
-        let mut is_lost = false;
+        let mut connection = StoreConnection::new(self.store_address);
+        let mut known_revision: Option<u64> = None;
+        let mut is_store_lost = false;
         loop {
-            let result = match known {
+            let result = match known_revision {
                 None => self.read_configuration(&mut connection).await,
                 Some(revision) => self.wait_for_change(&mut connection, revision).await,
             };
             match result {
                 Ok(revision) => {
-                    if is_lost {
-                        self.report(None).await;
+                    if is_store_lost {
+                        self.report_store(None).await;
                     }
-                    is_lost = false;
-                    if known.is_some_and(|known| revision > known) {
-                        sleep(WATCH_PAUSE).await;
+                    is_store_lost = false;
+                    if known_revision.is_some_and(|known_revision| revision > known_revision) {
+                        sleep(WATCH_DELAY).await;
                     }
-                    known = Some(revision);
+                    known_revision = Some(revision);
                 }
-                Err(StoreError::Refused(StatusCode::GONE)) => {
-                    known = None;
-                    sleep(WATCH_PAUSE).await;
+                // The store's history no longer contains the known revision.
+                Err(StoreError::Rejected(StatusCode::GONE)) => {
+                    known_revision = None;
+                    sleep(WATCH_DELAY).await;
                 }
-                Err(StoreError::Refused(StatusCode::NOT_FOUND)) => {
+                Err(StoreError::Rejected(StatusCode::NOT_FOUND)) => {
                     // The operators have not written a configuration yet.
-                    sleep(RETRY_PAUSE).await;
+                    sleep(RETRY_DELAY).await;
                 }
                 Err(error) => {
-                    if !is_lost {
-                        self.report(Some(error.to_string())).await;
+                    if !is_store_lost {
+                        self.report_store(Some(error.to_string())).await;
                     }
-                    is_lost = true;
-                    sleep(RETRY_PAUSE).await;
+                    is_store_lost = true;
+                    sleep(RETRY_DELAY).await;
                 }
             }
         }
     }
 
-    /// Keeps an entry of the process in the store, and learns those of others.
-    pub async fn announce(self) {
-        let mut connection = StoreConnection::new(self.store);
+    /// Keeps a balancer registered in the store, and discovers the other balancers
+    /// whenever it registers anew.
+    pub async fn maintain_registration(self) {
+        let mut connection = StoreConnection::new(self.store_address);
         let mut lease: Option<u64> = None;
         loop {
             let result = match lease {
                 None => self.register(&mut connection).await.map(Some),
-                Some(lease) => renew(&mut connection, lease).await,
+                Some(lease) => renew_lease(&mut connection, lease).await,
             };
-            let pause = match result {
-                Ok(Some(kept)) => {
-                    lease = Some(kept);
+            let delay = match result {
+                Ok(Some(current_lease)) => {
+                    lease = Some(current_lease);
                     RENEW_INTERVAL
                 }
                 Ok(None) => {
                     lease = None;
                     continue;
                 }
-                Err(_) => RETRY_PAUSE * 2,
+                Err(_) => RETRY_DELAY * 2,
             };
-            sleep(pause).await;
+            sleep(delay).await;
         }
     }
 
-    /// Reads balancers and routes as long as no peer has told them.
-    pub async fn assist_host(self) {
-        let mut connection = StoreConnection::new(self.store);
+    /// Reads the balancers and routes from the store while a host knows none, because
+    /// no peer has sent them.
+    pub async fn poll_missing_state(self) {
+        let mut connection = StoreConnection::new(self.store_address);
         if self.list_balancers(&mut connection).await.is_err() {
-            sleep(RETRY_PAUSE).await;
+            sleep(RETRY_DELAY).await;
         }
         loop {
-            sleep(HOST_PATIENCE).await;
-            if self.status.balancers() == 0 {
-                // The store's outage is reported by the balancers.
+            sleep(HOST_POLL_INTERVAL).await;
+            if self.status.balancer_count() == 0 {
+                // Errors are ignored, because the balancers report an outage of the store.
                 let _ = self.list_balancers(&mut connection).await;
             }
-            if self.status.routes() == 0 {
+            if self.status.routes_version() == 0 {
                 let _ = self.read_configuration(&mut connection).await;
             }
         }
     }
 
+    /// Registers a balancer under a new lease, and returns the ID of the lease.
     async fn register(&self, connection: &mut StoreConnection) -> Result<u64, StoreError> {
         let _ = self.list_balancers(connection).await;
-        let answer = connection
-            .call(store::grant(ENTRY_LEASE), Duration::ZERO)
+        let body = connection
+            .call(store::grant_lease(REGISTRATION_TTL), Duration::ZERO)
             .await?;
-        let (lease, _) = store::read_lease(&answer)?;
+        let (lease, _) = store::decode_lease(&body)?;
         let key = format!("{}{}", store::BALANCER_PREFIX, self.address);
         let value = self.address.to_string();
         connection
-            .call(store::put(&key, value.as_bytes(), lease), Duration::ZERO)
+            .call(
+                store::put_key(&key, value.as_bytes(), lease),
+                Duration::ZERO,
+            )
             .await?;
-        // Those that started in the same moment have written theirs by now.
+        // Balancers that started at the same time have registered by now.
         let _ = self.list_balancers(connection).await;
         Ok(lease)
     }
 
     async fn list_balancers(&self, connection: &mut StoreConnection) -> Result<(), StoreError> {
-        let answer = connection
-            .call(store::list(store::BALANCER_PREFIX, None), Duration::ZERO)
+        let body = connection
+            .call(
+                store::list_prefix(store::BALANCER_PREFIX, None),
+                Duration::ZERO,
+            )
             .await?;
-        let items = store::read_items(&answer)?;
-        let contacts: Vec<Ipv4Addr> = items.items.iter().filter_map(read_contact).collect();
-        self.tell(CarryCommand::Contacts(contacts)).await;
+        let items = store::decode_items(&body)?;
+        let contacts: Vec<Ipv4Addr> = items.items.iter().filter_map(decode_contact).collect();
+        self.send_command(CarryCommand::AddContacts(contacts)).await;
         Ok(())
     }
 
+    /// Reads the configuration and applies it. Returns the revision of the store, at
+    /// which the next watch starts.
     async fn read_configuration(
         &self,
         connection: &mut StoreConnection,
     ) -> Result<u64, StoreError> {
-        let answer = connection
-            .call(store::get(store::CONFIGURATION_KEY), Duration::ZERO)
+        let body = connection
+            .call(store::get_key(store::CONFIGURATION_KEY), Duration::ZERO)
             .await?;
-        let (item, store_revision) = store::read_item(&answer)?;
-        self.apply(item).await;
-        // The history may begin after the item's own revision.
+        let (item, store_revision) = store::decode_item(&body)?;
+        self.apply_configuration(item).await;
+        // The store's history may no longer contain the item's own revision.
         Ok(store_revision)
     }
 
+    /// Waits for a change after a revision, and applies the newest configuration.
+    /// Returns the revision at which the next watch starts.
     async fn wait_for_change(
         &self,
         connection: &mut StoreConnection,
         revision: u64,
     ) -> Result<u64, StoreError> {
-        let request = store::watch(store::CONFIGURATION_KEY, revision, WATCH_WAIT);
-        let answer = connection.call(request, WATCH_WAIT).await?;
-        let items = store::read_items(&answer)?;
+        let request = store::watch_prefix(store::CONFIGURATION_KEY, revision, WATCH_TIMEOUT);
+        let body = connection.call(request, WATCH_TIMEOUT).await?;
+        let items = store::decode_items(&body)?;
         if let Some(item) = items.items.into_iter().next_back() {
-            self.apply(item).await;
+            self.apply_configuration(item).await;
         }
         Ok(items.store_revision.max(revision))
     }
 
-    async fn apply(&self, item: StoreItem) {
+    async fn apply_configuration(&self, item: StoreItem) {
         let Some(value) = item.value else {
             return;
         };
         match decode_configuration(&value) {
-            Ok((routes, left_out)) => {
-                if left_out > 0 {
-                    let error = format!("{left_out} routes cannot be read");
-                    self.report(Some(error)).await;
+            Ok((routes, skipped_routes)) => {
+                if skipped_routes > 0 {
+                    let error = format!("failed to decode {skipped_routes} routes; skipped them");
+                    self.report_store(Some(error)).await;
                 }
-                self.tell(CarryCommand::Routes(routes)).await;
+                self.send_command(CarryCommand::SetRoutes(routes)).await;
             }
-            Err(error) => self.report(Some(error.to_string())).await,
+            Err(error) => self.report_store(Some(error.to_string())).await,
         }
     }
 
-    async fn report(&self, error: Option<String>) {
-        self.tell(CarryCommand::Dependency {
+    /// Reports an error of the store or of the configuration in it; `None` reports
+    /// that the store is available again.
+    async fn report_store(&self, error: Option<String>) {
+        self.send_command(CarryCommand::DependencyChanged {
             name: "store",
             error,
         })
         .await;
     }
 
-    async fn tell(&self, command: CarryCommand) {
-        // The loop ends only with the process.
-        let _ = self.commands.send(command).await;
+    async fn send_command(&self, command: CarryCommand) {
+        // Sending fails only when the event loop has ended, and with it the process.
+        let _ = self.command_sender.send(command).await;
     }
 }
 
-/// Renews a lease; returns nothing when it has ended.
-async fn renew(connection: &mut StoreConnection, lease: u64) -> Result<Option<u64>, StoreError> {
-    match connection.call(store::renew(lease), Duration::ZERO).await {
+/// Renews a lease and returns its ID, or `None` if the lease has expired.
+async fn renew_lease(
+    connection: &mut StoreConnection,
+    lease: u64,
+) -> Result<Option<u64>, StoreError> {
+    match connection
+        .call(store::renew_lease(lease), Duration::ZERO)
+        .await
+    {
         Ok(_) => Ok(Some(lease)),
-        Err(StoreError::Refused(StatusCode::NOT_FOUND)) => Ok(None),
+        Err(StoreError::Rejected(StatusCode::NOT_FOUND)) => Ok(None),
         Err(error) => Err(error),
     }
 }
 
-fn read_contact(item: &StoreItem) -> Option<Ipv4Addr> {
+fn decode_contact(item: &StoreItem) -> Option<Ipv4Addr> {
     let value = item.value.as_deref()?;
     std::str::from_utf8(value).ok()?.parse().ok()
 }
