--- a/crates/flows/examples/carry_cost.rs
+++ b/crates/flows/examples/carry_cost.rs
@@ -1,4 +1,7 @@
-//! Prints what the decisions cost for each packet, without sockets.
+//! Measures how long a balancer's decisions take, without sockets.
+//!
+//! Prints the mean time for an opening packet, a packet of a known flow, a search and a
+//! hello.
 //!
 //! `cargo run --release -p hyssopstair-flows --example carry_cost`
 
@@ -24,21 +27,25 @@
 use hyssopstair_wire::carried::ServerState;
 use hyssopstair_wire::time::MonotonicTime;
 
+/// Number of flows that are opened and then used.
 const FLOWS: u32 = 20_000;
 
-fn target() -> SocketAddrV4 {
+/// Returns the address that callers connect to.
+fn target_address() -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::new(198, 18, 0, 1), 443)
 }
 
-fn host(number: u32) -> Ipv4Addr {
+/// Returns the address of a host.
+fn host_address(number: u32) -> Ipv4Addr {
     Ipv4Addr::from(0x0a01_0000 + number)
 }
 
-fn packet(flow: u32, is_open: bool) -> PacketHeader {
+/// Returns the header of a caller's packet, which opens the flow or follows on it.
+fn packet_header(flow: u32, is_open: bool) -> PacketHeader {
     let caller = Ipv4Addr::from(0x6440_0000 + flow / 50_000);
     PacketHeader {
         source: SocketAddrV4::new(caller, 1_024 + (flow % 50_000) as u16),
-        destination: target(),
+        destination: target_address(),
         is_open,
         has_ack: !is_open,
         is_finish: false,
@@ -50,7 +57,8 @@
     }
 }
 
-fn hello(number: u32) -> CarryMessage {
+/// Returns a hello of a host whose server is ready.
+fn host_hello(number: u32) -> CarryMessage {
     CarryMessage::Hello(HelloMessage {
         started: 1,
         number,
@@ -71,7 +79,8 @@
     })
 }
 
-fn balancer(hosts: u32, outbox: &mut FlowOutbox) -> FlowBalancer {
+/// Creates a balancer with one route that knows the given number of hosts.
+fn new_balancer(hosts: u32, outbox: &mut FlowOutbox) -> FlowBalancer {
     let identity = BalancerIdentity {
         address: Ipv4Addr::new(10, 2, 0, 1),
         zone: "a".to_owned(),
@@ -81,7 +90,7 @@
     let now = MonotonicTime::default();
     let mut balancer = FlowBalancer::new(identity, Vec::new(), now);
     let route = RouteRule {
-        target: target(),
+        target: target_address(),
         kind: RequestKind::Idempotent,
         timeout_millis: 800,
         priority: 1,
@@ -92,27 +101,27 @@
     };
     balancer.set_routes(RouteTable::new(1, 15_000, vec![route], Vec::new()), outbox);
     for number in 0..hosts {
-        balancer.receive_peer(host(number), &hello(1), None, &[], now, outbox);
+        balancer.receive_peer(host_address(number), &host_hello(1), None, &[], now, outbox);
     }
     outbox.clear();
     balancer
 }
 
-/// Nanoseconds of one of `count` calls.
-fn time(count: u32, mut call: impl FnMut(u32)) -> u128 {
+/// Returns the mean time of `count` calls, in nanoseconds.
+fn measure_nanos(count: u32, mut call: impl FnMut(u32)) -> u128 {
     let start = Instant::now();
     (0..count).for_each(&mut call);
     start.elapsed().as_nanos() / u128::from(count)
 }
 
 fn main() {
-    println!("hosts  opening  middle  search  hello  (ns, {FLOWS} flows)");
+    println!("hosts  opening  established  search  hello  (ns, {FLOWS} flows)");
     for hosts in [7, 45, 300] {
         let mut outbox = FlowOutbox::default();
-        let mut balancer = balancer(hosts, &mut outbox);
+        let mut balancer = new_balancer(hosts, &mut outbox);
         let now = MonotonicTime::from_millis(1_000);
-        let opening = time(FLOWS, |flow| {
-            let header = packet(flow, true);
+        let opening = measure_nanos(FLOWS, |flow| {
+            let header = packet_header(flow, true);
             let bytes = [0; 36];
             let raw = RawPacket {
                 header,
@@ -120,26 +129,33 @@
             };
             balancer.receive_caller_packet(&raw, now, &mut outbox);
             outbox.clear();
-            let owned = CarryMessage::Owned {
+            let claim = CarryMessage::Owned {
                 flow: header.caller_flow(),
                 load: CarryLoad::default(),
             };
-            balancer.receive_peer(host(flow % hosts), &owned, None, &[], now, &mut outbox);
+            balancer.receive_peer(
+                host_address(flow % hosts),
+                &claim,
+                None,
+                &[],
+                now,
+                &mut outbox,
+            );
             outbox.clear();
         });
-        let middle = time(FLOWS, |flow| {
+        let established = measure_nanos(FLOWS, |flow| {
             let bytes = [0; 1_236];
             let raw = RawPacket {
-                header: packet(flow, false),
+                header: packet_header(flow, false),
                 bytes: &bytes,
             };
             balancer.receive_caller_packet(&raw, now, &mut outbox);
             outbox.clear();
         });
-        // 400 searches at once: questions to all hosts, and a denial from each.
+        // 400 searches are pending at once, and every host denies every flow.
         let searches = 400;
-        let search = time(searches, |flow| {
-            let header = packet(FLOWS + flow, false);
+        let search = measure_nanos(searches, |flow| {
+            let header = packet_header(FLOWS + flow, false);
             let bytes = [0; 36];
             let raw = RawPacket {
                 header,
@@ -155,15 +171,22 @@
                 is_certain: true,
             };
             for number in 0..hosts {
-                balancer.receive_peer(host(number), &denial, None, &[], now, &mut outbox);
+                balancer.receive_peer(host_address(number), &denial, None, &[], now, &mut outbox);
             }
             outbox.clear();
         });
-        let hello_time = time(FLOWS, |number| {
-            let message = hello(number + 2);
-            balancer.receive_peer(host(number % hosts), &message, None, &[], now, &mut outbox);
+        let hello_time = measure_nanos(FLOWS, |number| {
+            let message = host_hello(number + 2);
+            balancer.receive_peer(
+                host_address(number % hosts),
+                &message,
+                None,
+                &[],
+                now,
+                &mut outbox,
+            );
             outbox.clear();
         });
-        println!("{hosts:5}  {opening:7}  {middle:6}  {search:6}  {hello_time:5}");
+        println!("{hosts:5}  {opening:7}  {established:11}  {search:6}  {hello_time:5}");
     }
 }
