--- a/crates/flows/tests/fuzz.rs
+++ b/crates/flows/tests/fuzz.rs
@@ -1,6 +1,7 @@
-//! Random faults against the rules, from fixed seeds.
+//! Checks the invariants of the system under random faults.
 //!
-//! `HYSSOPSTAIR_FUZZ_CASES` plays more seeds, `HYSSOPSTAIR_FUZZ_SEED` one alone.
+//! A seed determines the fleet, the faults and their times. `HYSSOPSTAIR_FUZZ_CASES` sets
+//! the number of seeds, and `HYSSOPSTAIR_FUZZ_SEED` selects a single one.
 
 mod fixture;
 mod model;
@@ -16,9 +17,10 @@
 use crate::model::world::World;
 use crate::model::world::WorldPlan;
 
-/// Seeds that every run plays.
+/// Number of seeds, counted from 0, if no variable sets them.
 const DEFAULT_CASES: u64 = 60;
 
+/// Draws a fault of a process or server that the plan has.
 fn random_fault(random: &mut SmallRng, plan: &WorldPlan) -> Fault {
     let balancer = random.random_range(1..=plan.balancers);
     let host = random.random_range(1..=plan.hosts);
@@ -40,24 +42,25 @@
     }
 }
 
-fn plan_of(seed: u64) -> WorldPlan {
+/// Returns the plan that a seed determines.
+fn build_plan(seed: u64) -> WorldPlan {
     let mut random = SmallRng::seed_from_u64(seed ^ 0x5eed);
     let mut plan = WorldPlan {
         balancers: random.random_range(2..=5),
         hosts: random.random_range(2..=9),
         callers: random.random_range(10..=80),
         slots: random.random_range(1..=3),
-        work: (5_000, 40_000),
+        work_micros: (5_000, 40_000),
         slow_hosts: 0,
         failing_hosts: 0,
         policy: PlacingPolicy::Product,
         burst: None,
-        pause: 300,
-        loss: random.random_range(0..=5),
+        max_pause_millis: 300,
+        loss_per_mille: random.random_range(0..=5),
         faults: Vec::new(),
-        millis: 20_000,
-        has_archive: random.random_bool(0.4),
-        moves_all: random.random_bool(0.3),
+        duration_millis: 20_000,
+        has_archive_service: random.random_bool(0.4),
+        moves_most_flows: random.random_bool(0.3),
     };
     for _ in 0..random.random_range(2..=14) {
         let at = random.random_range(3_000..18_000);
@@ -67,27 +70,29 @@
     plan
 }
 
-fn play(seed: u64) -> Vec<String> {
-    let mut world = World::new(plan_of(seed), seed);
+/// Runs the simulation of a seed. Returns a description of the first violations, at most
+/// three, and of a run in which fewer than 50 requests were answered.
+fn run_seed(seed: u64) -> Vec<String> {
+    let mut world = World::new(build_plan(seed), seed);
     world.run();
-    let mut found: Vec<String> = world
+    let mut failures: Vec<String> = world
         .oracle
-        .broken()
+        .violations()
         .iter()
         .take(3)
         .map(|text| format!("seed {seed}: {text}"))
         .collect();
     if world.tally.answered < 50 {
-        found.push(format!(
-            "seed {seed}: hardly anything was served: {:?}",
+        failures.push(format!(
+            "seed {seed}: fewer than 50 requests were answered: {:?}",
             world.tally
         ));
     }
-    found
+    failures
 }
 
 #[test]
-fn no_rule_is_broken_under_random_faults() {
+fn no_invariant_is_violated_under_random_faults() {
     let seeds: Vec<u64> = match env::var("HYSSOPSTAIR_FUZZ_SEED") {
         Ok(seed) => vec![seed.parse().expect("HYSSOPSTAIR_FUZZ_SEED is a number")],
         Err(_) => {
@@ -98,28 +103,28 @@
             (0..cases).collect()
         }
     };
-    let found: Vec<String> = seeds.into_iter().flat_map(play).collect();
-    assert!(found.is_empty(), "{}", found.join("\n"));
+    let failures: Vec<String> = seeds.into_iter().flat_map(run_seed).collect();
+    assert!(failures.is_empty(), "{}", failures.join("\n"));
 }
 
-/// Seeds that break a rule by a fault that is not mended; see KNOWN-RED.txt.
+/// Seeds that violate an invariant because of a known bug; see KNOWN-RED.txt.
 #[test]
 fn seeds_that_are_known_to_fail() {
-    let found: Vec<String> = [390, 423].into_iter().flat_map(play).collect();
-    assert!(found.is_empty(), "{}", found.join("\n"));
+    let failures: Vec<String> = [390, 423].into_iter().flat_map(run_seed).collect();
+    assert!(failures.is_empty(), "{}", failures.join("\n"));
 }
 
 #[test]
-#[ignore = "prints what happened to one flow; run by hand"]
+#[ignore = "prints the events of one flow; run by hand"]
 fn trace_of_a_flow() {
     let seed: u64 = env::var("HYSSOPSTAIR_FUZZ_SEED")
         .unwrap_or_default()
         .parse()
         .unwrap_or(0);
-    let plan = plan_of(seed);
+    let plan = build_plan(seed);
     println!("{plan:?}");
     let mut world = World::new(plan, seed);
-    world.traced = env::var("HYSSOPSTAIR_FUZZ_CALLER").ok();
+    world.traced_caller = env::var("HYSSOPSTAIR_FUZZ_CALLER").ok();
     world.run();
-    println!("{:?} {:?}", world.tally, world.oracle.broken());
+    println!("{:?} {:?}", world.tally, world.oracle.violations());
 }
--- a/crates/flows/tests/heartbeat.rs
+++ b/crates/flows/tests/heartbeat.rs
@@ -1,4 +1,5 @@
-//! The order of heartbeats: late ones and those of earlier lives change nothing.
+//! The order of heartbeats. Late heartbeats and those of earlier server incarnations
+//! change no state.
 
 mod fixture;
 
@@ -10,16 +11,17 @@
 
 use crate::fixture::*;
 
-fn beat(born: u64, sequence: u64) -> ServerHeartbeat {
+/// Returns a heartbeat of the server incarnation with this start time in milliseconds.
+fn heartbeat_of(started: u64, sequence: u64) -> ServerHeartbeat {
     ServerHeartbeat {
-        started_unix_millis: born,
+        started_unix_millis: started,
         ..heartbeat(sequence)
     }
 }
 
 #[test]
-fn heartbeats_are_ordered_by_life_and_number() {
-    let mut log = HeartbeatTracker::default();
+fn heartbeats_are_ordered_by_incarnation_and_sequence() {
+    let mut tracker = HeartbeatTracker::default();
     let steps = [
         (1_000, 3),
         (1_000, 4),
@@ -31,10 +33,10 @@
     ];
     let orders: Vec<String> = steps
         .iter()
-        .map(|(born, sequence)| {
+        .map(|(started, sequence)| {
             format!(
-                "{born}/{sequence} {:?}",
-                log.record(&beat(*born, *sequence), at(0))
+                "{started}/{sequence} {:?}",
+                tracker.record(&heartbeat_of(*started, *sequence), at(0))
             )
         })
         .collect();
@@ -50,36 +52,47 @@
 }
 
 #[test]
-fn a_late_heartbeat_of_an_earlier_life_breaks_no_flow() {
+fn a_late_heartbeat_of_an_earlier_incarnation_breaks_no_flow() {
     let mut outbox = FlowOutbox::default();
-    let mut gate = gate(1);
-    gate.receive_heartbeat(&beat(2_000, 0), at(0), &mut outbox);
-    take_flow(&mut gate, 4_001, 20, &mut outbox);
+    let mut host = new_host(1);
+    host.receive_heartbeat(&heartbeat_of(2_000, 0), at(0), &mut outbox);
+    open_flow(&mut host, 4_001, 20, &mut outbox);
     outbox.clear();
-    gate.receive_heartbeat(&beat(1_000, 50), at(30), &mut outbox);
-    let owner = header(ForwardPurpose::Owner);
-    gate.receive_forwarded_packet(&owner, &raw(&request(4_001)), at(40), &mut outbox);
-    expect!["Server: packet"].assert_eq(&drain(&mut outbox));
+    host.receive_heartbeat(&heartbeat_of(1_000, 50), at(30), &mut outbox);
+    let owner_header = carry_header(ForwardPurpose::Owner);
+    host.receive_forwarded_packet(
+        &owner_header,
+        &raw_packet(&request_packet(4_001)),
+        at(40),
+        &mut outbox,
+    );
+    expect!["Server: packet"].assert_eq(&take_output(&mut outbox));
 }
 
 #[test]
-fn a_flow_that_opened_at_another_server_gets_no_further_here() {
+fn a_packet_of_a_flow_that_opened_at_another_server_is_returned() {
     let mut outbox = FlowOutbox::default();
-    let mut gate = ready_gate(1);
-    take_flow(&mut gate, 4_001, 20, &mut outbox);
+    let mut host = new_ready_host(1);
+    open_flow(&mut host, 4_001, 20, &mut outbox);
     outbox.clear();
-    // The caller took the answer of a server whose stream starts at 900000.
-    let mut other = request(4_001);
-    other.acknowledged = 900_001;
-    let owner = header(ForwardPurpose::Owner);
-    gate.receive_forwarded_packet(&owner, &raw(&other), at(27), &mut outbox);
-    expect!["Peer(10.0.2.1): Returned { purpose: Owner } + 6 bytes"].assert_eq(&drain(&mut outbox));
+    // The caller acknowledges the stream of another server, which starts at 900000.
+    let mut other_packet = request_packet(4_001);
+    other_packet.acknowledged = 900_001;
+    let owner_header = carry_header(ForwardPurpose::Owner);
+    host.receive_forwarded_packet(
+        &owner_header,
+        &raw_packet(&other_packet),
+        at(27),
+        &mut outbox,
+    );
+    expect!["Peer(10.0.2.1): Returned { purpose: Owner } + 6 bytes"]
+        .assert_eq(&take_output(&mut outbox));
 }
 
 #[test]
-fn a_server_whose_clock_was_set_back_is_heard_again() {
-    let mut log = HeartbeatTracker::default();
-    // The second life was born an hour earlier, by its clock.
+fn heartbeats_of_a_server_whose_clock_was_set_back_are_accepted_again() {
+    let mut tracker = HeartbeatTracker::default();
+    // By its clock, the second incarnation started an hour before the first.
     let steps = [
         (3_601_000, 7, 0),
         (1_000, 0, 1_500),
@@ -90,8 +103,8 @@
     ];
     let orders: Vec<String> = steps
         .iter()
-        .map(|(born, sequence, millis)| {
-            let order = log.record(&beat(*born, *sequence), at(*millis));
+        .map(|(started, sequence, millis)| {
+            let order = tracker.record(&heartbeat_of(*started, *sequence), at(*millis));
             format!("{millis} {order:?}")
         })
         .collect();
@@ -106,13 +119,13 @@
 }
 
 #[test]
-fn late_heartbeats_do_not_replace_a_life_that_goes_on() {
-    let mut log = HeartbeatTracker::default();
-    log.record(&beat(9_000, 0), at(0));
+fn late_heartbeats_do_not_replace_a_running_incarnation() {
+    let mut tracker = HeartbeatTracker::default();
+    tracker.record(&heartbeat_of(9_000, 0), at(0));
     let orders: Vec<String> = (1..6)
         .map(|number| {
-            log.record(&beat(9_000, number), at(number * 1_200));
-            let late = log.record(&beat(1_000, 40 + number), at(number * 1_200 + 1));
+            tracker.record(&heartbeat_of(9_000, number), at(number * 1_200));
+            let late = tracker.record(&heartbeat_of(1_000, 40 + number), at(number * 1_200 + 1));
             format!("{late:?}")
         })
         .collect();
@@ -120,27 +133,33 @@
 }
 
 #[test]
-fn one_late_heartbeat_does_not_bring_a_life_back() {
-    let mut log = HeartbeatTracker::default();
-    log.record(&beat(9_000, 0), at(0));
-    let late = log.record(&beat(1_000, 40), at(20_000));
-    let again = log.record(&beat(1_000, 40), at(20_100));
-    expect!["Late Late"].assert_eq(&format!("{late:?} {again:?}"));
+fn one_late_heartbeat_does_not_restore_an_incarnation() {
+    let mut tracker = HeartbeatTracker::default();
+    tracker.record(&heartbeat_of(9_000, 0), at(0));
+    let late = tracker.record(&heartbeat_of(1_000, 40), at(20_000));
+    let repeated = tracker.record(&heartbeat_of(1_000, 40), at(20_100));
+    expect!["Late Late"].assert_eq(&format!("{late:?} {repeated:?}"));
 }
 
 #[test]
 fn flows_of_a_server_whose_clock_was_set_back_are_not_reset() {
     let mut outbox = FlowOutbox::default();
-    let mut gate = gate(1);
-    gate.receive_heartbeat(&beat(3_601_000, 7), at(0), &mut outbox);
-    // The next life started at once, and nobody noticed.
-    take_flow(&mut gate, 4_001, 2_000, &mut outbox);
-    let owner = header(ForwardPurpose::Owner);
-    gate.receive_forwarded_packet(&owner, &raw(&request(4_001)), at(2_010), &mut outbox);
+    let mut host = new_host(1);
+    host.receive_heartbeat(&heartbeat_of(3_601_000, 7), at(0), &mut outbox);
+    // The next incarnation has already started and holds this flow, but its heartbeats are
+    // still taken for late ones.
+    open_flow(&mut host, 4_001, 2_000, &mut outbox);
+    let owner_header = carry_header(ForwardPurpose::Owner);
+    host.receive_forwarded_packet(
+        &owner_header,
+        &raw_packet(&request_packet(4_001)),
+        at(2_010),
+        &mut outbox,
+    );
     outbox.clear();
     for sequence in 0..6 {
         let millis = 1_500 + sequence * 1_200;
-        gate.receive_heartbeat(&beat(1_000, sequence), at(millis), &mut outbox);
+        host.receive_heartbeat(&heartbeat_of(1_000, sequence), at(millis), &mut outbox);
     }
-    expect![""].assert_eq(&drain(&mut outbox));
+    expect![""].assert_eq(&take_output(&mut outbox));
 }
--- a/crates/flows/tests/heavy.rs
+++ b/crates/flows/tests/heavy.rs
@@ -1,7 +1,7 @@
-//! Heavy days: what callers get, against plainer ways to place new flows.
+//! Compares the placement of new flows with simpler policies under heavy load.
 //!
 //! The load is that of the busiest days: servers with two slots that are 60 to 90 %
-//! busy, half of the callers with long flows.
+//! busy, and half of the callers with long flows.
 
 mod fixture;
 mod model;
@@ -22,42 +22,47 @@
     PlacingPolicy::PlainHash,
 ];
 
-/// Seeds over which each figure is summed, so that luck counts for little.
+/// Number of seeds over which each result is summed, to reduce the influence of chance.
 const SEEDS: u64 = 6;
 
-/// What callers got: parts of a thousand, and the fewest answers in time that were
-/// asked for in one second.
+/// Outcome of the requests of all seeds, in thousandths.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
-struct DayResult {
+struct LoadResult {
     in_time: u32,
     late: u32,
+    /// Refused, broken or abandoned requests.
     unserved: u32,
+    /// Of the answers to callers with many requests on a flow, those in time.
     feeds_in_time: u32,
+    /// Of the answers to callers with one request on a flow, those in time.
     short_in_time: u32,
+    /// Fewest answers in time to the requests of one second; a count, not a share.
     worst_second: u32,
 }
 
-fn plan() -> WorldPlan {
+/// Returns the plan that the tests vary.
+fn base_plan() -> WorldPlan {
     WorldPlan {
         balancers: 3,
         hosts: 8,
         callers: 95,
         slots: 2,
-        work: (10_000, 30_000),
+        work_micros: (10_000, 30_000),
         slow_hosts: 0,
         failing_hosts: 0,
         policy: PlacingPolicy::Product,
         burst: None,
-        pause: 200,
-        loss: 0,
+        max_pause_millis: 200,
+        loss_per_mille: 0,
         faults: Vec::new(),
-        millis: 14_000,
-        has_archive: false,
-        moves_all: false,
+        duration_millis: 14_000,
+        has_archive_service: false,
+        moves_most_flows: false,
     }
 }
 
-fn play(plan: &WorldPlan) -> DayResult {
+/// Runs a plan with all seeds.
+fn run_seeds(plan: &WorldPlan) -> LoadResult {
     let (mut in_time, mut answered, mut unserved) = (0, 0, 0);
     let (mut feeds, mut feeds_in_time) = (0, 0);
     let mut worst_second = u32::MAX;
@@ -70,15 +75,16 @@
         unserved += tally.refused + tally.broken + tally.given_up;
         feeds += tally.feed_answered;
         feeds_in_time += tally.feed_in_time;
-        // Callers wait for their answers, so a way that serves fewer is asked less,
-        // and shares of a second do not compare. Callers begin in the first seconds,
-        // and the last one is cut off.
-        let seconds = world.seconds.iter().skip(4).take(8);
+        // Callers wait for their answers and send fewer requests under a policy that
+        // answers fewer, so the shares of a second are not comparable. The first seconds,
+        // in which callers start, and the last ones, whose requests may be incomplete,
+        // are left out.
+        let seconds = world.results_by_second.iter().skip(4).take(8);
         let worst = seconds.map(|(in_time, _)| *in_time).min();
         worst_second = worst_second.min(worst.unwrap_or(0));
     }
     let total = answered + unserved;
-    DayResult {
+    LoadResult {
         in_time: in_time * 1_000 / total,
         late: (answered - in_time) * 1_000 / total,
         unserved: unserved * 1_000 / total,
@@ -88,15 +94,15 @@
     }
 }
 
-/// Plays a day with all policies, and checks that callers get most from the
-/// product's.
-fn compare(plan: WorldPlan, expected: Expect) {
+/// Runs a plan with all policies, and checks that no other policy answers more requests
+/// in time than the crate's, over all or in the worst second.
+fn compare_policies(plan: WorldPlan, expected: Expect) {
     let results = POLICIES.map(|policy| {
         let plan = WorldPlan {
             policy,
             ..plan.clone()
         };
-        play(&plan)
+        run_seeds(&plan)
     });
     let lines: Vec<String> = POLICIES
         .iter()
@@ -125,9 +131,9 @@
 }
 
 #[test]
-fn servers_that_are_nearly_busy() {
-    compare(
-        plan(),
+fn servers_near_capacity() {
+    compare_policies(
+        base_plan(),
         expect![[r#"
             Product: in time 1000 late 0 unserved 0, feeds 1000 short 1000, worst second 635
             BestHost: in time 895 late 96 unserved 8, feeds 987 short 745, worst second 393
@@ -137,13 +143,13 @@
 }
 
 #[test]
-fn two_servers_that_are_slow() {
+fn two_slow_servers() {
     let plan = WorldPlan {
         slow_hosts: 2,
         callers: 60,
-        ..plan()
+        ..base_plan()
     };
-    compare(
+    compare_policies(
         plan,
         expect![[r#"
             Product: in time 979 late 20 unserved 0, feeds 974 short 984, worst second 392
@@ -154,13 +160,13 @@
 }
 
 #[test]
-fn a_server_that_fails_at_once() {
+fn a_server_that_fails_every_request() {
     let plan = WorldPlan {
         failing_hosts: 1,
         callers: 60,
-        ..plan()
+        ..base_plan()
     };
-    compare(
+    compare_policies(
         plan,
         expect![[r#"
         Product: in time 999 late 0 unserved 0, feeds 1000 short 1000, worst second 423
@@ -174,15 +180,15 @@
 fn a_burst_of_callers() {
     let burst = CallerBurst {
         callers: 70,
-        from: 6_000,
-        until: 9_000,
+        from_millis: 6_000,
+        until_millis: 9_000,
     };
     let plan = WorldPlan {
         callers: 80,
         burst: Some(burst),
-        ..plan()
+        ..base_plan()
     };
-    compare(
+    compare_policies(
         plan,
         expect![[r#"
             Product: in time 972 late 27 unserved 0, feeds 997 short 944, worst second 566
@@ -193,13 +199,13 @@
 }
 
 #[test]
-fn a_server_that_crashes_and_a_host_that_is_cut_off() {
+fn a_server_crash_and_a_host_partition() {
     let plan = WorldPlan {
         callers: 80,
         faults: vec![(6_000, Fault::CrashServer(3)), (9_000, Fault::CutHost(5))],
-        ..plan()
+        ..base_plan()
     };
-    compare(
+    compare_policies(
         plan,
         expect![[r#"
             Product: in time 996 late 2 unserved 1, feeds 999 short 995, worst second 483
--- a/crates/flows/tests/membership.rs
+++ b/crates/flows/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Processes find each other.
+//! Discovery of peers: the balancers that hellos announce.
 
 mod fixture;
 
@@ -15,6 +15,7 @@
 
 use crate::fixture::*;
 
+/// Returns a hello of a balancer that knows no peers.
 fn balancer_hello(number: u32) -> CarryMessage {
     CarryMessage::Hello(HelloMessage {
         started: 1,
@@ -31,9 +32,9 @@
     })
 }
 
-/// Returns the balancers that the hellos to a peer name.
-fn told_to(peer: Ipv4Addr, outbox: &FlowOutbox) -> Vec<Ipv4Addr> {
-    let mut told = Vec::new();
+/// Returns the balancers that the hellos to a peer announce.
+fn announced_balancers(peer: Ipv4Addr, outbox: &FlowOutbox) -> Vec<Ipv4Addr> {
+    let mut announced = Vec::new();
     for (destination, bytes) in outbox.datagrams() {
         if destination != Destination::Peer(peer) {
             continue;
@@ -41,38 +42,38 @@
         if let Some((CarryMessage::Hello(hello), _)) = CarryMessage::decode(bytes)
             && let HelloRole::Balancer(balancer) = hello.role
         {
-            told.extend(balancer.balancers);
+            announced.extend(balancer.balancers);
         }
     }
-    told
+    announced
 }
 
 #[test]
-fn hellos_name_all_balancers_in_turn() {
+fn successive_hellos_announce_all_balancers() {
     let mut outbox = FlowOutbox::default();
-    let mut balancer = balancer();
-    greet(&mut balancer, 1, &host_hello(1, 0), at(10), &mut outbox);
+    let mut balancer = new_balancer();
+    receive_host_hello(&mut balancer, 1, &host_hello(1, 0), at(10), &mut outbox);
     for number in 2..=50 {
         let from = balancer_address(number);
         balancer.receive_peer(from, &balancer_hello(1), None, &[], at(10), &mut outbox);
     }
     outbox.clear();
-    let mut told = BTreeSet::new();
+    let mut announced = BTreeSet::new();
     let mut counts = Vec::new();
     for millis in (500..4_000).step_by(500) {
         balancer.tick(at(millis), &mut outbox);
-        told.extend(told_to(host(1), &outbox));
-        counts.push(told.len().to_string());
+        announced.extend(announced_balancers(host_address(1), &outbox));
+        counts.push(announced.len().to_string());
         outbox.clear();
     }
     expect!["16, 28, 40, 49, 49, 49, 49"].assert_eq(&counts.join(", "));
 }
 
 #[test]
-fn a_balancer_that_was_just_met_is_named_at_once() {
+fn a_new_balancer_is_announced_in_the_next_hello() {
     let mut outbox = FlowOutbox::default();
-    let mut balancer = balancer();
-    greet(&mut balancer, 1, &host_hello(1, 0), at(10), &mut outbox);
+    let mut balancer = new_balancer();
+    receive_host_hello(&mut balancer, 1, &host_hello(1, 0), at(10), &mut outbox);
     for number in 3..=50 {
         let from = balancer_address(number);
         balancer.receive_peer(from, &balancer_hello(1), None, &[], at(10), &mut outbox);
@@ -87,6 +88,6 @@
     );
     outbox.clear();
     balancer.tick(at(1_000), &mut outbox);
-    let is_named = told_to(host(1), &outbox).contains(&balancer_address(2));
-    expect!["true"].assert_eq(&is_named.to_string());
+    let is_announced = announced_balancers(host_address(1), &outbox).contains(&balancer_address(2));
+    expect!["true"].assert_eq(&is_announced.to_string());
 }
--- a/crates/flows/tests/model/caller.rs
+++ b/crates/flows/tests/model/caller.rs
@@ -1,4 +1,4 @@
-//! A caller of the model: one flow at a time, some of them with many requests.
+//! A caller of the simulation, which has one flow open at a time.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddrV4;
@@ -8,114 +8,134 @@
 use crate::fixture;
 use crate::model::packet::ModelPacket;
 
-/// Bytes of a request.
+/// Length of a request in bytes.
 pub const REQUEST_LENGTH: u16 = 80;
 
-/// Milliseconds after which a caller gives a request up.
-pub const TIME_BUDGET: u64 = 1_500;
+/// Time after which a caller abandons a request, in milliseconds.
+pub const REQUEST_TIMEOUT_MILLIS: u64 = 1_500;
 
-/// Tries of a request after the first.
-pub const RETRIES: u8 = 2;
+/// Attempts of a request after the first.
+pub const MAX_RETRIES: u8 = 2;
 
-/// How far an attempt has come.
+/// Progress of an attempt to send requests on a flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptPhase {
+    /// The opening packet has not been accepted.
     Opening,
+    /// The flow is open, and a request is in progress or will follow.
     Open,
+    /// The attempt has ended.
     Done,
 }
 
-/// What callers got.
+/// Number of requests of all callers by their outcome.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct CallerTally {
+    /// Answered, whether in time or late.
     pub answered: u32,
+    /// Answered within the target time.
     pub in_time: u32,
-    /// Those of callers that send many requests on a flow.
+    /// Answered to callers that send many requests on a flow.
     pub feed_answered: u32,
+    /// Answered within the target time to callers that send many requests on a flow.
     pub feed_in_time: u32,
+    /// Refused or failed in all attempts.
     pub refused: u32,
+    /// Lost because their flow was reset after it had opened.
     pub broken: u32,
+    /// Abandoned after the timeout.
     pub given_up: u32,
 }
 
-/// One caller.
+/// State of one caller.
 #[derive(Debug)]
 pub struct ModelCaller {
+    /// Address of the caller, which is the same for all its flows.
     pub address: Ipv4Addr,
+    /// Port of the current flow.
     pub port: u16,
+    /// Progress of the current attempt.
     pub phase: AttemptPhase,
-    pub copies: u32,
-    pub asked: u64,
-    /// Tries of the request that were refused.
-    pub refused_tries: u8,
-    pub requests_left: u32,
-    /// Position in its own stream.
-    pub position: u32,
-    /// Start of the server's stream, once the flow is open.
-    pub server_start: u32,
-    /// Counts attempts and requests, so that old timers are known.
-    pub turn: u64,
+    /// Retransmissions of the opening packet.
+    pub retransmit_count: u32,
+    /// Time of the first attempt of the request, in milliseconds.
+    pub requested_at: u64,
+    /// Attempts of the request that were refused or failed.
+    pub failed_attempts: u8,
+    /// Requests that are still to be answered on the flow.
+    pub remaining_requests: u32,
+    /// Position of the next request in the caller's stream.
+    pub stream_position: u32,
+    /// Initial position of the server's stream; 0 before the flow is open.
+    pub server_stream_start: u32,
+    /// Incremented with each attempt and request, so that timers of earlier ones are
+    /// recognized as stale.
+    pub generation: u64,
 }
 
 impl ModelCaller {
+    /// Creates a caller whose address ends in `number`.
     pub fn new(number: u8) -> Self {
         Self {
             address: Ipv4Addr::new(100, 64, 0, number),
             port: 1_000,
             phase: AttemptPhase::Done,
-            copies: 0,
-            asked: 0,
-            refused_tries: 0,
-            requests_left: 0,
-            position: 0,
-            server_start: 0,
-            turn: 0,
+            retransmit_count: 0,
+            requested_at: 0,
+            failed_attempts: 0,
+            remaining_requests: 0,
+            stream_position: 0,
+            server_stream_start: 0,
+            generation: 0,
         }
     }
 
+    /// Returns the key of the current flow.
     pub fn flow(&self) -> FlowKey {
         FlowKey {
             caller: SocketAddrV4::new(self.address, self.port),
-            target: fixture::target(),
+            target: fixture::target_address(),
         }
     }
 
-    /// Starts a flow that carries `requests`, the first of which may have been
-    /// refused before.
-    pub fn start(&mut self, requests: u32, now: u64) {
+    /// Starts a new flow from another port for a number of requests. The first of them
+    /// may be a retry of a refused or failed one.
+    pub fn start_flow(&mut self, requests: u32, now: u64) {
         self.port = if self.port >= 60_000 {
             1_000
         } else {
             self.port + 1
         };
         self.phase = AttemptPhase::Opening;
-        self.copies = 0;
-        if self.refused_tries == 0 {
-            self.asked = now;
+        self.retransmit_count = 0;
+        if self.failed_attempts == 0 {
+            self.requested_at = now;
         }
-        self.requests_left = requests;
-        self.position = 1;
-        self.server_start = 0;
-        self.turn += 1;
+        self.remaining_requests = requests;
+        self.stream_position = 1;
+        self.server_stream_start = 0;
+        self.generation += 1;
     }
 
-    pub fn opening(&self) -> ModelPacket {
+    /// Returns the opening packet of the flow.
+    pub fn opening_packet(&self) -> ModelPacket {
         let flow = self.flow();
         ModelPacket {
             is_open: true,
-            acknowledged: self.copies,
-            ..ModelPacket::plain(flow.caller, flow.target)
+            acknowledged: self.retransmit_count,
+            ..ModelPacket::new(flow.caller, flow.target)
         }
     }
 
-    pub fn request(&self) -> ModelPacket {
+    /// Returns the packet of the current request.
+    pub fn request_packet(&self) -> ModelPacket {
         let flow = self.flow();
         ModelPacket {
             has_ack: true,
-            sequence: self.position,
-            acknowledged: self.server_start + 1,
+            sequence: self.stream_position,
+            acknowledged: self.server_stream_start + 1,
             data_length: REQUEST_LENGTH,
-            ..ModelPacket::plain(flow.caller, flow.target)
+            ..ModelPacket::new(flow.caller, flow.target)
         }
     }
 }
--- a/crates/flows/tests/model/mod.rs
+++ b/crates/flows/tests/model/mod.rs
@@ -1,9 +1,10 @@
-//! A small fleet in one thread: the real decisions of balancers and hosts between
-//! modelled callers, servers, routers and a network that loses and delays.
+//! A deterministic, single-threaded simulation of a fleet.
 //!
-//! All times and faults come from one seed. The rules are checked by [`oracle`]
-//! while the fleet runs, from what servers and callers see.
-#![allow(dead_code, reason = "each test uses a part")]
+//! The balancers and hosts run the decision code of the crate. Callers, backend
+//! servers, routers and a network that delays and drops datagrams are modelled. All
+//! delays and faults derive from one seed. While the simulation runs, [`oracle`]
+//! checks the invariants, based only on the packets that servers and callers receive.
+#![allow(dead_code, reason = "each test uses a part of the module")]
 
 pub mod caller;
 pub mod oracle;
--- a/crates/flows/tests/model/oracle.rs
+++ b/crates/flows/tests/model/oracle.rs
@@ -1,114 +1,128 @@
-//! The rules, as servers and callers see them.
+//! Checks the invariants of the system by the packets that servers and callers receive.
+//!
+//! The packets of an open flow must reach the server that holds it, no flow may be reset
+//! while its server holds it, new flows must go to a service that a route allows, and a
+//! draining server must get no new flows.
 
 use std::collections::BTreeMap;
 
 use hyssopstair_wire::carried::FlowKey;
 
-/// Packets of a flow that other servers may get while its own gets none.
-const MAX_STRAY: usize = 2;
+/// Packets of a flow that may reach other servers while its own server gets none.
+const MAX_MISROUTED: usize = 2;
 
-/// Milliseconds without a packet at its own server that break the rule.
-const STRAY_PERIOD: u64 = 2_000;
+/// Time without a packet at the flow's own server after which misrouted packets count as
+/// a violation, in milliseconds.
+const MISROUTED_PERIOD_MILLIS: u64 = 2_000;
 
-/// Milliseconds without a disturbance after which a process is held to all rules.
-pub const CONTACT: u64 = 4_000;
+/// Time after a fault of a process before which violations that involve the process are
+/// ignored, in milliseconds.
+pub const RECOVERY_MILLIS: u64 = 4_000;
 
-/// Milliseconds in which new flows must have ceased after a confirmed drain.
-const DRAIN_BOUND: u64 = 3_000;
+/// Time after a confirmed drain within which new flows may still arrive, in milliseconds.
+const MAX_DRAIN_DELAY_MILLIS: u64 = 3_000;
 
-/// Where an open flow is, and which packets went elsewhere.
+/// Delivery times of the packets of an open flow, in milliseconds.
 #[derive(Debug, Default, Clone)]
-struct FlowTrace {
-    last_own: u64,
-    stray: Vec<u64>,
+struct FlowDeliveries {
+    /// Time of the last packet that reached the server that holds the flow.
+    last_owner_packet_at: u64,
+    /// Times of the packets since then that reached other servers.
+    misrouted_at: Vec<u64>,
 }
 
-impl FlowTrace {
-    /// Whether the flow's packets went astray for the whole period before `now`.
-    fn is_broken(&self, now: u64) -> bool {
-        let is_long = now >= self.last_own + STRAY_PERIOD;
-        let is_dense = self
-            .stray
-            .windows(MAX_STRAY + 1)
-            .any(|window| window[MAX_STRAY] - window[0] <= STRAY_PERIOD);
-        is_long && is_dense
+impl FlowDeliveries {
+    /// Returns whether the flow's own server got no packet for the whole period before
+    /// `now`, while other servers got more than may be misrouted within such a period.
+    fn is_violation(&self, now: u64) -> bool {
+        let is_starved = now >= self.last_owner_packet_at + MISROUTED_PERIOD_MILLIS;
+        let is_frequent = self
+            .misrouted_at
+            .windows(MAX_MISROUTED + 1)
+            .any(|window| window[MAX_MISROUTED] - window[0] <= MISROUTED_PERIOD_MILLIS);
+        is_starved && is_frequent
     }
 }
 
-/// Collects broken rules.
+/// Collects violations of the invariants.
 #[derive(Debug, Default)]
 pub struct RuleOracle {
-    flows: BTreeMap<FlowKey, FlowTrace>,
-    broken: Vec<String>,
+    flows: BTreeMap<FlowKey, FlowDeliveries>,
+    violations: Vec<String>,
 }
 
 impl RuleOracle {
-    pub fn broken(&self) -> &[String] {
-        &self.broken
+    /// Returns descriptions of the violations.
+    pub fn violations(&self) -> &[String] {
+        &self.violations
     }
 
-    /// A packet of an open flow reached the server that holds it.
-    pub fn note_own(&mut self, flow: FlowKey, now: u64) {
-        self.check(flow, now);
-        let trace = self.flows.entry(flow).or_default();
-        trace.last_own = now;
-        trace.stray.clear();
+    /// Records that a packet of an open flow reached the server that holds it.
+    pub fn record_owner_packet(&mut self, flow: FlowKey, now: u64) {
+        self.check_flow(flow, now);
+        let deliveries = self.flows.entry(flow).or_default();
+        deliveries.last_owner_packet_at = now;
+        deliveries.misrouted_at.clear();
     }
 
-    /// A packet of an open flow reached another server. It counts if all that took
-    /// part were undisturbed.
-    pub fn note_stray(&mut self, flow: FlowKey, counts: bool, now: u64) {
-        if counts {
-            self.flows.entry(flow).or_default().stray.push(now);
+    /// Records that a packet of an open flow reached another server. The caller of the
+    /// function sets `is_counted` if no process involved had a fault recently.
+    pub fn record_misrouted_packet(&mut self, flow: FlowKey, is_counted: bool, now: u64) {
+        if is_counted {
+            self.flows.entry(flow).or_default().misrouted_at.push(now);
         }
     }
 
-    /// Checks all flows that `is_open` holds for, and forgets the others.
-    pub fn check_all(&mut self, now: u64, is_open: impl Fn(&FlowKey) -> bool) {
+    /// Checks all flows for which `is_open` returns true, and removes the others.
+    pub fn check_flows(&mut self, now: u64, is_open: impl Fn(&FlowKey) -> bool) {
         self.flows.retain(|flow, _| is_open(flow));
         let flows: Vec<FlowKey> = self.flows.keys().copied().collect();
         for flow in flows {
-            self.check(flow, now);
+            self.check_flow(flow, now);
         }
     }
 
-    fn check(&mut self, flow: FlowKey, now: u64) {
-        let Some(trace) = self.flows.get_mut(&flow) else {
+    /// Records a violation if the flow's packets have been misrouted for too long.
+    fn check_flow(&mut self, flow: FlowKey, now: u64) {
+        let Some(deliveries) = self.flows.get_mut(&flow) else {
             return;
         };
-        if trace.is_broken(now) {
-            let count = trace.stray.len();
-            trace.stray.clear();
-            self.broken.push(format!(
+        if deliveries.is_violation(now) {
+            let count = deliveries.misrouted_at.len();
+            deliveries.misrouted_at.clear();
+            self.violations.push(format!(
                 "{now} ms: {count} packets of {} went to servers that do not hold it",
                 flow.caller
             ));
         }
     }
 
-    /// A caller got a reset of the system for a flow that its living server holds.
-    pub fn note_reset(&mut self, flow: FlowKey, counts: bool, now: u64) {
-        if counts {
-            self.broken.push(format!(
+    /// Records that a caller got a reset from the system for a flow that a running server
+    /// holds. It is a violation only if `is_counted` is set.
+    pub fn record_reset(&mut self, flow: FlowKey, is_counted: bool, now: u64) {
+        if is_counted {
+            self.violations.push(format!(
                 "{now} ms: the living flow {} was reset",
                 flow.caller
             ));
         }
     }
 
-    /// A server got an opening packet that no route sends to its service any more.
-    pub fn note_wrong_service(&mut self, flow: FlowKey, service: &str, now: u64) {
-        self.broken.push(format!(
+    /// Records that a server got an opening packet although no current route leads to its
+    /// service.
+    pub fn record_wrong_service(&mut self, flow: FlowKey, service: &str, now: u64) {
+        self.violations.push(format!(
             "{now} ms: {} opened at a server of {service}",
             flow.caller
         ));
     }
 
-    /// A server that drains got an opening packet.
-    pub fn note_late_opening(&mut self, flow: FlowKey, confirmed: u64, sent: u64) {
-        if sent > confirmed + DRAIN_BOUND {
-            self.broken.push(format!(
-                "{sent} ms: {} opened at a server that drains since {confirmed} ms",
+    /// Records that a server that has been draining since `confirmed_at` got an opening
+    /// packet at `received_at`, both in milliseconds.
+    pub fn record_late_opening(&mut self, flow: FlowKey, confirmed_at: u64, received_at: u64) {
+        if received_at > confirmed_at + MAX_DRAIN_DELAY_MILLIS {
+            self.violations.push(format!(
+                "{received_at} ms: {} opened at a server that has been draining since {confirmed_at} ms",
                 flow.caller
             ));
         }
--- a/crates/flows/tests/model/packet.rs
+++ b/crates/flows/tests/model/packet.rs
@@ -1,4 +1,4 @@
-//! Packets of the model: the header as the decisions read it, in a few bytes.
+//! Packets of the simulation: the header fields that the decisions read, and no data.
 
 use std::net::SocketAddrV4;
 
@@ -7,7 +7,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A packet on the modelled network.
+/// A packet on the simulated network.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ModelPacket {
     pub source: SocketAddrV4,
@@ -22,7 +22,8 @@
 }
 
 impl ModelPacket {
-    pub fn plain(source: SocketAddrV4, destination: SocketAddrV4) -> Self {
+    /// Creates a packet without flags and data.
+    pub fn new(source: SocketAddrV4, destination: SocketAddrV4) -> Self {
         Self {
             source,
             destination,
@@ -36,14 +37,17 @@
         }
     }
 
+    /// Returns the packet in its simulated wire format.
     pub fn encode(&self) -> Vec<u8> {
-        postcard::to_stdvec(self).expect("a packet is a plain value")
+        postcard::to_stdvec(self).expect("a packet is always serializable")
     }
 
+    /// Decodes a packet; returns `None` if `bytes` are not a packet.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         postcard::from_bytes(bytes).ok()
     }
 
+    /// Returns the header as the decisions read it.
     pub fn header(&self) -> PacketHeader {
         PacketHeader {
             source: self.source,
@@ -59,7 +63,7 @@
         }
     }
 
-    /// The flow of a packet that a caller wrote.
+    /// Returns the flow of a packet that was sent by a caller.
     pub fn caller_flow(&self) -> FlowKey {
         FlowKey {
             caller: self.source,
--- a/crates/flows/tests/model/server.rs
+++ b/crates/flows/tests/model/server.rs
@@ -1,4 +1,4 @@
-//! A backend server of the model.
+//! A backend server of the simulation.
 
 use std::collections::BTreeMap;
 
@@ -6,93 +6,102 @@
 
 use crate::model::packet::ModelPacket;
 
-/// Start of a server's stream in a flow, so that lives and servers differ.
-pub fn stream_start(host: u8, life: u64) -> u32 {
-    (u32::from(host) << 26) + (life as u32) * 100_003 + 1_000
+/// Returns the initial position of a server's stream, which is different for each host
+/// and incarnation.
+pub fn stream_start(host: u8, incarnation: u64) -> u32 {
+    (u32::from(host) << 26) + (incarnation as u32) * 100_003 + 1_000
 }
 
-/// Returns the host whose server's stream starts there.
-pub fn host_of(start: u32) -> u8 {
+/// Returns the number of the host whose server's stream starts at `start`.
+pub fn host_of_stream(start: u32) -> u8 {
     (start >> 26) as u8
 }
 
-/// What a server does with a packet.
-pub enum ServerStep {
-    /// Sends a packet back at once.
+/// The reaction of a server to a packet.
+pub enum ServerReaction {
+    /// The server sends a packet back at once.
     Reply(ModelPacket),
-    /// Runs a request and answers after the work.
+    /// The server starts a request, which it answers when the work is done.
     Run,
-    /// Nothing.
+    /// The server does nothing.
     Ignore,
 }
 
-/// One life of a server.
+/// State of one incarnation of a server.
 #[derive(Debug, Default)]
 pub struct ModelServer {
-    pub life: u64,
+    /// Number of earlier incarnations.
+    pub incarnation: u64,
+    /// Whether the server is running.
     pub is_alive: bool,
+    /// Whether the server reports that it is draining.
     pub is_draining: bool,
-    /// Since when the process beside it has known that it drains.
-    pub drain_confirmed: Option<u64>,
-    pub beats: u64,
-    /// How far its clock is behind, in milliseconds.
-    pub set_back: u64,
-    /// Highest position of the caller's stream that was answered, by open flow.
+    /// Time at which the host acknowledged that the server is draining, in milliseconds.
+    pub drain_confirmed_at: Option<u64>,
+    /// Sequence number of the next heartbeat.
+    pub next_sequence: u64,
+    /// Offset by which the server's clock is behind, in milliseconds.
+    pub clock_offset: u64,
+    /// Open flows, with the position up to which the caller's stream was answered.
     pub flows: BTreeMap<FlowKey, u32>,
-    pub running: u16,
+    /// Requests in progress.
+    pub running_requests: u16,
 }
 
 impl ModelServer {
-    /// Returns the start of this life in milliseconds, by its clock.
-    pub fn born(&self) -> u64 {
-        1_000_000 + self.life * 1_000 - self.set_back
+    /// Returns the start time of this incarnation by the server's clock, in milliseconds.
+    pub fn start_time(&self) -> u64 {
+        1_000_000 + self.incarnation * 1_000 - self.clock_offset
     }
 
-    pub fn take(&mut self, host: u8, packet: &ModelPacket) -> ServerStep {
+    /// Handles a packet that is delivered by the host with the number `host`.
+    pub fn receive_packet(&mut self, host: u8, packet: &ModelPacket) -> ServerReaction {
         if !self.is_alive {
-            return ServerStep::Ignore;
+            return ServerReaction::Ignore;
         }
         let flow = packet.caller_flow();
-        let start = stream_start(host, self.life);
+        let start = stream_start(host, self.incarnation);
         if packet.is_open {
             self.flows.entry(flow).or_insert(0);
-            return ServerStep::Reply(ModelPacket {
+            return ServerReaction::Reply(ModelPacket {
                 is_open: true,
                 has_ack: true,
                 sequence: start,
-                ..ModelPacket::plain(packet.destination, packet.source)
+                ..ModelPacket::new(packet.destination, packet.source)
             });
         }
-        let Some(answered) = self.flows.get_mut(&flow) else {
-            return ServerStep::Reply(ModelPacket {
+        let Some(answered_position) = self.flows.get_mut(&flow) else {
+            return ServerReaction::Reply(ModelPacket {
                 is_bounced: true,
                 ..*packet
             });
         };
         let end = packet.sequence + u32::from(packet.data_length);
-        if packet.data_length == 0 || end <= *answered {
-            return ServerStep::Ignore;
+        if packet.data_length == 0 || end <= *answered_position {
+            return ServerReaction::Ignore;
         }
-        *answered = end;
-        self.running += 1;
-        ServerStep::Run
+        *answered_position = end;
+        self.running_requests += 1;
+        ServerReaction::Run
     }
 
-    pub fn answer(&self, host: u8, flow: &FlowKey) -> Option<ModelPacket> {
-        let answered = self.flows.get(flow)?;
+    /// Returns the answer to the last request of a flow, or `None` if the server does not
+    /// hold the flow.
+    pub fn build_answer(&self, host: u8, flow: &FlowKey) -> Option<ModelPacket> {
+        let answered_position = self.flows.get(flow)?;
         Some(ModelPacket {
             has_ack: true,
-            sequence: stream_start(host, self.life) + 1,
-            acknowledged: *answered,
+            sequence: stream_start(host, self.incarnation) + 1,
+            acknowledged: *answered_position,
             data_length: 600,
-            ..ModelPacket::plain(flow.target, flow.caller)
+            ..ModelPacket::new(flow.target, flow.caller)
         })
     }
 
-    /// Ends this life; the next one knows nothing of it.
+    /// Ends this incarnation. The next one starts without its flows.
     pub fn crash(&mut self) {
         *self = Self {
-            life: self.life + 1,
+            incarnation: self.incarnation + 1,
             ..Self::default()
         };
     }
--- a/crates/flows/tests/model/world/callers.rs
+++ b/crates/flows/tests/model/world/callers.rs
@@ -1,4 +1,7 @@
-//! Callers: their flows, requests and patience.
+//! Callers of the simulation: their flows, requests, retries and timeouts.
+//!
+//! Callers with an even index send 20 requests on each flow and count as feeds; the
+//! others send one.
 
 use std::net::Ipv4Addr;
 
@@ -6,23 +9,24 @@
 
 use crate::fixture;
 use crate::model::caller::AttemptPhase;
-use crate::model::caller::RETRIES;
-use crate::model::caller::TIME_BUDGET;
+use crate::model::caller::MAX_RETRIES;
+use crate::model::caller::REQUEST_TIMEOUT_MILLIS;
 use crate::model::packet::ModelPacket;
-use crate::model::server::host_of;
-use crate::model::world::CALLER_DELAY;
+use crate::model::server::host_of_stream;
+use crate::model::world::ANSWER_TARGET_MILLIS;
+use crate::model::world::CALLER_DELAY_MICROS;
 use crate::model::world::CallerBurst;
 use crate::model::world::Event;
-use crate::model::world::TARGET;
 use crate::model::world::World;
 
 impl World {
-    pub(super) fn begin(&mut self, caller: usize, turn: u64) {
-        if self.callers[caller].turn != turn {
+    /// Starts a flow unless the caller has started another or its burst is over.
+    pub(super) fn start_flow(&mut self, caller: usize, generation: u64) {
+        if self.callers[caller].generation != generation {
             return;
         }
         let is_over = |burst: CallerBurst| {
-            caller >= usize::from(self.plan.callers) && self.millis() >= burst.until
+            caller >= usize::from(self.plan.callers) && self.millis() >= burst.until_millis
         };
         if self.plan.burst.is_some_and(is_over) {
             return;
@@ -31,78 +35,84 @@
         let requests = if is_feed { 20 } else { 1 };
         let millis = self.millis();
         let state = &mut self.callers[caller];
-        state.start(requests, millis);
-        let (turn, packet) = (state.turn, state.opening());
+        state.start_flow(requests, millis);
+        let (generation, packet) = (state.generation, state.opening_packet());
         self.send_from_caller(&packet);
-        self.plan_repeat(caller, turn);
-        self.push(
-            self.now + TIME_BUDGET * 1_000,
-            Event::GiveUp { caller, turn },
+        self.schedule_retransmit(caller, generation);
+        self.schedule(
+            self.now + REQUEST_TIMEOUT_MILLIS * 1_000,
+            Event::TimeOutRequest { caller, generation },
         );
     }
 
-    /// Plans the first repetition of the packet that was just sent.
-    fn plan_repeat(&mut self, caller: usize, turn: u64) {
-        self.push(
+    /// Schedules the first retransmission of the packet that was just sent.
+    fn schedule_retransmit(&mut self, caller: usize, generation: u64) {
+        self.schedule(
             self.now + 200_000,
-            Event::Resend {
+            Event::Retransmit {
                 caller,
-                turn,
-                after: 400_000,
+                generation,
+                interval: 400_000,
             },
         );
     }
 
+    /// Sends a packet to the routers, unless it is lost.
     pub(super) fn send_from_caller(&mut self, packet: &ModelPacket) {
-        if !self.loses() {
+        if !self.draw_loss() {
             let (packet, sent) = (*packet, self.millis());
-            self.later(CALLER_DELAY, Event::ToBalancer { packet, sent });
+            self.schedule_after(CALLER_DELAY_MICROS, Event::ToBalancer { packet, sent });
         }
     }
 
-    pub(super) fn resend(&mut self, caller: usize, turn: u64, after: u64) {
+    /// Sends the current opening packet or request, and schedules the retransmission. The
+    /// interval doubles each time, and an opening packet is retransmitted twice.
+    pub(super) fn retransmit(&mut self, caller: usize, generation: u64, interval: u64) {
         let state = &mut self.callers[caller];
-        if state.turn != turn || state.phase == AttemptPhase::Done {
+        if state.generation != generation || state.phase == AttemptPhase::Done {
             return;
         }
         let packet = if state.phase == AttemptPhase::Opening {
-            state.copies += 1;
-            if state.copies > 2 {
+            state.retransmit_count += 1;
+            if state.retransmit_count > 2 {
                 return;
             }
-            state.opening()
+            state.opening_packet()
         } else {
-            state.request()
+            state.request_packet()
         };
         self.send_from_caller(&packet);
-        self.push(
-            self.now + after,
-            Event::Resend {
+        self.schedule(
+            self.now + interval,
+            Event::Retransmit {
                 caller,
-                turn,
-                after: after * 2,
+                generation,
+                interval: interval * 2,
             },
         );
     }
 
-    pub(super) fn give_up(&mut self, caller: usize, turn: u64) {
+    /// Abandons the request if it is still in progress.
+    pub(super) fn time_out_request(&mut self, caller: usize, generation: u64) {
         let state = &self.callers[caller];
-        if state.turn == turn && state.phase != AttemptPhase::Done {
-            self.callers[caller].refused_tries = 0;
+        if state.generation == generation && state.phase != AttemptPhase::Done {
+            self.callers[caller].failed_attempts = 0;
             self.tally.given_up += 1;
-            self.count_unserved(caller);
+            self.count_failed_request(caller);
             self.end_attempt(caller, 10_000);
         }
     }
 
+    /// Ends the flow and schedules the next one after `pause` microseconds.
     pub(super) fn end_attempt(&mut self, caller: usize, pause: u64) {
         let state = &mut self.callers[caller];
         state.phase = AttemptPhase::Done;
-        state.turn += 1;
-        let turn = state.turn;
-        self.later(pause, Event::Begin { caller, turn });
+        state.generation += 1;
+        let generation = state.generation;
+        self.schedule_after(pause, Event::StartFlow { caller, generation });
     }
 
+    /// Handles a packet for a caller: an accepted flow, an answer or a reset.
     pub(super) fn receive_caller_packet(
         &mut self,
         packet: &ModelPacket,
@@ -124,61 +134,70 @@
                 return;
             }
             state.phase = AttemptPhase::Open;
-            state.server_start = packet.sequence;
-            let (turn, request) = (state.turn, state.request());
+            state.server_stream_start = packet.sequence;
+            let (generation, request) = (state.generation, state.request_packet());
             self.send_from_caller(&request);
-            self.plan_repeat(caller, turn);
+            self.schedule_retransmit(caller, generation);
             return;
         }
-        let is_own = packet.sequence == state.server_start + 1;
-        if state.phase != AttemptPhase::Open || !is_own || packet.acknowledged <= state.position {
+        let is_own = packet.sequence == state.server_stream_start + 1;
+        if state.phase != AttemptPhase::Open
+            || !is_own
+            || packet.acknowledged <= state.stream_position
+        {
             return;
         }
-        let server = host_of(state.server_start);
-        if self.is_failing(server) {
-            self.fail_try(caller);
+        let server = host_of_stream(state.server_stream_start);
+        if self.has_failing_server(server) {
+            self.fail_attempt(caller);
             return;
         }
         let state = &mut self.callers[caller];
-        state.refused_tries = 0;
-        let is_in_time = millis - state.asked <= TARGET;
-        let second = &mut self.seconds[(state.asked / 1_000) as usize];
-        second.0 += u32::from(is_in_time);
-        second.1 += 1;
+        state.failed_attempts = 0;
+        let is_in_time = millis - state.requested_at <= ANSWER_TARGET_MILLIS;
+        let totals = &mut self.results_by_second[(state.requested_at / 1_000) as usize];
+        totals.0 += u32::from(is_in_time);
+        totals.1 += 1;
         self.tally.answered += 1;
         self.tally.in_time += u32::from(is_in_time);
         if caller.is_multiple_of(2) {
             self.tally.feed_answered += 1;
             self.tally.feed_in_time += u32::from(is_in_time);
         }
-        state.requests_left -= 1;
-        state.position = packet.acknowledged;
-        let pause = self.random.random_range(1..=self.plan.pause) * 1_000;
-        if self.callers[caller].requests_left == 0 {
+        state.remaining_requests -= 1;
+        state.stream_position = packet.acknowledged;
+        let pause = self.random.random_range(1..=self.plan.max_pause_millis) * 1_000;
+        if self.callers[caller].remaining_requests == 0 {
             self.end_attempt(caller, pause);
         } else {
-            self.ask_next(caller, pause);
+            self.schedule_next_request(caller, pause);
         }
     }
 
-    pub(super) fn ask_next(&mut self, caller: usize, pause: u64) {
-        let asked = (self.now + pause) / 1_000;
+    /// Schedules the next request on the flow after `pause` microseconds.
+    pub(super) fn schedule_next_request(&mut self, caller: usize, pause: u64) {
+        let requested_at = (self.now + pause) / 1_000;
         let state = &mut self.callers[caller];
-        state.turn += 1;
-        state.asked = asked;
-        let turn = state.turn;
+        state.generation += 1;
+        state.requested_at = requested_at;
+        let generation = state.generation;
         let at = self.now + pause;
-        self.push(
+        self.schedule(
             at,
-            Event::Resend {
+            Event::Retransmit {
                 caller,
-                turn,
-                after: 200_000,
+                generation,
+                interval: 200_000,
             },
         );
-        self.push(at + TIME_BUDGET * 1_000, Event::GiveUp { caller, turn });
+        self.schedule(
+            at + REQUEST_TIMEOUT_MILLIS * 1_000,
+            Event::TimeOutRequest { caller, generation },
+        );
     }
 
+    /// Handles a reset. Callers ignore one that is not near the position that they
+    /// acknowledged last.
     pub(super) fn receive_reset(
         &mut self,
         caller: usize,
@@ -188,40 +207,40 @@
         let state = &self.callers[caller];
         let flow = state.flow();
         if state.phase == AttemptPhase::Opening {
-            self.fail_try(caller);
+            self.fail_attempt(caller);
             return;
         }
-        let acknowledged = state.server_start + 1;
+        let acknowledged = state.server_stream_start + 1;
         if packet.sequence.abs_diff(acknowledged) > 76_800 {
             return;
         }
         self.tally.broken += 1;
-        self.count_unserved(caller);
-        if let Some(owner) = self.owner(&flow, acknowledged) {
-            let counts = self.is_calm(fixture::host(owner))
-                && sent_by.is_none_or(|sender| self.is_calm(sender));
+        self.count_failed_request(caller);
+        if let Some(owner) = self.find_owner(&flow, acknowledged) {
+            let is_counted = self.is_undisturbed(fixture::host_address(owner))
+                && sent_by.is_none_or(|sender| self.is_undisturbed(sender));
             let millis = self.millis();
-            self.oracle.note_reset(flow, counts, millis);
+            self.oracle.record_reset(flow, is_counted, millis);
         }
         self.end_attempt(caller, 10_000);
     }
 
-    /// Ends a try that was refused or failed; the request is tried again twice.
-    fn fail_try(&mut self, caller: usize) {
+    /// Ends an attempt that was refused or failed. The request is retried twice.
+    fn fail_attempt(&mut self, caller: usize) {
         let state = &mut self.callers[caller];
-        if state.refused_tries < RETRIES {
-            state.refused_tries += 1;
+        if state.failed_attempts < MAX_RETRIES {
+            state.failed_attempts += 1;
         } else {
-            state.refused_tries = 0;
+            state.failed_attempts = 0;
             self.tally.refused += 1;
-            self.count_unserved(caller);
+            self.count_failed_request(caller);
         }
         self.end_attempt(caller, 10_000);
     }
 
-    /// Counts a request that has failed in the second in which it was asked.
-    fn count_unserved(&mut self, caller: usize) {
-        let second = self.callers[caller].asked / 1_000;
-        self.seconds[second as usize].1 += 1;
+    /// Counts a failed request in the second of its first attempt.
+    fn count_failed_request(&mut self, caller: usize) {
+        let second = self.callers[caller].requested_at / 1_000;
+        self.results_by_second[second as usize].1 += 1;
     }
 }
--- a/crates/flows/tests/model/world/faults.rs
+++ b/crates/flows/tests/model/world/faults.rs
@@ -1,4 +1,4 @@
-//! What happens to the fleet.
+//! Faults, stops and configuration changes of the simulation.
 
 use std::net::Ipv4Addr;
 
@@ -7,17 +7,18 @@
 use rand::RngExt;
 
 use crate::fixture;
-use crate::model::world::ARCHIVE;
+use crate::model::world::ARCHIVE_SERVICE;
 use crate::model::world::Event;
 use crate::model::world::Fault;
-use crate::model::world::Part;
+use crate::model::world::ProcessRole;
 use crate::model::world::World;
 
-/// Microseconds after which an address is used again.
-const REUSE_PAUSE: u64 = 2_000_000;
+/// Time after which the address of an ended instance is reused, in microseconds.
+const REUSE_DELAY_MICROS: u64 = 2_000_000;
 
 impl World {
-    pub(super) fn strike(&mut self, fault: Fault) {
+    /// Applies a fault of the plan.
+    pub(super) fn apply_fault(&mut self, fault: Fault) {
         let now = self.time();
         match fault {
             Fault::KillBalancer(number) => {
@@ -26,24 +27,27 @@
             Fault::StopBalancer(number) => {
                 self.begin_stop(fixture::balancer_address(number), now, 1_600_000)
             }
-            Fault::KillHost(number) => self.end_process(fixture::host(number), false),
-            Fault::StopHost(number) => self.begin_stop(fixture::host(number), now, 300_000),
+            Fault::KillHost(number) => self.end_process(fixture::host_address(number), false),
+            Fault::StopHost(number) => self.begin_stop(fixture::host_address(number), now, 300_000),
             Fault::CrashServer(number) => self.crash_server(number),
             Fault::SetServerBack(number) => {
                 self.crash_server(number);
-                self.servers[usize::from(number) - 1].set_back = 500_000;
+                self.servers[usize::from(number) - 1].clock_offset = 500_000;
             }
             Fault::ReuseAddress(number) => self.reuse_address(number),
             Fault::DrainServer(number) => self.servers[usize::from(number) - 1].is_draining = true,
             Fault::CutHost(number) => {
                 let millis = self.millis() + 1_500;
-                let process = self.process(fixture::host(number));
-                process.is_cut = true;
-                process.disturbed = millis;
-                self.push(self.now + 1_500_000, Event::Heal(fixture::host(number)));
+                let process = self.process_mut(fixture::host_address(number));
+                process.is_partitioned = true;
+                process.last_fault_ended_at = millis;
+                self.schedule(
+                    self.now + 1_500_000,
+                    Event::EndPartition(fixture::host_address(number)),
+                );
             }
-            Fault::FreezeBalancer(number) => self.freeze(fixture::balancer_address(number)),
-            Fault::FreezeHost(number) => self.freeze(fixture::host(number)),
+            Fault::FreezeBalancer(number) => self.freeze_process(fixture::balancer_address(number)),
+            Fault::FreezeHost(number) => self.freeze_process(fixture::host_address(number)),
             Fault::MoveRoute => self.move_route(),
             Fault::KillAllProcesses => {
                 let all: Vec<Ipv4Addr> = self.processes.keys().copied().collect();
@@ -63,67 +67,69 @@
         }
     }
 
-    pub(super) fn begin_stop(&mut self, address: Ipv4Addr, now: MonotonicTime, linger: u64) {
-        self.with_part(address, |part, outbox| match part {
-            Part::Balancer(balancer) => balancer.stop(now, outbox),
-            Part::Host(gate) => gate.stop(now, outbox),
+    /// Stops a process gracefully; it ends after `stop_delay` microseconds.
+    pub(super) fn begin_stop(&mut self, address: Ipv4Addr, now: MonotonicTime, stop_delay: u64) {
+        self.update_process(address, |role, outbox| match role {
+            ProcessRole::Balancer(balancer) => balancer.stop(now, outbox),
+            ProcessRole::Host(host) => host.stop(now, outbox),
         });
-        self.push(self.now + linger, Event::StopDone(address));
+        self.schedule(self.now + stop_delay, Event::CompleteStop(address));
     }
 
+    /// Crashes a server, which restarts after 300 to 1000 ms.
     pub(super) fn crash_server(&mut self, number: u8) {
         self.servers[usize::from(number) - 1].crash();
         let pause = 300_000 + self.random.next_u64() % 700_000;
-        self.push(self.now + pause, Event::ServerUp(number));
+        self.schedule(self.now + pause, Event::StartServer(number));
     }
 
-    /// Takes a host away with its server, and gives its address to a server of the
-    /// other service later.
+    /// Ends an instance, and reuses its address later for one of the other service.
     fn reuse_address(&mut self, number: u8) {
-        let address = fixture::host(number);
-        if !self.plan.has_archive || self.processes[&address].part.is_none() {
+        let address = fixture::host_address(number);
+        if !self.plan.has_archive_service || self.processes[&address].role.is_none() {
             return;
         }
         self.servers[usize::from(number) - 1].crash();
         let millis = self.millis();
-        let process = self.process(address);
-        process.part = None;
+        let process = self.process_mut(address);
+        process.role = None;
         process.frozen_until = 0;
-        process.disturbed = millis + REUSE_PAUSE / 1_000;
+        process.last_fault_ended_at = millis + REUSE_DELAY_MICROS / 1_000;
         let service = &mut self.host_services[usize::from(number) - 1];
-        *service = if *service == ARCHIVE {
+        *service = if *service == ARCHIVE_SERVICE {
             fixture::SERVICE
         } else {
-            ARCHIVE
+            ARCHIVE_SERVICE
         };
-        self.push(self.now + REUSE_PAUSE, Event::Restart(address));
-        self.push(self.now + REUSE_PAUSE, Event::ServerUp(number));
+        self.schedule(self.now + REUSE_DELAY_MICROS, Event::Restart(address));
+        self.schedule(self.now + REUSE_DELAY_MICROS, Event::StartServer(number));
     }
 
-    /// Lets a process stand still; what comes meanwhile waits for it.
-    fn freeze(&mut self, address: Ipv4Addr) {
+    /// Suspends a process. Input that arrives meanwhile is delivered afterwards.
+    fn freeze_process(&mut self, address: Ipv4Addr) {
         let until = self.now + self.random.random_range(100_000..3_000_000);
-        let process = self.process(address);
-        if process.part.is_some() {
+        let process = self.process_mut(address);
+        if process.role.is_some() {
             process.frozen_until = until;
-            process.disturbed = until / 1_000;
+            process.last_fault_ended_at = until / 1_000;
         }
     }
 
-    /// Sends the route to the other service, process by process.
+    /// Moves the route to the other service. The change arrives at each process after a
+    /// delay of its own.
     fn move_route(&mut self) {
-        if !self.plan.has_archive {
+        if !self.plan.has_archive_service {
             return;
         }
-        let service = match self.versions.last() {
-            Some((_, ARCHIVE)) => fixture::SERVICE,
-            _ => ARCHIVE,
+        let service = match self.route_versions.last() {
+            Some((_, ARCHIVE_SERVICE)) => fixture::SERVICE,
+            _ => ARCHIVE_SERVICE,
         };
-        self.versions.push((self.millis(), service));
+        self.route_versions.push((self.millis(), service));
         let all: Vec<Ipv4Addr> = self.processes.keys().copied().collect();
         for address in all {
             let delay = self.random.random_range(1_000..800_000);
-            self.push(self.now + delay, Event::Routes(address));
+            self.schedule(self.now + delay, Event::UpdateRoutes(address));
         }
     }
 }
--- a/crates/flows/tests/model/world/mod.rs
+++ b/crates/flows/tests/model/world/mod.rs
@@ -1,4 +1,7 @@
-//! The fleet: processes, network, routers, callers, and faults by seed.
+//! The simulated fleet: an event loop over processes, network, routers and callers.
+//!
+//! Times of events are in microseconds since the start of the simulation. All random
+//! choices come from one generator, so that a plan and a seed determine a run.
 
 mod callers;
 mod faults;
@@ -38,209 +41,259 @@
 use crate::model::packet::ModelPacket;
 use crate::model::server::ModelServer;
 
-/// Microseconds on the way between two processes, and to a caller.
-const INNER_DELAY: u64 = 500;
-const CALLER_DELAY: u64 = 3_000;
+/// Delay of a datagram between two processes, in microseconds.
+const PEER_DELAY_MICROS: u64 = 500;
 
-/// Microseconds between two probes of a router; two misses take a balancer out.
-const PROBE_INTERVAL: u64 = 500_000;
+/// Delay of a packet between a caller and the fleet, in microseconds.
+const CALLER_DELAY_MICROS: u64 = 3_000;
 
-/// Microseconds between two heartbeats.
-const BEAT_INTERVAL: u64 = 1_200_000;
+/// Time between two probes of the balancers by the routers, in microseconds. Routers stop
+/// using a balancer after two failed probes.
+const PROBE_INTERVAL_MICROS: u64 = 500_000;
 
-/// Microseconds that a process takes to start again.
-const RESTART: u64 = 400_000;
+/// Time between two heartbeats of a server, in microseconds.
+const HEARTBEAT_INTERVAL_MICROS: u64 = 1_200_000;
 
-/// The other service.
-const ARCHIVE: &str = "archive";
+/// Time that a process takes to restart, in microseconds.
+const RESTART_DELAY_MICROS: u64 = 400_000;
 
-/// Milliseconds in which new routes are in force, and opening packets that were
-/// sent by the ones before have arrived.
-const ROUTE_BOUND: u64 = 3_000 + 2_000;
+/// The second service, which the route is moved to and from.
+const ARCHIVE_SERVICE: &str = "archive";
 
-/// Microseconds between two ticks of a process at least.
-const TICK_GAP: u64 = 200;
+/// Time within which new routes are in force everywhere and opening packets that were
+/// forwarded by the previous routes have arrived, in milliseconds.
+const MAX_ROUTE_DELAY_MILLIS: u64 = 3_000 + 2_000;
 
-/// Answers later than this are late, in milliseconds.
-const TARGET: u64 = 120;
+/// Minimum time between two ticks of a process, in microseconds.
+const MIN_TICK_INTERVAL_MICROS: u64 = 200;
 
-/// What happens to the fleet.
+/// Time after which an answer is late, in milliseconds.
+const ANSWER_TARGET_MILLIS: u64 = 120;
+
+/// A fault, a planned stop or a change of configuration. Processes and servers are
+/// identified by their number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
+    /// The balancer process ends without notice, and restarts.
     KillBalancer(u8),
+    /// The balancer process stops gracefully, and restarts.
     StopBalancer(u8),
+    /// The host process ends without notice, and restarts.
     KillHost(u8),
+    /// The host process stops gracefully, and restarts.
     StopHost(u8),
+    /// The server loses its flows and restarts.
     CrashServer(u8),
+    /// The server reports that it is draining.
     DrainServer(u8),
-    /// The next server was born earlier, by its clock.
+    /// The server crashes, and its next incarnation has an earlier start time because its
+    /// clock was set back.
     SetServerBack(u8),
-    /// The host goes with its server, and another service gets its address.
+    /// The instance with host and server ends, and one of the other service gets its
+    /// address.
     ReuseAddress(u8),
+    /// The host is partitioned from all other processes.
     CutHost(u8),
+    /// The balancer process is suspended for a while.
     FreezeBalancer(u8),
+    /// The host process is suspended for a while.
     FreezeHost(u8),
+    /// The route is moved to the other service.
     MoveRoute,
+    /// All balancer and host processes end without notice, and restart.
     KillAllProcesses,
+    /// All processes and servers end without notice, and restart.
     LosePower,
 }
 
-/// How balancers place new flows.
+/// A policy by which balancers choose hosts for new flows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PlacingPolicy {
-    /// As the product does.
+    /// The policy of the crate.
     Product,
-    /// At the host with the lowest expected cost by the reports alone: flows sent
-    /// since are not counted, and the host does not pass the flow on.
+    /// The host with the lowest expected cost by its load report. Flows sent since the
+    /// report are not counted, and the host does not pass the flow on.
     BestHost,
-    /// By the hash of the flow alone.
+    /// The first host by the hash of the flow.
     PlainHash,
-    /// At the host that has told the fewest open flows.
+    /// The host that reports the fewest open flows.
     LeastFlows,
 }
 
-/// Callers that come for a while.
+/// Additional callers for a limited time.
 #[derive(Debug, Clone, Copy)]
 pub struct CallerBurst {
+    /// Number of additional callers.
     pub callers: u8,
-    /// Milliseconds at which they begin and end.
-    pub from: u64,
-    pub until: u64,
+    /// Time at which they start, in milliseconds.
+    pub from_millis: u64,
+    /// Time from which they start no more flows, in milliseconds.
+    pub until_millis: u64,
 }
 
-/// How a fleet is set up.
+/// Size, load and faults of a simulation.
 #[derive(Debug, Clone)]
 pub struct WorldPlan {
+    /// Number of balancers.
     pub balancers: u8,
+    /// Number of hosts, each with a server.
     pub hosts: u8,
+    /// Number of callers that are active all the time.
     pub callers: u8,
+    /// Requests that a server can process at the same time.
     pub slots: u16,
-    /// Microseconds of work for a request, at least and at most.
-    pub work: (u64, u64),
-    /// Hosts, the first ones, whose servers take four times as long.
+    /// Minimum and maximum work of a request, in microseconds.
+    pub work_micros: (u64, u64),
+    /// Number of hosts, from the first, whose servers take four times as long.
     pub slow_hosts: u8,
-    /// Hosts, the last ones, whose servers fail every request within a millisecond.
+    /// Number of hosts, up to the last, whose servers fail every request within a
+    /// millisecond.
     pub failing_hosts: u8,
+    /// Policy by which new flows are placed.
     pub policy: PlacingPolicy,
+    /// Additional callers.
     pub burst: Option<CallerBurst>,
-    /// Milliseconds between two requests of a caller, at most.
-    pub pause: u64,
-    /// Datagrams of a thousand that are lost.
-    pub loss: u32,
-    /// Faults with their time in milliseconds.
+    /// Maximum time between two requests of a caller, in milliseconds.
+    pub max_pause_millis: u64,
+    /// Number of datagrams lost per thousand.
+    pub loss_per_mille: u32,
+    /// Faults with their times in milliseconds.
     pub faults: Vec<(u64, Fault)>,
-    pub millis: u64,
-    /// Whether the second half of the hosts serve another service, which the route
-    /// goes to at times.
-    pub has_archive: bool,
-    /// Whether routers move nearly all flows when a balancer joins or leaves.
-    pub moves_all: bool,
+    /// Duration of the simulation in milliseconds.
+    pub duration_millis: u64,
+    /// Whether the second half of the hosts run another service, to which the route can
+    /// be moved.
+    pub has_archive_service: bool,
+    /// Whether routers reassign nearly all flows when a balancer joins or leaves, rather
+    /// than only those of that balancer.
+    pub moves_most_flows: bool,
 }
 
+/// An event of the simulation.
 #[derive(Debug)]
 enum Event {
-    Inner {
+    /// A datagram from one process arrives at another.
+    PeerDatagram {
         to: Ipv4Addr,
         from: Ipv4Addr,
         bytes: Vec<u8>,
     },
-    ToBalancer {
-        packet: ModelPacket,
-        sent: u64,
-    },
+    /// A caller's packet arrives at the routers.
+    ToBalancer { packet: ModelPacket, sent: u64 },
+    /// A packet arrives at a caller; `sent_by` is the process that sent a reset.
     ToCaller {
         packet: ModelPacket,
         sent_by: Option<Ipv4Addr>,
     },
-    Answer {
+    /// A server has finished the work for a request.
+    RequestDone {
         host: u8,
-        life: u64,
+        incarnation: u64,
         flow: FlowKey,
     },
-    AtBalancer {
+    /// A balancer that was suspended receives a caller's packet.
+    ReceiveAtBalancer {
         balancer: Ipv4Addr,
         packet: ModelPacket,
     },
-    FromServer {
+    /// A host that was suspended receives its server's packet.
+    ReceiveFromServer {
         address: Ipv4Addr,
         packet: ModelPacket,
     },
-    /// New routes reach a process.
-    Routes(Ipv4Addr),
+    /// The newest routes arrive at a process.
+    UpdateRoutes(Ipv4Addr),
+    /// The tick of a process is due.
     Tick(Ipv4Addr),
-    Beat {
-        host: u8,
-        life: u64,
-    },
-    Probe,
-    Resend {
-        caller: usize,
-        turn: u64,
-        after: u64,
-    },
-    GiveUp {
-        caller: usize,
-        turn: u64,
-    },
-    Begin {
+    /// A server sends a heartbeat to its host.
+    SendHeartbeat { host: u8, incarnation: u64 },
+    /// The routers probe all balancers.
+    ProbeBalancers,
+    /// A caller retransmits its last packet, or sends its next request.
+    Retransmit {
         caller: usize,
-        turn: u64,
+        generation: u64,
+        interval: u64,
     },
+    /// The timeout of a caller's request expires.
+    TimeOutRequest { caller: usize, generation: u64 },
+    /// A caller starts a flow.
+    StartFlow { caller: usize, generation: u64 },
+    /// A process starts.
     Restart(Ipv4Addr),
-    StopDone(Ipv4Addr),
-    Heal(Ipv4Addr),
-    ServerUp(u8),
+    /// A process that was stopping ends.
+    CompleteStop(Ipv4Addr),
+    /// A process can reach the others again.
+    EndPartition(Ipv4Addr),
+    /// The server beside a host starts.
+    StartServer(u8),
+    /// A fault of the plan occurs.
     Fault(Fault),
 }
 
+/// The decision code that a process runs.
 #[derive(Debug)]
-enum Part {
+enum ProcessRole {
     Balancer(FlowBalancer),
     Host(FlowHost),
 }
 
+/// A balancer or host process.
 #[derive(Debug)]
 struct Process {
-    part: Option<Part>,
-    is_cut: bool,
-    disturbed: u64,
-    /// Until when it stands still, in microseconds.
+    /// The decision code; `None` while the process is not running.
+    role: Option<ProcessRole>,
+    /// Whether datagrams to and from other processes are dropped.
+    is_partitioned: bool,
+    /// End of the last fault, in milliseconds.
+    last_fault_ended_at: u64,
+    /// Time until which the process is suspended, in microseconds.
     frozen_until: u64,
-    misses: u8,
-    /// When the next tick is due.
-    tick_at: u64,
+    /// Failed probes in a row.
+    failed_probe_count: u8,
+    /// Time of the next tick, in microseconds.
+    next_tick_at: u64,
 }
 
-/// The fleet.
+/// The state of a simulation.
 pub struct World {
     plan: WorldPlan,
     random: SmallRng,
+    /// Current time in microseconds.
     now: u64,
-    order: u64,
+    /// Number of events scheduled so far.
+    event_count: u64,
+    /// Scheduled events by time and by the order in which they were scheduled.
     events: BTreeMap<(u64, u64), Event>,
     processes: BTreeMap<Ipv4Addr, Process>,
     servers: Vec<ModelServer>,
     callers: Vec<ModelCaller>,
     outbox: FlowOutbox,
+    /// The checker of the invariants.
     pub oracle: RuleOracle,
+    /// Number of requests by outcome.
     pub tally: CallerTally,
-    /// Requests in time and all that ended, by the second in which they were asked.
-    pub seconds: Vec<(u32, u32)>,
-    /// The caller whose flows are printed, as address and port.
-    pub traced: Option<String>,
-    starts: u64,
+    /// Number of requests answered in time and of all completed ones, by the second of
+    /// their first attempt.
+    pub results_by_second: Vec<(u32, u32)>,
+    /// Address and port of the caller whose flow is traced.
+    pub traced_caller: Option<String>,
+    /// Number of process starts so far.
+    start_count: u64,
     /// Service of each host's server.
     host_services: Vec<&'static str>,
-    /// Service of the route by each version so far, with the time in milliseconds.
-    versions: Vec<(u64, &'static str)>,
+    /// Service of the route in each version of the routes, with the time of the change in
+    /// milliseconds.
+    route_versions: Vec<(u64, &'static str)>,
 }
 
 impl World {
+    /// Creates a fleet whose processes start within the first 300 ms.
     pub fn new(plan: WorldPlan, seed: u64) -> Self {
         let mut world = Self {
             random: SmallRng::seed_from_u64(seed),
             now: 0,
-            order: 0,
+            event_count: 0,
             events: BTreeMap::new(),
             processes: BTreeMap::new(),
             servers: (0..plan.hosts).map(|_| ModelServer::default()).collect(),
@@ -250,133 +303,157 @@
             outbox: FlowOutbox::default(),
             oracle: RuleOracle::default(),
             tally: CallerTally::default(),
-            seconds: vec![(0, 0); (plan.millis / 1_000) as usize + 1],
-            traced: None,
-            starts: 0,
+            results_by_second: vec![(0, 0); (plan.duration_millis / 1_000) as usize + 1],
+            traced_caller: None,
+            start_count: 0,
             host_services: (1..=plan.hosts)
                 .map(|host| {
-                    if plan.has_archive && host > plan.hosts / 2 {
-                        ARCHIVE
+                    if plan.has_archive_service && host > plan.hosts / 2 {
+                        ARCHIVE_SERVICE
                     } else {
                         fixture::SERVICE
                     }
                 })
                 .collect(),
-            versions: vec![(0, fixture::SERVICE)],
+            route_versions: vec![(0, fixture::SERVICE)],
             plan,
         };
-        world.set_up();
+        world.schedule_initial_events();
         world
     }
 
-    /// Plays the whole plan.
+    /// Runs the simulation to the end of the plan.
     pub fn run(&mut self) {
-        let end = self.plan.millis * 1_000;
+        let end = self.plan.duration_millis * 1_000;
         while let Some(((at, _), event)) = self.events.pop_first() {
             if at > end {
                 break;
             }
             self.now = at;
-            self.handle(event);
+            self.handle_event(event);
         }
     }
 
-    fn set_up(&mut self) {
+    /// Adds the processes and schedules the starts, the first flows and the faults.
+    fn schedule_initial_events(&mut self) {
         let balancers: Vec<Ipv4Addr> = (1..=self.plan.balancers)
             .map(fixture::balancer_address)
             .collect();
-        let hosts: Vec<Ipv4Addr> = (1..=self.plan.hosts).map(fixture::host).collect();
+        let hosts: Vec<Ipv4Addr> = (1..=self.plan.hosts).map(fixture::host_address).collect();
         for address in balancers.iter().chain(&hosts) {
             let process = Process {
-                part: None,
-                is_cut: false,
-                disturbed: 0,
+                role: None,
+                is_partitioned: false,
+                last_fault_ended_at: 0,
                 frozen_until: 0,
-                misses: 0,
-                tick_at: u64::MAX,
+                failed_probe_count: 0,
+                next_tick_at: u64::MAX,
             };
             self.processes.insert(*address, process);
             let at = self.random.random_range(0..300_000);
-            self.push(at, Event::Restart(*address));
+            self.schedule(at, Event::Restart(*address));
         }
         for host in 1..=self.plan.hosts {
-            self.push(100_000, Event::ServerUp(host));
+            self.schedule(100_000, Event::StartServer(host));
         }
-        self.push(PROBE_INTERVAL, Event::Probe);
+        self.schedule(PROBE_INTERVAL_MICROS, Event::ProbeBalancers);
         for caller in 0..self.callers.len() {
             let first = match self.plan.burst {
-                Some(burst) if caller >= usize::from(self.plan.callers) => burst.from * 1_000,
+                Some(burst) if caller >= usize::from(self.plan.callers) => {
+                    burst.from_millis * 1_000
+                }
                 _ => 1_500_000,
             };
             let at = first + self.random.random_range(0..1_000_000);
-            self.push(at, Event::Begin { caller, turn: 0 });
+            self.schedule(
+                at,
+                Event::StartFlow {
+                    caller,
+                    generation: 0,
+                },
+            );
         }
         for (millis, fault) in self.plan.faults.clone() {
-            self.push(millis * 1_000, Event::Fault(fault));
+            self.schedule(millis * 1_000, Event::Fault(fault));
         }
     }
 
-    fn push(&mut self, at: u64, event: Event) {
-        self.order += 1;
-        self.events.insert((at, self.order), event);
+    /// Schedules an event at a time in microseconds.
+    fn schedule(&mut self, at: u64, event: Event) {
+        self.event_count += 1;
+        self.events.insert((at, self.event_count), event);
     }
 
-    fn later(&mut self, delay: u64, event: Event) {
+    /// Schedules an event after a delay in microseconds, plus jitter.
+    fn schedule_after(&mut self, delay: u64, event: Event) {
         let jitter = self.random.random_range(0..200);
-        self.push(self.now + delay + jitter, event);
+        self.schedule(self.now + delay + jitter, event);
     }
 
-    fn loses(&mut self) -> bool {
-        self.random.random_range(0..1_000) < self.plan.loss
+    /// Draws at random whether a datagram is lost.
+    fn draw_loss(&mut self) -> bool {
+        self.random.random_range(0..1_000) < self.plan.loss_per_mille
     }
 
+    /// Returns the current time as the decisions take it.
     fn time(&self) -> MonotonicTime {
         MonotonicTime(self.now)
     }
 
+    /// Returns the current time in milliseconds.
     fn millis(&self) -> u64 {
         self.now / 1_000
     }
 
-    fn handle(&mut self, event: Event) {
-        self.print(&event);
+    fn handle_event(&mut self, event: Event) {
+        self.print_if_traced(&event);
         match event {
-            Event::Inner { to, from, bytes } => self.receive_inner(to, from, &bytes),
-            Event::ToBalancer { packet, sent } => self.route(&packet, sent),
+            Event::PeerDatagram { to, from, bytes } => self.receive_datagram(to, from, &bytes),
+            Event::ToBalancer { packet, sent } => self.route_packet(&packet, sent),
             Event::ToCaller { packet, sent_by } => self.receive_caller_packet(&packet, sent_by),
-            Event::Answer { host, life, flow } => self.answer(host, life, &flow),
-            Event::AtBalancer { balancer, packet } => self.receive_at_balancer(balancer, &packet),
-            Event::FromServer { address, packet } => self.receive_from_server(address, &packet),
-            Event::Routes(address) => self.receive_routes(address),
-            Event::Tick(address) => self.tick(address),
-            Event::Beat { host, life } => self.beat(host, life),
-            Event::Probe => self.probe(),
-            Event::Resend {
+            Event::RequestDone {
+                host,
+                incarnation,
+                flow,
+            } => self.finish_request(host, incarnation, &flow),
+            Event::ReceiveAtBalancer { balancer, packet } => {
+                self.receive_at_balancer(balancer, &packet)
+            }
+            Event::ReceiveFromServer { address, packet } => {
+                self.receive_from_server(address, &packet)
+            }
+            Event::UpdateRoutes(address) => self.receive_routes(address),
+            Event::Tick(address) => self.tick_process(address),
+            Event::SendHeartbeat { host, incarnation } => self.send_heartbeat(host, incarnation),
+            Event::ProbeBalancers => self.probe_balancers(),
+            Event::Retransmit {
                 caller,
-                turn,
-                after,
-            } => self.resend(caller, turn, after),
-            Event::GiveUp { caller, turn } => self.give_up(caller, turn),
-            Event::Begin { caller, turn } => self.begin(caller, turn),
-            Event::Restart(address) => self.restart(address),
-            Event::StopDone(address) => self.end_process(address, true),
-            Event::Heal(address) => self.process(address).is_cut = false,
-            Event::ServerUp(host) => self.start_server(host),
-            Event::Fault(fault) => self.strike(fault),
+                generation,
+                interval,
+            } => self.retransmit(caller, generation, interval),
+            Event::TimeOutRequest { caller, generation } => {
+                self.time_out_request(caller, generation)
+            }
+            Event::StartFlow { caller, generation } => self.start_flow(caller, generation),
+            Event::Restart(address) => self.start_process(address),
+            Event::CompleteStop(address) => self.end_process(address, true),
+            Event::EndPartition(address) => self.process_mut(address).is_partitioned = false,
+            Event::StartServer(host) => self.start_server(host),
+            Event::Fault(fault) => self.apply_fault(fault),
         }
     }
 
-    /// Prints an event of the traced caller.
-    fn print(&self, event: &Event) {
-        let Some(traced) = &self.traced else {
+    /// Prints an event that concerns the traced caller, or a fault or process start.
+    fn print_if_traced(&self, event: &Event) {
+        let Some(traced_caller) = &self.traced_caller else {
             return;
         };
         let text = match event {
-            Event::Inner { to, from, bytes } => match CarryMessage::decode(bytes) {
+            Event::PeerDatagram { to, from, bytes } => match CarryMessage::decode(bytes) {
                 Some((CarryMessage::Hello(_), _)) | None => return,
-                Some((message, behind)) => format!(
+                Some((message, payload)) => format!(
                     "{from} > {to}: {message:?} {:?}",
-                    ModelPacket::decode(behind)
+                    ModelPacket::decode(payload)
                 ),
             },
             Event::Fault(_)
@@ -386,31 +463,33 @@
             _ => return,
         };
         let is_fault = matches!(event, Event::Fault(_) | Event::Restart(_));
-        if is_fault || text.contains(traced) {
+        if is_fault || text.contains(traced_caller) {
             println!("{} us {text}", self.now);
         }
     }
 
-    fn process(&mut self, address: Ipv4Addr) -> &mut Process {
+    /// Returns the process with this address.
+    fn process_mut(&mut self, address: Ipv4Addr) -> &mut Process {
         self.processes
             .get_mut(&address)
-            .expect("all addresses are set up")
+            .expect("every address belongs to a process")
     }
 
-    // Processes.
+    // Processes
 
-    fn restart(&mut self, address: Ipv4Addr) {
+    /// Starts a process with the newest routes and an empty state.
+    fn start_process(&mut self, address: Ipv4Addr) {
         let now = self.time();
-        self.starts += 1;
-        // The time of day may have been set back since an earlier start.
-        let started = self.starts * 7_919 % 10_007;
+        self.start_count += 1;
+        // Not monotonic, since the wall clock may have been set back between two starts.
+        let started = self.start_count * 7_919 % 10_007;
         let contacts: Vec<Ipv4Addr> = (1..=self.plan.balancers)
             .map(fixture::balancer_address)
             .collect();
         let max_flow_age = Duration::from_secs(60);
         let zone = "utr-a".to_owned();
         let table = self.route_table();
-        let part = if address.octets()[2] == 2 {
+        let role = if address.octets()[2] == 2 {
             let identity = BalancerIdentity {
                 address,
                 zone,
@@ -419,7 +498,7 @@
             };
             let mut balancer = FlowBalancer::new(identity, contacts, now);
             balancer.set_routes(table, &mut self.outbox);
-            Part::Balancer(balancer)
+            ProcessRole::Balancer(balancer)
         } else {
             let service = self.service_of(address.octets()[3]).to_owned();
             let identity = HostIdentity {
@@ -429,64 +508,69 @@
                 started,
                 max_flow_age,
             };
-            let mut gate = FlowHost::new(identity, contacts, now);
-            gate.set_routes(table, &mut self.outbox);
-            Part::Host(gate)
+            let mut host = FlowHost::new(identity, contacts, now);
+            host.set_routes(table, &mut self.outbox);
+            ProcessRole::Host(host)
         };
         self.outbox.clear();
-        let process = self.process(address);
-        process.part = Some(part);
-        process.tick_at = now.0;
-        self.push(now.0, Event::Tick(address));
+        let process = self.process_mut(address);
+        process.role = Some(role);
+        process.next_tick_at = now.0;
+        self.schedule(now.0, Event::Tick(address));
         if address.octets()[2] == 1 {
             let host = address.octets()[3];
-            let life = self.servers[usize::from(host) - 1].life;
-            self.push(self.now + 50_000, Event::Beat { host, life });
+            let incarnation = self.servers[usize::from(host) - 1].incarnation;
+            self.schedule(
+                self.now + 50_000,
+                Event::SendHeartbeat { host, incarnation },
+            );
         }
     }
 
-    fn end_process(&mut self, address: Ipv4Addr, is_planned: bool) {
+    /// Ends a process and schedules its restart. Only an abrupt end counts as a fault.
+    fn end_process(&mut self, address: Ipv4Addr, is_graceful: bool) {
         let now = self.time();
         let millis = self.millis();
-        let process = self.process(address);
-        if process.part.is_none() {
+        let process = self.process_mut(address);
+        if process.role.is_none() {
             return;
         }
-        if is_planned {
-            self.with_part(address, |part, outbox| match part {
-                Part::Balancer(balancer) => balancer.stop(now, outbox),
-                Part::Host(gate) => gate.stop(now, outbox),
+        if is_graceful {
+            self.update_process(address, |role, outbox| match role {
+                ProcessRole::Balancer(balancer) => balancer.stop(now, outbox),
+                ProcessRole::Host(host) => host.stop(now, outbox),
             });
         }
-        let process = self.process(address);
-        process.part = None;
+        let process = self.process_mut(address);
+        process.role = None;
         process.frozen_until = 0;
-        if !is_planned {
-            process.disturbed = millis;
+        if !is_graceful {
+            process.last_fault_ended_at = millis;
         }
-        self.later(RESTART, Event::Restart(address));
+        self.schedule_after(RESTART_DELAY_MICROS, Event::Restart(address));
     }
 
-    fn tick(&mut self, address: Ipv4Addr) {
+    /// Runs the tick of a process, or defers it while the process is suspended.
+    fn tick_process(&mut self, address: Ipv4Addr) {
         let now = self.time();
-        let process = self.process(address);
-        if process.tick_at != now.0 {
-            // An earlier one took its place.
+        let process = self.process_mut(address);
+        if process.next_tick_at != now.0 {
+            // This event is stale; the tick was moved to an earlier time.
             return;
         }
         if process.frozen_until > now.0 {
             let until = process.frozen_until;
-            process.tick_at = until;
-            self.push(until, Event::Tick(address));
+            process.next_tick_at = until;
+            self.schedule(until, Event::Tick(address));
             return;
         }
-        process.tick_at = u64::MAX;
+        process.next_tick_at = u64::MAX;
         let mut check = None;
-        self.with_part(address, |part, outbox| match part {
-            Part::Balancer(balancer) => balancer.tick(now, outbox),
-            Part::Host(gate) => {
-                gate.tick(now, outbox);
-                check = gate.take_due_check(now);
+        self.update_process(address, |role, outbox| match role {
+            ProcessRole::Balancer(balancer) => balancer.tick(now, outbox),
+            ProcessRole::Host(host) => {
+                host.tick(now, outbox);
+                check = host.take_due_check(now);
             }
         });
         if let Some(check) = check {
@@ -494,6 +578,7 @@
         }
     }
 
+    /// Answers a check that a host makes of its server.
     fn check_server(&mut self, address: Ipv4Addr, check: ServerCheck) {
         let server = &self.servers[usize::from(address.octets()[3]) - 1];
         let result = match check {
@@ -503,35 +588,42 @@
             ServerCheck::Health => CheckResult::Healthy,
         };
         let now = self.time();
-        self.with_part(address, |part, outbox| {
-            if let Part::Host(gate) = part {
-                gate.receive_check_result(result, now, outbox);
+        self.update_process(address, |role, outbox| {
+            if let ProcessRole::Host(host) = role {
+                host.receive_check_result(result, now, outbox);
             }
         });
     }
 
-    fn with_part(&mut self, address: Ipv4Addr, act: impl FnOnce(&mut Part, &mut FlowOutbox)) {
+    /// Runs `update` on a process, schedules its next tick and sends the output. Does
+    /// nothing if the process is not running.
+    fn update_process(
+        &mut self,
+        address: Ipv4Addr,
+        update: impl FnOnce(&mut ProcessRole, &mut FlowOutbox),
+    ) {
         let mut outbox = std::mem::take(&mut self.outbox);
         let now = self.now;
-        let process = self.process(address);
-        if let Some(part) = &mut process.part {
-            act(part, &mut outbox);
-            let next = match part {
-                Part::Balancer(balancer) => balancer.next_tick(),
-                Part::Host(gate) => gate.next_tick(),
+        let process = self.process_mut(address);
+        if let Some(role) = &mut process.role {
+            update(role, &mut outbox);
+            let next = match role {
+                ProcessRole::Balancer(balancer) => balancer.next_tick(),
+                ProcessRole::Host(host) => host.next_tick(),
             };
-            let due = next.0.max(now + TICK_GAP);
-            if due < process.tick_at {
-                process.tick_at = due;
-                self.push(due, Event::Tick(address));
+            let due = next.0.max(now + MIN_TICK_INTERVAL_MICROS);
+            if due < process.next_tick_at {
+                process.next_tick_at = due;
+                self.schedule(due, Event::Tick(address));
             }
         }
-        self.send(address, &outbox);
+        self.send_output(address, &outbox);
         outbox.clear();
         self.outbox = outbox;
     }
 
-    fn send(&mut self, from: Ipv4Addr, outbox: &FlowOutbox) {
+    /// Sends the datagrams and resets of a process. Packets for its server arrive at once.
+    fn send_output(&mut self, from: Ipv4Addr, outbox: &FlowOutbox) {
         for (destination, bytes) in outbox.datagrams() {
             match destination {
                 Destination::Server => {
@@ -541,8 +633,8 @@
                 }
                 Destination::Caller(_) => {
                     if let Some(packet) = ModelPacket::decode(bytes) {
-                        self.later(
-                            CALLER_DELAY,
+                        self.schedule_after(
+                            CALLER_DELAY_MICROS,
                             Event::ToCaller {
                                 packet,
                                 sent_by: None,
@@ -551,9 +643,12 @@
                     }
                 }
                 Destination::Peer(to) => {
-                    if !self.loses() {
+                    if !self.draw_loss() {
                         let bytes = bytes.to_vec();
-                        self.later(INNER_DELAY, Event::Inner { to, from, bytes });
+                        self.schedule_after(
+                            PEER_DELAY_MICROS,
+                            Event::PeerDatagram { to, from, bytes },
+                        );
                     }
                 }
             }
@@ -562,10 +657,10 @@
             let packet = ModelPacket {
                 is_reset: true,
                 sequence: reset.sequence,
-                ..ModelPacket::plain(reset.flow.target, reset.flow.caller)
+                ..ModelPacket::new(reset.flow.target, reset.flow.caller)
             };
-            self.later(
-                CALLER_DELAY,
+            self.schedule_after(
+                CALLER_DELAY_MICROS,
                 Event::ToCaller {
                     packet,
                     sent_by: Some(from),
@@ -574,85 +669,94 @@
         }
     }
 
-    fn receive_inner(&mut self, to: Ipv4Addr, from: Ipv4Addr, bytes: &[u8]) {
-        let known = self.processes.contains_key(&to);
-        if !known || self.processes[&to].is_cut || self.processes[&from].is_cut {
+    /// Delivers a datagram to a process, unless one of the two processes is partitioned.
+    fn receive_datagram(&mut self, to: Ipv4Addr, from: Ipv4Addr, bytes: &[u8]) {
+        let is_known = self.processes.contains_key(&to);
+        if !is_known || self.processes[&to].is_partitioned || self.processes[&from].is_partitioned {
             return;
         }
         let until = self.processes[&to].frozen_until;
         if until > self.now {
             let bytes = bytes.to_vec();
-            self.push(until, Event::Inner { to, from, bytes });
+            self.schedule(until, Event::PeerDatagram { to, from, bytes });
             return;
         }
-        let Some((message, behind)) = CarryMessage::decode(bytes) else {
+        let Some((message, payload)) = CarryMessage::decode(bytes) else {
             return;
         };
         let now = self.time();
-        let packet = ModelPacket::decode(behind).map(|packet| RawPacket {
+        let packet = ModelPacket::decode(payload).map(|packet| RawPacket {
             header: packet.header(),
-            bytes: behind,
+            bytes: payload,
         });
         let packet = packet.filter(|_| carries_packet(&message));
-        self.with_part(to, |part, outbox| match part {
-            Part::Balancer(balancer) => {
-                balancer.receive_peer(from, &message, packet.as_ref(), behind, now, outbox);
+        self.update_process(to, |role, outbox| match role {
+            ProcessRole::Balancer(balancer) => {
+                balancer.receive_peer(from, &message, packet.as_ref(), payload, now, outbox);
             }
-            Part::Host(gate) => {
-                gate.receive_peer(from, &message, packet.as_ref(), behind, now, outbox)
+            ProcessRole::Host(host) => {
+                host.receive_peer(from, &message, packet.as_ref(), payload, now, outbox)
             }
         });
     }
 
-    // Routes.
+    // Routes
 
     /// Returns the service of a host's server.
     fn service_of(&self, host: u8) -> &'static str {
         self.host_services[usize::from(host) - 1]
     }
 
+    /// Returns the newest routes.
     fn route_table(&self) -> RouteTable {
-        let version = self.versions.len() as u64;
-        let service = self.versions.last().map_or("", |(_, service)| service);
-        fixture::routes(version, vec![fixture::route(fixture::target(), service)])
+        let version = self.route_versions.len() as u64;
+        let service = self
+            .route_versions
+            .last()
+            .map_or("", |(_, service)| service);
+        fixture::route_table(
+            version,
+            vec![fixture::route_rule(fixture::target_address(), service)],
+        )
     }
 
-    /// Returns whether the route may send a new flow to a service: by the newest
-    /// version, or by one that was the newest a short while ago.
-    fn is_allowed(&self, service: &str) -> bool {
+    /// Returns whether a new flow may arrive at a service: the route leads to it by the
+    /// newest version, or by one that was the newest until recently.
+    fn is_service_allowed(&self, service: &str) -> bool {
         let millis = self.millis();
         let first = self
-            .versions
+            .route_versions
             .iter()
-            .rposition(|(written, _)| millis >= written + ROUTE_BOUND)
+            .rposition(|(changed_at, _)| millis >= changed_at + MAX_ROUTE_DELAY_MILLIS)
             .unwrap_or(0);
-        self.versions[first..]
+        self.route_versions[first..]
             .iter()
             .any(|(_, allowed)| *allowed == service)
     }
 
+    /// Installs the newest routes in a process.
     fn receive_routes(&mut self, address: Ipv4Addr) {
         let until = self.processes[&address].frozen_until;
         if until > self.now {
-            self.push(until, Event::Routes(address));
+            self.schedule(until, Event::UpdateRoutes(address));
             return;
         }
         let table = self.route_table();
-        self.with_part(address, |part, outbox| match part {
-            Part::Balancer(balancer) => balancer.set_routes(table, outbox),
-            Part::Host(gate) => gate.set_routes(table, outbox),
+        self.update_process(address, |role, outbox| match role {
+            ProcessRole::Balancer(balancer) => balancer.set_routes(table, outbox),
+            ProcessRole::Host(host) => host.set_routes(table, outbox),
         });
     }
 
-    /// Sends a new flow to the one host that a plain policy names.
-    fn place_plainly(&mut self, balancer: Ipv4Addr, packet: &ModelPacket) {
-        let Some(Part::Balancer(part)) = &self.processes[&balancer].part else {
+    /// Sends a new flow to the only host that a policy other than the crate's chooses.
+    fn place_by_policy(&mut self, balancer: Ipv4Addr, packet: &ModelPacket) {
+        let Some(ProcessRole::Balancer(flow_balancer)) = &self.processes[&balancer].role else {
             return;
         };
-        let (now, timeouts) = (self.time(), part.members().timeouts());
+        let (now, timeouts) = (self.time(), flow_balancer.members().timeouts());
         let flow = packet.caller_flow();
-        let takes = |record: &&HostRecord| record.accepts_new_flows(&timeouts, now);
-        let usable = part.members().hosts().iter().filter(takes);
+        let accepts = |record: &&HostRecord| record.accepts_new_flows(&timeouts, now);
+        let usable = flow_balancer.members().hosts().iter().filter(accepts);
         let mut hosts: Vec<Ipv4Addr> = usable.clone().map(|record| record.peer.address).collect();
         rank_hosts(hash_flow(&flow), &mut hosts);
         let host = match self.plan.policy {
@@ -662,7 +766,7 @@
             PlacingPolicy::BestHost => {
                 let service = fixture::SERVICE;
                 let hash = hash_flow(&flow);
-                let all = part.members().hosts();
+                let all = flow_balancer.members().hosts();
                 let order = order_candidates(all, service, "utr-a", hash, &[], &timeouts, now);
                 order.first().copied()
             }
@@ -673,77 +777,82 @@
         };
         let header = CarryHeader {
             balancer,
-            ..fixture::header(ForwardPurpose::OpenHere)
+            ..fixture::carry_header(ForwardPurpose::OpenHere)
         };
         let mut bytes = Vec::new();
         CarryMessage::Forward(header).encode(&mut bytes);
         bytes.extend_from_slice(&packet.encode());
         let from = balancer;
-        self.later(INNER_DELAY, Event::Inner { to, from, bytes });
+        self.schedule_after(PEER_DELAY_MICROS, Event::PeerDatagram { to, from, bytes });
     }
 
-    // Routers.
+    // Routers and balancers
 
-    fn probe(&mut self) {
+    /// Probes all balancers, and checks the invariants of open flows.
+    fn probe_balancers(&mut self) {
         let now = self.time();
         for process in self.processes.values_mut() {
-            if let Some(Part::Host(_)) = process.part {
+            if let Some(ProcessRole::Host(_)) = process.role {
                 continue;
             }
-            let is_ready = match &process.part {
+            let is_ready = match &process.role {
                 _ if process.frozen_until > now.0 => false,
-                Some(Part::Balancer(balancer)) => balancer.is_ready(now),
+                Some(ProcessRole::Balancer(balancer)) => balancer.is_ready(now),
                 _ => false,
             };
-            process.misses = if is_ready {
+            process.failed_probe_count = if is_ready {
                 0
             } else {
-                process.misses.saturating_add(1)
+                process.failed_probe_count.saturating_add(1)
             };
         }
-        self.push(self.now + PROBE_INTERVAL, Event::Probe);
+        self.schedule(self.now + PROBE_INTERVAL_MICROS, Event::ProbeBalancers);
         let millis = self.millis();
         let servers = &self.servers;
-        self.oracle.check_all(millis, |flow| {
+        self.oracle.check_flows(millis, |flow| {
             servers
                 .iter()
                 .any(|server| server.is_alive && server.flows.contains_key(flow))
         });
     }
 
-    fn route(&mut self, packet: &ModelPacket, _sent: u64) {
+    /// Delivers a caller's packet to a balancer. As routers do, it uses all balancers if
+    /// fewer than half pass their probes.
+    fn route_packet(&mut self, packet: &ModelPacket, _sent: u64) {
         let all: Vec<Ipv4Addr> = (1..=self.plan.balancers)
             .map(fixture::balancer_address)
             .collect();
         let mut ready: Vec<Ipv4Addr> = all
             .iter()
             .copied()
-            .filter(|address| self.processes[address].misses < 2)
+            .filter(|address| self.processes[address].failed_probe_count < 2)
             .collect();
         if ready.len() * 2 < all.len() {
             ready = all;
         }
         let hash = hash_flow(&packet.caller_flow());
-        let balancer = if self.plan.moves_all {
+        let balancer = if self.plan.moves_most_flows {
             ready[hash as usize % ready.len()]
         } else {
             *ready
                 .iter()
-                .max_by_key(|address| mix(hash ^ u64::from(u32::from(**address))))
-                .expect("there is a balancer")
+                .max_by_key(|address| mix_bits(hash ^ u64::from(u32::from(**address))))
+                .expect("the plan has a balancer")
         };
         self.receive_at_balancer(balancer, packet);
     }
 
+    /// Delivers a caller's packet to a balancer, or defers it while the balancer is
+    /// suspended.
     fn receive_at_balancer(&mut self, balancer: Ipv4Addr, packet: &ModelPacket) {
         let until = self.processes[&balancer].frozen_until;
         if until > self.now {
             let packet = *packet;
-            self.push(until, Event::AtBalancer { balancer, packet });
+            self.schedule(until, Event::ReceiveAtBalancer { balancer, packet });
             return;
         }
         if packet.is_open && self.plan.policy != PlacingPolicy::Product {
-            self.place_plainly(balancer, packet);
+            self.place_by_policy(balancer, packet);
             return;
         }
         let now = self.time();
@@ -752,14 +861,15 @@
             header: packet.header(),
             bytes: &bytes,
         };
-        self.with_part(balancer, |part, outbox| {
-            if let Part::Balancer(balancer) = part {
+        self.update_process(balancer, |role, outbox| {
+            if let ProcessRole::Balancer(balancer) = role {
                 balancer.receive_caller_packet(&raw, now, outbox);
             }
         });
     }
 }
 
+/// Returns whether a packet follows the message.
 fn carries_packet(message: &CarryMessage) -> bool {
     matches!(
         message,
@@ -767,7 +877,8 @@
     )
 }
 
-fn mix(number: u64) -> u64 {
+/// Returns a hash of `number`.
+fn mix_bits(number: u64) -> u64 {
     let number = (number ^ (number >> 31)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     number ^ (number >> 29)
 }
--- a/crates/flows/tests/model/world/servers.rs
+++ b/crates/flows/tests/model/world/servers.rs
@@ -1,4 +1,4 @@
-//! Servers: their lives, heartbeats and packets.
+//! Servers of the simulation: starts, heartbeats, packets and requests.
 
 use std::net::Ipv4Addr;
 
@@ -10,175 +10,206 @@
 use rand::RngExt;
 
 use crate::fixture;
-use crate::model::oracle::CONTACT;
+use crate::model::oracle::RECOVERY_MILLIS;
 use crate::model::packet::ModelPacket;
-use crate::model::server::ServerStep;
-use crate::model::world::BEAT_INTERVAL;
+use crate::model::server::ServerReaction;
 use crate::model::world::Event;
-use crate::model::world::Part;
+use crate::model::world::HEARTBEAT_INTERVAL_MICROS;
+use crate::model::world::ProcessRole;
 use crate::model::world::World;
 
-/// Microseconds in which a failing server answers.
-const FAILURE_TIME: u64 = 500;
+/// Time after which a failing server answers, in microseconds.
+const FAILURE_TIME_MICROS: u64 = 500;
 
-/// How much longer a slow server takes.
+/// Factor by which the requests of a slow server take longer.
 const SLOW_FACTOR: u64 = 4;
 
 impl World {
+    /// Starts the server beside a host.
     pub(super) fn start_server(&mut self, host: u8) {
         let server = &mut self.servers[usize::from(host) - 1];
         server.is_alive = true;
-        let life = server.life;
-        self.beat(host, life);
+        let incarnation = server.incarnation;
+        self.send_heartbeat(host, incarnation);
     }
 
-    pub(super) fn beat(&mut self, host: u8, life: u64) {
+    /// Sends a heartbeat of an incarnation and schedules the next one.
+    pub(super) fn send_heartbeat(&mut self, host: u8, incarnation: u64) {
         let service = self.service_of(host).to_owned();
         let server = &mut self.servers[usize::from(host) - 1];
-        if !server.is_alive || server.life != life {
+        if !server.is_alive || server.incarnation != incarnation {
             return;
         }
-        let beat = ServerHeartbeat {
+        let heartbeat = ServerHeartbeat {
             id: format!("i-{host}"),
-            started_unix_millis: server.born(),
-            sequence: server.beats,
+            started_unix_millis: server.start_time(),
+            sequence: server.next_sequence,
             service,
             is_draining: server.is_draining,
             slots: self.plan.slots,
             cold_remaining_millis: 0,
         };
-        server.beats += 1;
-        let address = fixture::host(host);
+        server.next_sequence += 1;
+        let address = fixture::host_address(host);
         let now = self.time();
-        self.push(now.0 + BEAT_INTERVAL, Event::Beat { host, life });
+        self.schedule(
+            now.0 + HEARTBEAT_INTERVAL_MICROS,
+            Event::SendHeartbeat { host, incarnation },
+        );
         if self.processes[&address].frozen_until > now.0 {
-            // The call ends without an answer.
+            // The heartbeat call times out.
             return;
         }
         let mut is_confirmed = false;
-        self.with_part(address, |part, outbox| {
-            if let Part::Host(gate) = part {
-                let verdict = gate.receive_heartbeat(&beat, now, outbox);
-                let is_draining = gate.server_state() == ServerState::Draining;
+        self.update_process(address, |role, outbox| {
+            if let ProcessRole::Host(host) = role {
+                let verdict = host.receive_heartbeat(&heartbeat, now, outbox);
+                let is_draining = host.server_state() == ServerState::Draining;
                 is_confirmed = verdict == HeartbeatVerdict::Accepted && is_draining;
             }
         });
         let millis = self.millis();
         let server = &mut self.servers[usize::from(host) - 1];
         if is_confirmed {
-            server.drain_confirmed.get_or_insert(millis);
+            server.drain_confirmed_at.get_or_insert(millis);
         }
     }
 
+    /// Delivers a packet to the server beside the host with this address.
     pub(super) fn receive_at_server(&mut self, address: Ipv4Addr, packet: &ModelPacket) {
         let host = address.octets()[3];
         let flow = packet.caller_flow();
-        if self.traced.as_deref() == Some(flow.caller.to_string().as_str()) {
-            let holds = self.servers[usize::from(host) - 1]
+        if self.traced_caller.as_deref() == Some(flow.caller.to_string().as_str()) {
+            let is_holder = self.servers[usize::from(host) - 1]
                 .flows
                 .contains_key(&flow);
-            println!("{} us server {host} gets it, holds it: {holds}", self.now);
+            println!(
+                "{} us server {host} receives a packet, holds the flow: {is_holder}",
+                self.now
+            );
         }
-        self.judge(host, &flow, packet);
+        self.check_delivery(host, &flow, packet);
         let server = &mut self.servers[usize::from(host) - 1];
-        match server.take(host, packet) {
-            ServerStep::Reply(reply) => self.receive_from_server(address, &reply),
-            ServerStep::Run => {
-                let life = server.life;
-                let waiting = u64::from(server.running.saturating_sub(self.plan.slots));
-                let (least, most) = self.plan.work;
-                let tempo = if host <= self.plan.slow_hosts {
+        match server.receive_packet(host, packet) {
+            ServerReaction::Reply(reply) => self.receive_from_server(address, &reply),
+            ServerReaction::Run => {
+                let incarnation = server.incarnation;
+                let queued = u64::from(server.running_requests.saturating_sub(self.plan.slots));
+                let (min_work, max_work) = self.plan.work_micros;
+                let slowdown = if host <= self.plan.slow_hosts {
                     SLOW_FACTOR
                 } else {
                     1
                 };
-                let work = self.random.random_range(least..=most) * tempo;
-                if self.is_failing(host) {
-                    self.push(self.now + FAILURE_TIME, Event::Answer { host, life, flow });
+                let work = self.random.random_range(min_work..=max_work) * slowdown;
+                if self.has_failing_server(host) {
+                    self.schedule(
+                        self.now + FAILURE_TIME_MICROS,
+                        Event::RequestDone {
+                            host,
+                            incarnation,
+                            flow,
+                        },
+                    );
                     return;
                 }
-                let queue = waiting * tempo * (least + most) / 2 / u64::from(self.plan.slots);
-                self.push(self.now + queue + work, Event::Answer { host, life, flow });
+                let queue_time =
+                    queued * slowdown * (min_work + max_work) / 2 / u64::from(self.plan.slots);
+                self.schedule(
+                    self.now + queue_time + work,
+                    Event::RequestDone {
+                        host,
+                        incarnation,
+                        flow,
+                    },
+                );
             }
-            ServerStep::Ignore => {}
+            ServerReaction::Ignore => {}
         }
     }
 
-    /// Tells the oracle where a packet of an open flow went.
-    pub(super) fn judge(&mut self, host: u8, flow: &FlowKey, packet: &ModelPacket) {
+    /// Reports to the oracle which server got a packet.
+    pub(super) fn check_delivery(&mut self, host: u8, flow: &FlowKey, packet: &ModelPacket) {
         let millis = self.millis();
         let server = &self.servers[usize::from(host) - 1];
         if packet.is_open {
-            if let Some(confirmed) = server.drain_confirmed {
-                self.oracle.note_late_opening(*flow, confirmed, millis);
+            if let Some(confirmed_at) = server.drain_confirmed_at {
+                self.oracle.record_late_opening(*flow, confirmed_at, millis);
             }
-            self.oracle.note_own(*flow, millis);
+            self.oracle.record_owner_packet(*flow, millis);
             let service = self.service_of(host);
-            if !self.is_allowed(service) && self.is_calm(fixture::host(host)) {
-                self.oracle.note_wrong_service(*flow, service, millis);
+            if !self.is_service_allowed(service) && self.is_undisturbed(fixture::host_address(host))
+            {
+                self.oracle.record_wrong_service(*flow, service, millis);
             }
             return;
         }
         if server.flows.contains_key(flow) {
-            self.oracle.note_own(*flow, millis);
+            self.oracle.record_owner_packet(*flow, millis);
             return;
         }
-        let Some(owner) = self.owner(flow, packet.acknowledged) else {
+        let Some(owner) = self.find_owner(flow, packet.acknowledged) else {
             return;
         };
-        let counts = self.is_calm(fixture::host(host)) && self.is_calm(fixture::host(owner));
-        self.oracle.note_stray(*flow, counts, millis);
+        let is_counted = self.is_undisturbed(fixture::host_address(host))
+            && self.is_undisturbed(fixture::host_address(owner));
+        self.oracle
+            .record_misrouted_packet(*flow, is_counted, millis);
     }
 
-    /// Returns the living server whose stream the caller goes on from.
-    pub(super) fn owner(&self, flow: &FlowKey, acknowledged: u32) -> Option<u8> {
+    /// Returns the host of the running server that holds the flow and whose stream the
+    /// caller acknowledges.
+    pub(super) fn find_owner(&self, flow: &FlowKey, acknowledged: u32) -> Option<u8> {
         (1..=self.plan.hosts).find(|host| {
             let server = &self.servers[usize::from(*host) - 1];
-            let start = crate::model::server::stream_start(*host, server.life);
+            let start = crate::model::server::stream_start(*host, server.incarnation);
             server.is_alive && server.flows.contains_key(flow) && acknowledged == start + 1
         })
     }
 
-    pub(super) fn is_calm(&self, address: Ipv4Addr) -> bool {
+    /// Returns whether a process has had no fault recently.
+    pub(super) fn is_undisturbed(&self, address: Ipv4Addr) -> bool {
         let process = &self.processes[&address];
-        !process.is_cut && self.millis() >= process.disturbed + CONTACT
+        !process.is_partitioned && self.millis() >= process.last_fault_ended_at + RECOVERY_MILLIS
     }
 
+    /// Delivers a packet of a server to its host.
     pub(super) fn receive_from_server(&mut self, address: Ipv4Addr, packet: &ModelPacket) {
         let now = self.time();
         let until = self.processes[&address].frozen_until;
         if until > now.0 {
             let packet = *packet;
-            self.push(until, Event::FromServer { address, packet });
+            self.schedule(until, Event::ReceiveFromServer { address, packet });
             return;
         }
-        let mut plain = *packet;
-        plain.is_bounced = false;
-        let bytes = plain.encode();
+        let mut unmarked = *packet;
+        unmarked.is_bounced = false;
+        let bytes = unmarked.encode();
         let raw = RawPacket {
             header: packet.header(),
             bytes: &bytes,
         };
-        self.with_part(address, |part, outbox| {
-            if let Part::Host(gate) = part {
-                gate.receive_server_packet(&raw, now, outbox);
+        self.update_process(address, |role, outbox| {
+            if let ProcessRole::Host(host) = role {
+                host.receive_server_packet(&raw, now, outbox);
             }
         });
     }
 
-    /// Returns whether a host's server fails its requests.
-    pub(super) fn is_failing(&self, host: u8) -> bool {
+    /// Returns whether the server of a host fails its requests.
+    pub(super) fn has_failing_server(&self, host: u8) -> bool {
         host > self.plan.hosts - self.plan.failing_hosts
     }
 
-    pub(super) fn answer(&mut self, host: u8, life: u64, flow: &FlowKey) {
+    /// Sends the answer to a request whose work is done.
+    pub(super) fn finish_request(&mut self, host: u8, incarnation: u64, flow: &FlowKey) {
         let server = &mut self.servers[usize::from(host) - 1];
-        if server.life != life || !server.is_alive {
+        if server.incarnation != incarnation || !server.is_alive {
             return;
         }
-        server.running = server.running.saturating_sub(1);
-        if let Some(packet) = server.answer(host, flow) {
-            self.receive_from_server(fixture::host(host), &packet);
+        server.running_requests = server.running_requests.saturating_sub(1);
+        if let Some(packet) = server.build_answer(host, flow) {
+            self.receive_from_server(fixture::host_address(host), &packet);
         }
     }
 }
--- a/crates/flows/tests/opening.rs
+++ b/crates/flows/tests/opening.rs
@@ -1,4 +1,4 @@
-//! New flows at a balancer: offered, offered again, held and refused.
+//! New flows at a balancer, which are offered to hosts, held, offered again or refused.
 
 mod fixture;
 
@@ -12,8 +12,9 @@
 
 use crate::fixture::*;
 
-/// Runs all ticks between two times, as the loop of a process does.
-fn run(balancer: &mut FlowBalancer, from: u64, until: u64, outbox: &mut FlowOutbox) {
+/// Runs all ticks that are due between two times in milliseconds, as the event loop of a
+/// process does.
+fn run_ticks(balancer: &mut FlowBalancer, from: u64, until: u64, outbox: &mut FlowOutbox) {
     for millis in from..=until {
         if balancer.next_tick() <= at(millis) {
             balancer.tick(at(millis), outbox);
@@ -21,10 +22,12 @@
     }
 }
 
-fn with_hosts(numbers: &[u8], outbox: &mut FlowOutbox) -> FlowBalancer {
-    let mut balancer = balancer();
+/// Creates a balancer and delivers hellos of the given hosts until 900 ms. Each host
+/// reports as many requests in progress as its number.
+fn new_balancer_with_hosts(numbers: &[u8], outbox: &mut FlowOutbox) -> FlowBalancer {
+    let mut balancer = new_balancer();
     for number in numbers {
-        greet(
+        receive_host_hello(
             &mut balancer,
             *number,
             &host_hello(1, u16::from(*number)),
@@ -32,9 +35,9 @@
             outbox,
         );
     }
-    run(&mut balancer, 10, 900, outbox);
+    run_ticks(&mut balancer, 10, 900, outbox);
     for number in numbers {
-        greet(
+        receive_host_hello(
             &mut balancer,
             *number,
             &host_hello(2, u16::from(*number)),
@@ -46,14 +49,15 @@
     balancer
 }
 
+/// Delivers an opening packet that a host returns to the balancer.
 fn return_opening(balancer: &mut FlowBalancer, number: u8, millis: u64, outbox: &mut FlowOutbox) {
     let returned = CarryMessage::Returned {
         purpose: ForwardPurpose::Open,
     };
-    let opening = opening(4_001);
-    let packet = raw(&opening);
+    let opening = opening_packet(4_001);
+    let packet = raw_packet(&opening);
     balancer.receive_peer(
-        host(number),
+        host_address(number),
         &returned,
         Some(&packet),
         b"packet",
@@ -63,21 +67,21 @@
 }
 
 #[test]
-fn a_flow_is_offered_to_the_least_busy_host_with_the_others_to_follow() {
+fn a_flow_is_offered_to_the_least_loaded_host_with_the_others_as_alternatives() {
     let mut outbox = FlowOutbox::default();
-    let mut balancer = with_hosts(&[3, 1, 2], &mut outbox);
-    balancer.receive_caller_packet(&raw(&opening(4_001)), at(910), &mut outbox);
+    let mut balancer = new_balancer_with_hosts(&[3, 1, 2], &mut outbox);
+    balancer.receive_caller_packet(&raw_packet(&opening_packet(4_001)), at(910), &mut outbox);
     expect!["Peer(10.0.1.1): forward Open best None next [10.0.1.2, 10.0.1.3] + 6 bytes"]
-        .assert_eq(&drain(&mut outbox));
+        .assert_eq(&take_output(&mut outbox));
 }
 
 #[test]
-fn a_flow_that_a_host_does_not_take_in_time_goes_to_another() {
+fn a_flow_that_a_host_does_not_claim_in_time_is_offered_to_another() {
     let mut outbox = FlowOutbox::default();
-    let mut balancer = with_hosts(&[1, 2], &mut outbox);
-    balancer.receive_caller_packet(&raw(&opening(4_001)), at(910), &mut outbox);
-    run(&mut balancer, 910, 995, &mut outbox);
-    let placed = events(&mut outbox, |event| {
+    let mut balancer = new_balancer_with_hosts(&[1, 2], &mut outbox);
+    balancer.receive_caller_packet(&raw_packet(&opening_packet(4_001)), at(910), &mut outbox);
+    run_ticks(&mut balancer, 910, 995, &mut outbox);
+    let placed = take_events(&mut outbox, |event| {
         matches!(event, FlowEvent::Placed { .. })
     });
     expect![[r#"
@@ -87,28 +91,28 @@
 }
 
 #[test]
-fn a_flow_that_all_hosts_pass_on_waits_and_is_offered_again() {
+fn a_flow_that_all_hosts_return_is_held_and_offered_again() {
     let mut outbox = FlowOutbox::default();
-    let mut balancer = with_hosts(&[1], &mut outbox);
-    balancer.receive_caller_packet(&raw(&opening(4_001)), at(910), &mut outbox);
+    let mut balancer = new_balancer_with_hosts(&[1], &mut outbox);
+    balancer.receive_caller_packet(&raw_packet(&opening_packet(4_001)), at(910), &mut outbox);
     outbox.clear();
     return_opening(&mut balancer, 1, 911, &mut outbox);
-    expect![""].assert_eq(&drain(&mut outbox));
-    run(&mut balancer, 912, 912, &mut outbox);
+    expect![""].assert_eq(&take_output(&mut outbox));
+    run_ticks(&mut balancer, 912, 912, &mut outbox);
     expect!["Peer(10.0.1.1): forward Open best None next [] + 6 bytes"]
-        .assert_eq(&drain(&mut outbox));
+        .assert_eq(&take_output(&mut outbox));
 }
 
 #[test]
-fn a_flow_that_waited_for_a_quarter_of_its_time_is_refused() {
+fn a_flow_that_was_held_for_a_quarter_of_its_timeout_is_refused() {
     let mut outbox = FlowOutbox::default();
-    let mut balancer = with_hosts(&[1], &mut outbox);
-    balancer.receive_caller_packet(&raw(&opening(4_001)), at(910), &mut outbox);
+    let mut balancer = new_balancer_with_hosts(&[1], &mut outbox);
+    balancer.receive_caller_packet(&raw_packet(&opening_packet(4_001)), at(910), &mut outbox);
     let mut refused = Vec::new();
     for millis in (911..1_400).step_by(10) {
         return_opening(&mut balancer, 1, millis, &mut outbox);
-        run(&mut balancer, millis, millis, &mut outbox);
-        let text = events(&mut outbox, |event| {
+        run_ticks(&mut balancer, millis, millis, &mut outbox);
+        let text = take_events(&mut outbox, |event| {
             matches!(event, FlowEvent::Refused { .. })
         });
         if !text.is_empty() {
@@ -122,52 +126,52 @@
 #[test]
 fn a_flow_without_a_host_is_refused_at_once() {
     let mut outbox = FlowOutbox::default();
-    let mut balancer = with_hosts(&[1], &mut outbox);
-    let draining = host_hello_of(3, 0, ServerState::Draining);
-    greet(&mut balancer, 1, &draining, at(901), &mut outbox);
+    let mut balancer = new_balancer_with_hosts(&[1], &mut outbox);
+    let draining = host_hello_with_state(3, 0, ServerState::Draining);
+    receive_host_hello(&mut balancer, 1, &draining, at(901), &mut outbox);
     outbox.clear();
-    balancer.receive_caller_packet(&raw(&opening(4_001)), at(910), &mut outbox);
-    expect!["reset 100.64.0.7:4001 at 0"].assert_eq(&drain(&mut outbox));
+    balancer.receive_caller_packet(&raw_packet(&opening_packet(4_001)), at(910), &mut outbox);
+    expect!["reset 100.64.0.7:4001 at 0"].assert_eq(&take_output(&mut outbox));
 }
 
 #[test]
 fn a_flow_without_a_route_is_refused_at_once() {
     let mut outbox = FlowOutbox::default();
-    let mut balancer = with_hosts(&[1], &mut outbox);
-    let mut foreign = opening(4_001);
-    foreign.destination.set_port(444);
-    balancer.receive_caller_packet(&raw(&foreign), at(910), &mut outbox);
-    expect!["reset 100.64.0.7:4001 at 0"].assert_eq(&drain(&mut outbox));
+    let mut balancer = new_balancer_with_hosts(&[1], &mut outbox);
+    let mut unrouted = opening_packet(4_001);
+    unrouted.destination.set_port(444);
+    balancer.receive_caller_packet(&raw_packet(&unrouted), at(910), &mut outbox);
+    expect!["reset 100.64.0.7:4001 at 0"].assert_eq(&take_output(&mut outbox));
 }
 
 #[test]
-fn a_flow_that_comes_before_any_host_is_known_waits_for_one() {
+fn a_flow_that_arrives_before_any_host_is_known_is_held() {
     let mut outbox = FlowOutbox::default();
-    let mut balancer = balancer();
-    balancer.receive_caller_packet(&raw(&opening(4_001)), at(5), &mut outbox);
-    run(&mut balancer, 5, 100, &mut outbox);
+    let mut balancer = new_balancer();
+    balancer.receive_caller_packet(&raw_packet(&opening_packet(4_001)), at(5), &mut outbox);
+    run_ticks(&mut balancer, 5, 100, &mut outbox);
     outbox.clear();
-    greet(&mut balancer, 1, &host_hello(1, 0), at(105), &mut outbox);
+    receive_host_hello(&mut balancer, 1, &host_hello(1, 0), at(105), &mut outbox);
     outbox.clear();
-    run(&mut balancer, 106, 130, &mut outbox);
+    run_ticks(&mut balancer, 106, 130, &mut outbox);
     expect!["Peer(10.0.1.1): forward Open best None next [] + 6 bytes"]
-        .assert_eq(&drain(&mut outbox));
+        .assert_eq(&take_output(&mut outbox));
 }
 
 #[test]
-fn copies_of_an_opening_packet_meet_the_same_host() {
+fn a_retransmitted_opening_packet_is_forwarded_to_the_owner() {
     let mut outbox = FlowOutbox::default();
-    let mut balancer = with_hosts(&[1, 2], &mut outbox);
-    balancer.receive_caller_packet(&raw(&opening(4_001)), at(910), &mut outbox);
-    let owned = CarryMessage::Owned {
-        flow: opening(4_001).caller_flow(),
+    let mut balancer = new_balancer_with_hosts(&[1, 2], &mut outbox);
+    balancer.receive_caller_packet(&raw_packet(&opening_packet(4_001)), at(910), &mut outbox);
+    let claim = CarryMessage::Owned {
+        flow: opening_packet(4_001).caller_flow(),
         load: Default::default(),
     };
-    balancer.receive_peer(host(2), &owned, None, &[], at(912), &mut outbox);
+    balancer.receive_peer(host_address(2), &claim, None, &[], at(912), &mut outbox);
     outbox.clear();
-    let mut copy = opening(4_001);
-    copy.acknowledged = 1;
-    balancer.receive_caller_packet(&raw(&copy), at(1_110), &mut outbox);
+    let mut retransmitted = opening_packet(4_001);
+    retransmitted.acknowledged = 1;
+    balancer.receive_caller_packet(&raw_packet(&retransmitted), at(1_110), &mut outbox);
     expect!["Peer(10.0.1.2): forward Owner best None next [] + 6 bytes"]
-        .assert_eq(&drain(&mut outbox));
+        .assert_eq(&take_output(&mut outbox));
 }
