--- a/crates/hyssopstaird/src/admin.rs
+++ b/crates/hyssopstaird/src/admin.rs
@@ -12,7 +12,7 @@
 use axum::routing::get;
 use error_stack::Report;
 use error_stack::ResultExt;
-use hyssopstair_telemetry::metrics::MetricsReader;
+use hyssopstair_telemetry::metrics::MetricsExporter;
 use hyssopstair_wire::control::MemberEntry;
 use hyssopstair_wire::control::MemberState;
 use serde::Serialize;
@@ -52,7 +52,7 @@
 }
 
 /// Answers until the process ends.
-pub async fn serve(listener: TcpListener, node: Arc<ControlNode>, metrics: Arc<MetricsReader>) {
+pub async fn serve(listener: TcpListener, node: Arc<ControlNode>, metrics: Arc<MetricsExporter>) {
     let router = Router::new()
         .route("/status", get(status))
         .route("/ready", get(ready))
@@ -75,7 +75,7 @@
 }
 
 async fn show_metrics(
-    State(reader): State<Arc<MetricsReader>>,
+    State(reader): State<Arc<MetricsExporter>>,
 ) -> Result<impl IntoResponse, StatusCode> {
     let text = reader.render().map_err(|error| {
         log::warn!(error:? = error; "admin: metrics cannot be shown");
--- a/crates/hyssopstaird/src/balancer/mod.rs
+++ b/crates/hyssopstaird/src/balancer/mod.rs
@@ -13,8 +13,8 @@
 use hyssopstair_routing::loads::LoadTable;
 use hyssopstair_routing::reset::reset_packet;
 use hyssopstair_rules::settings::BalancerSettings;
-use hyssopstair_telemetry::counts::COUNTS;
-use hyssopstair_telemetry::relays::note_returned;
+use hyssopstair_telemetry::counts::COUNTERS;
+use hyssopstair_telemetry::relays::record_returned_packet;
 use hyssopstair_wire::entry::EntryPath;
 use hyssopstair_wire::entry::encode_entry;
 use hyssopstair_wire::entry::split_entry;
@@ -113,7 +113,7 @@
         RouteAction::Reset { connection_id } => {
             let key = view.reset_secret();
             if let Some(packet) = reset_packet(key, connection_id, datagram.len(), rand::random()) {
-                COUNTS.resets_sent.increment();
+                COUNTERS.resets_sent.increment();
                 let back = EntryPath {
                     source: path.destination,
                     destination: path.source,
@@ -148,8 +148,8 @@
     };
     let now = paths.node.clock.now();
     paths.loads.record(header.host, header.load, now);
-    COUNTS.packets_returned.increment();
-    note_returned(header.trace, now);
+    COUNTERS.packets_returned.increment();
+    record_returned_packet(header.trace, now);
     let path = EntryPath {
         source: header.target,
         destination: header.caller,
--- a/crates/hyssopstaird/src/control/configuration.rs
+++ b/crates/hyssopstaird/src/control/configuration.rs
@@ -23,7 +23,7 @@
 use hyssopstair_platform::update::UpdateContent;
 use hyssopstair_platform::update::VersionText;
 use hyssopstair_platform::update::read_answer;
-use hyssopstair_telemetry::limiter::RepeatLimiter;
+use hyssopstair_telemetry::limiter::WarningLimiter;
 use hyssopstair_wire::control::MemberRole;
 use hyssopstair_wire::control::MemberState;
 use hyssopstair_wire::peer::PeerAnswer;
@@ -44,19 +44,19 @@
 }
 
 async fn poll_platform(node: &ControlNode, client: &PlatformClient) {
-    let mut limiter = RepeatLimiter::default();
+    let mut limiter = WarningLimiter::default();
     let mut failures = 0;
     loop {
         match read_platform(node, client).await {
             Ok(()) => {
                 failures = 0;
-                if let Some(unreported) = limiter.recover() {
+                if let Some(unreported) = limiter.record_recovery() {
                     log::info!(unreported; "config: the platform answers again");
                 }
             }
             Err(error) => {
                 failures += 1;
-                if let Some(held_back) = limiter.warn(node.clock.now()) {
+                if let Some(held_back) = limiter.record_warning(node.clock.now()) {
                     log::warn!(
                         error:% = error, held_back;
                         "config: the platform is unreachable; trying on, and asking peers"
--- a/crates/hyssopstaird/src/control/entries.rs
+++ b/crates/hyssopstaird/src/control/entries.rs
@@ -14,7 +14,7 @@
 use hyssopstair_platform::record::ENTRY_SLOTS;
 use hyssopstair_platform::record::entry_key;
 use hyssopstair_platform::schedule::poll_interval;
-use hyssopstair_telemetry::limiter::RepeatLimiter;
+use hyssopstair_telemetry::limiter::WarningLimiter;
 use hyssopstair_wire::control::MemberState;
 use rand::RngExt;
 
@@ -22,17 +22,17 @@
 
 /// Runs until the process ends.
 pub async fn run(node: Arc<ControlNode>, client: PlatformClient) {
-    let mut limiter = RepeatLimiter::default();
+    let mut limiter = WarningLimiter::default();
     let mut failures = 0;
     loop {
         match refresh(&node, &client).await {
             Ok(()) => {
                 failures = 0;
-                limiter.recover();
+                limiter.record_recovery();
             }
             Err(error) => {
                 failures += 1;
-                if let Some(held_back) = limiter.warn(node.clock.now()) {
+                if let Some(held_back) = limiter.record_warning(node.clock.now()) {
                     log::warn!(error:% = error, held_back; "entries: the platform is unreachable");
                 }
             }
--- a/crates/hyssopstaird/src/control/gossip.rs
+++ b/crates/hyssopstaird/src/control/gossip.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use hyssopstair_telemetry::counts::COUNTS;
+use hyssopstair_telemetry::counts::COUNTERS;
 use hyssopstair_wire::control::ControlMessage;
 use hyssopstair_wire::packet::split_message;
 
@@ -24,7 +24,7 @@
 
 /// Takes in the message of a control packet.
 pub async fn receive(node: &Arc<ControlNode>, bytes: &[u8]) {
-    COUNTS.control_received.add(bytes.len() as u64);
+    COUNTERS.control_bytes_received.add(bytes.len() as u64);
     let Ok((message, _)) = split_message::<ControlMessage>(bytes) else {
         return;
     };
--- a/crates/hyssopstaird/src/control/node.rs
+++ b/crates/hyssopstaird/src/control/node.rs
@@ -25,7 +25,7 @@
 use hyssopstair_routing::view::RoutingView;
 use hyssopstair_rules::settings::DaemonSettings;
 use hyssopstair_rules::settings::RoleSettings;
-use hyssopstair_telemetry::counts::COUNTS;
+use hyssopstair_telemetry::counts::COUNTERS;
 use hyssopstair_wire::address::HostIncarnation;
 use hyssopstair_wire::address::ProcessId;
 use hyssopstair_wire::address::ServiceId;
@@ -336,7 +336,7 @@
                 log::warn!("gossip: a message is too long");
                 continue;
             };
-            COUNTS.control_sent.add(packet.len() as u64);
+            COUNTERS.control_bytes_sent.add(packet.len() as u64);
             // A lost message is repaired by later rounds.
             let _ = self.socket.send_to(&packet, to).await;
         }
--- a/crates/hyssopstaird/src/host/answer.rs
+++ b/crates/hyssopstaird/src/host/answer.rs
@@ -15,7 +15,7 @@
 use hyssopstair_requests::verdict::RequestVerdict;
 use hyssopstair_requests::verdict::TICKET_HEADER;
 use hyssopstair_requests::verdict::VERDICT_HEADER;
-use hyssopstair_telemetry::requests::note_verdict;
+use hyssopstair_telemetry::requests::record_verdict;
 use hyssopstair_wire::peer::BackendReply;
 use hyssopstair_wire::peer::HeaderField;
 
@@ -159,7 +159,7 @@
     }
 
     fn add_headers(&self, response: &mut Response<()>, verdict: RequestVerdict) {
-        note_verdict(verdict.header_value());
+        record_verdict(verdict.header_value());
         let headers = response.headers_mut();
         let value = HeaderValue::from_static(verdict.header_value());
         headers.insert(VERDICT_HEADER, value);
--- a/crates/hyssopstaird/src/host/backend.rs
+++ b/crates/hyssopstaird/src/host/backend.rs
@@ -18,11 +18,11 @@
 use hyper::body::Body;
 use hyper::body::Incoming;
 use hyper_util::rt::TokioIo;
-use hyssopstair_requests::admission::SlotEnd;
+use hyssopstair_requests::admission::SlotOutcome;
 use hyssopstair_telemetry::limiter::SharedLimiter;
 use hyssopstair_telemetry::requests::BACKEND_SPAN;
-use hyssopstair_telemetry::requests::hop;
-use hyssopstair_telemetry::requests::inject;
+use hyssopstair_telemetry::requests::inject_trace_context;
+use hyssopstair_telemetry::requests::run_in_span;
 use hyssopstair_wire::peer::BackendCall;
 use hyssopstair_wire::peer::BackendReply;
 use hyssopstair_wire::peer::HeaderField;
@@ -104,7 +104,7 @@
 ) -> BackendEnd {
     let connecting = TcpStream::connect(state.backend);
     let Ok(Ok(connection)) = tokio::time::timeout(CONNECT_TIMEOUT, connecting).await else {
-        if let Some(held_back) = UNREACHABLE.warn(state.node.clock.now()) {
+        if let Some(held_back) = UNREACHABLE.record_warning(state.node.clock.now()) {
             log::warn!(held_back; "proxy: the backend server cannot be reached");
         }
         return fail(slot);
@@ -120,17 +120,17 @@
             retry_after: Duration::ZERO,
         };
     }
-    let sending = hop(BACKEND_SPAN, send(connection, call, remaining));
+    let sending = run_in_span(BACKEND_SPAN, send(connection, call, remaining));
     let longest = remaining.unwrap_or(Duration::MAX);
     match tokio::time::timeout(longest, sending).await {
         Ok(Ok(response)) => judge(response, slot),
         Ok(Err(SendError::NotSent)) => fail(slot),
         Ok(Err(SendError::Broken(error))) => {
-            if let Some(held_back) = BROKEN.warn(state.node.clock.now()) {
+            if let Some(held_back) = BROKEN.record_warning(state.node.clock.now()) {
                 log::warn!(error:% = error, held_back; "proxy: the backend server gave no answer");
             }
             if let Some(slot) = slot {
-                slot.end(SlotEnd::Failed);
+                slot.end(SlotOutcome::Failed);
             }
             BackendEnd::MayHaveRun
         }
@@ -145,7 +145,7 @@
 
 fn fail(slot: Option<SlotGuard>) -> BackendEnd {
     if let Some(slot) = slot {
-        slot.end(SlotEnd::Failed);
+        slot.end(SlotOutcome::Failed);
     }
     BackendEnd::NotRun {
         retry_after: RETRY_AFTER,
@@ -157,7 +157,7 @@
         && response.headers().contains_key(SHED_HEADER);
     if is_shed {
         if let Some(slot) = slot {
-            slot.end(SlotEnd::Shed);
+            slot.end(SlotOutcome::Shed);
         }
         return BackendEnd::NotRun {
             retry_after: RETRY_AFTER,
@@ -212,7 +212,7 @@
         let millis = remaining.as_millis() as u64;
         headers.insert(DEADLINE_HEADER, millis.into());
     }
-    inject(headers);
+    inject_trace_context(headers);
     Some(request)
 }
 
--- a/crates/hyssopstaird/src/host/ingress.rs
+++ b/crates/hyssopstaird/src/host/ingress.rs
@@ -6,7 +6,7 @@
 use hyssopstair_routing::host::HostAction;
 use hyssopstair_routing::host::HostRouter;
 use hyssopstair_routing::reset::reset_packet;
-use hyssopstair_telemetry::counts::COUNTS;
+use hyssopstair_telemetry::counts::COUNTERS;
 use hyssopstair_wire::packet::ForwardHeader;
 use hyssopstair_wire::packet::MAX_PACKET_LENGTH;
 use hyssopstair_wire::packet::PacketKind;
@@ -74,7 +74,7 @@
                 first_weight: 1,
                 load: Some(load.report()),
             });
-            COUNTS.packets_passed_on.increment();
+            COUNTERS.packets_passed_on.increment();
             if let Ok(length) = write_packet(outgoing, PacketKind::Forward, &header, datagram) {
                 let packet = &outgoing[..length];
                 let _ = state.node.socket.send_to(packet, host.address).await;
@@ -98,7 +98,7 @@
     let Some(reset) = reset_packet(key, connection, trigger_length, rand::random()) else {
         return;
     };
-    COUNTS.resets_sent.increment();
+    COUNTERS.resets_sent.increment();
     let back = ReturnHeader {
         service: header.service,
         host: state.node.me(),
--- a/crates/hyssopstaird/src/host/proxy.rs
+++ b/crates/hyssopstaird/src/host/proxy.rs
@@ -94,7 +94,7 @@
                 _ = flow.closed() => {}
             }
         }
-        RequestClass::Once => {
+        RequestClass::NonIdempotent => {
             let end = serve_once(state, &service, &request, flow).await;
             give(state, &request, end, &mut stream).await;
         }
@@ -179,7 +179,7 @@
         ServedEnd::NeedsTicket => true,
         ServedEnd::Own(answer) => {
             let is_not_run = matches!(answer.verdict, RequestVerdict::NotRun { .. });
-            is_not_run && request.class == RequestClass::Once
+            is_not_run && request.class == RequestClass::NonIdempotent
         }
         ServedEnd::Live(_) | ServedEnd::Reply(_) | ServedEnd::Nobody => false,
     };
@@ -194,7 +194,7 @@
 ) {
     let end = match run_here(state, service, request, None).await {
         BackendEnd::Answer(answer) => {
-            lock(&state.budget).earn();
+            lock(&state.budget).deposit();
             ServedEnd::Live(answer)
         }
         end => match relay::try_elsewhere(state, service, request, None).await {
@@ -241,11 +241,11 @@
     };
     match end {
         BackendEnd::Answer(answer) => {
-            lock(&state.budget).earn();
+            lock(&state.budget).deposit();
             keep_answer(state, request, claim, answer).await
         }
         BackendEnd::NotRun { retry_after } => {
-            claim.take_back();
+            claim.undo_hand_over();
             once_elsewhere(state, service, request, claim, retry_after).await
         }
         end => {
--- a/crates/hyssopstaird/src/host/relay.rs
+++ b/crates/hyssopstaird/src/host/relay.rs
@@ -7,12 +7,12 @@
 use hyssopstair_requests::admission::RequestClass;
 use hyssopstair_requests::relay::RelayDecision;
 use hyssopstair_rules::service_rule::ServiceRule;
-use hyssopstair_telemetry::counts::COUNTS;
+use hyssopstair_telemetry::counts::COUNTERS;
 use hyssopstair_telemetry::requests::PEER_SPAN;
 use hyssopstair_telemetry::requests::TRACE_HEADER;
-use hyssopstair_telemetry::requests::hop;
-use hyssopstair_telemetry::requests::serve_relayed;
-use hyssopstair_telemetry::requests::trace_header;
+use hyssopstair_telemetry::requests::run_in_span;
+use hyssopstair_telemetry::requests::serve_relayed_request;
+use hyssopstair_telemetry::requests::traceparent_value;
 use hyssopstair_wire::address::ProcessId;
 use hyssopstair_wire::peer::BackendCall;
 use hyssopstair_wire::peer::BackendReply;
@@ -66,11 +66,11 @@
     {
         return RelayEnd::NotRun;
     }
-    COUNTS.requests_relayed.increment();
-    let answer = hop(PEER_SPAN, ask_peer(state, service, request, peer)).await;
+    COUNTERS.requests_relayed.increment();
+    let answer = run_in_span(PEER_SPAN, ask_peer(state, service, request, peer)).await;
     let end = read_answer(state, peer, answer);
     if let (RelayEnd::NotRun, Some(claim)) = (&end, claim) {
-        claim.take_back();
+        claim.undo_hand_over();
     }
     end
 }
@@ -98,7 +98,7 @@
 
 /// Puts the present span into a call that another host makes.
 fn name_trace(call: &mut BackendCall) {
-    if let Some(value) = trace_header() {
+    if let Some(value) = traceparent_value() {
         call.headers.retain(|field| field.name != TRACE_HEADER);
         call.headers.push(HeaderField {
             name: TRACE_HEADER.to_owned(),
@@ -130,9 +130,9 @@
         .filter(|host| *host != me)
         .collect();
     let mut loads = lock(&state.peer_loads);
-    loads.keep_only(&peers);
-    let peer = loads.choose(&peers, now)?;
-    lock(&state.budget).try_spend().then_some(peer)
+    loads.retain_peers(&peers);
+    let peer = loads.choose_peer(&peers, now)?;
+    lock(&state.budget).try_withdraw().then_some(peer)
 }
 
 fn read_answer(
@@ -145,20 +145,20 @@
     let answer = match answer {
         Ok(PeerAnswer::Relayed(answer)) => answer,
         Ok(PeerAnswer::Refused) | Err(PeerError::NotSent) => {
-            loads.avoid(peer, SILENCE, now);
+            loads.avoid_peer(peer, SILENCE, now);
             return RelayEnd::NotRun;
         }
         Ok(_) | Err(PeerError::NoAnswer) => {
-            loads.avoid(peer, SILENCE, now);
+            loads.avoid_peer(peer, SILENCE, now);
             return RelayEnd::MayHaveRun;
         }
     };
-    loads.hear(peer, answer.load_percent, now);
+    loads.record_load(peer, answer.load_percent, now);
     match answer.outcome {
         RelayOutcome::Done(reply) => RelayEnd::Reply(reply),
         RelayOutcome::NotRun { retry_after_millis } => {
             let pause = Duration::from_millis(u64::from(retry_after_millis));
-            loads.avoid(peer, pause, now);
+            loads.avoid_peer(peer, pause, now);
             RelayEnd::NotRun
         }
         RelayOutcome::MayHaveRun => RelayEnd::MayHaveRun,
@@ -174,7 +174,7 @@
         };
     };
     let running = run(state, &service, &request);
-    let outcome = serve_relayed(named_trace(&request.call), running).await;
+    let outcome = serve_relayed_request(named_trace(&request.call), running).await;
     RelayAnswer {
         outcome,
         load_percent: slots::load_percent(state, &service),
@@ -187,9 +187,10 @@
     request: &RelayRequest,
 ) -> RelayOutcome {
     let now = state.node.clock.now();
-    let seen = lock(&state.relays).receive(request.sender, request.target, request.number, now);
+    let seen =
+        lock(&state.relays).record_relay(request.sender, request.target, request.number, now);
     match seen {
-        RelayDecision::Fresh => {}
+        RelayDecision::New => {}
         RelayDecision::Repeated => return RelayOutcome::MayHaveRun,
         RelayDecision::Refused => return not_run(SILENCE),
     }
@@ -199,7 +200,7 @@
     let class = if request.is_idempotent {
         RequestClass::Idempotent
     } else {
-        RequestClass::Once
+        RequestClass::NonIdempotent
     };
     let deadline = now + Duration::from_millis(u64::from(request.remaining_millis));
     let slot = match slots::take_free_slot(state, service, class, deadline) {
--- a/crates/hyssopstaird/src/host/request.rs
+++ b/crates/hyssopstaird/src/host/request.rs
@@ -67,7 +67,7 @@
         let class = if service.is_idempotent(method, head.uri().path()) {
             RequestClass::Idempotent
         } else {
-            RequestClass::Once
+            RequestClass::NonIdempotent
         };
         let headers = head.headers();
         Self {
--- a/crates/hyssopstaird/src/host/server.rs
+++ b/crates/hyssopstaird/src/host/server.rs
@@ -9,7 +9,7 @@
 use error_stack::Report;
 use error_stack::ResultExt;
 use hyssopstair_rules::settings::HostSettings;
-use hyssopstair_telemetry::counts::COUNTS;
+use hyssopstair_telemetry::counts::COUNTERS;
 use hyssopstair_telemetry::requests::RequestScope;
 use hyssopstair_wire::time::MonotonicTime;
 use quinn::EndpointConfig;
@@ -66,7 +66,7 @@
         self.state.start_draining();
         loop {
             let flows = self.state.flows();
-            let requests = lock(&self.state.tickets).unfinished();
+            let requests = lock(&self.state.tickets).unfinished_count();
             if flows == 0 && requests == 0 {
                 break;
             }
@@ -154,8 +154,8 @@
             };
             state.open_flow();
             state.end_handshake(&first_connection);
-            COUNTS.flows_opened.increment();
-            let _open = COUNTS.flows_open.enter();
+            COUNTERS.flows_opened.increment();
+            let _open = COUNTERS.flows_open.enter();
             serve_flow(connection, &state).await;
             state.close_flow();
         });
@@ -183,7 +183,7 @@
                 let task = tasks.start();
                 tokio::spawn(async move {
                     if let Ok((request, stream)) = resolver.resolve_request().await {
-                        let scope = RequestScope::begin(&request);
+                        let scope = RequestScope::start(&request);
                         let traced = TracedRequest::begin(&state, caller, &scope);
                         scope
                             .run(proxy::serve_request(&state, request, stream, &connection))
--- a/crates/hyssopstaird/src/host/settle.rs
+++ b/crates/hyssopstaird/src/host/settle.rs
@@ -63,7 +63,7 @@
 
 /// Tells another host what became of a ticket of this one.
 pub fn answer(state: &Arc<HostState>, request: &SettleRequest) -> SettleAnswer {
-    let Ok(ticket) = state.ticket_key.open(&request.ticket) else {
+    let Ok(ticket) = state.ticket_key.decode_ticket(&request.ticket) else {
         return SettleAnswer::MayHaveRun;
     };
     let fingerprint = RequestFingerprint(request.fingerprint);
--- a/crates/hyssopstaird/src/host/slots.rs
+++ b/crates/hyssopstaird/src/host/slots.rs
@@ -3,13 +3,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use hyssopstair_requests::admission::AdmissionController;
 use hyssopstair_requests::admission::AdmissionRules;
-use hyssopstair_requests::admission::AdmissionState;
+use hyssopstair_requests::admission::QueueDecision;
 use hyssopstair_requests::admission::RequestClass;
 use hyssopstair_requests::admission::RequestKey;
-use hyssopstair_requests::admission::SlotChange;
 use hyssopstair_requests::admission::SlotDecision;
-use hyssopstair_requests::admission::SlotEnd;
+use hyssopstair_requests::admission::SlotOutcome;
 use hyssopstair_requests::admission::SlotRequest;
 use hyssopstair_rules::service_rule::ServiceRule;
 use hyssopstair_telemetry::requests::wait_for_admission;
@@ -34,7 +34,7 @@
 /// The slots of a host and the channels of the requests that wait.
 #[derive(Debug, Default)]
 pub struct SlotDesk {
-    admission: AdmissionState,
+    admission: AdmissionController,
     /// Sorted by key.
     waiters: Vec<SlotWaiter>,
     next_key: u64,
@@ -42,7 +42,7 @@
 
 impl SlotDesk {
     /// Returns the slots and the queue.
-    pub fn admission(&mut self) -> &mut AdmissionState {
+    pub fn admission(&mut self) -> &mut AdmissionController {
         &mut self.admission
     }
 
@@ -52,13 +52,13 @@
     }
 
     /// Tells waiting requests what became of them.
-    fn dispatch(&mut self, changes: &[SlotChange], rules: &AdmissionRules, now: MonotonicTime) {
+    fn dispatch(&mut self, changes: &[QueueDecision], rules: &AdmissionRules, now: MonotonicTime) {
         for change in changes {
             let sent = self
                 .take_waiter(change.key)
                 .is_some_and(|sender| sender.send(change.decision).is_ok());
             if !sent && change.decision == SlotDecision::Run {
-                let more = self.admission.release(SlotEnd::Unused, rules, now);
+                let more = self.admission.release(SlotOutcome::Unused, rules, now);
                 self.dispatch(&more, rules, now);
             }
         }
@@ -100,17 +100,17 @@
     /// Gives the slot back after a whole answer.
     pub fn complete(self) {
         let time = self.elapsed();
-        self.end(SlotEnd::Completed(time));
+        self.end(SlotOutcome::Completed(time));
     }
 
     /// Gives the slot back after the deadline passed without an answer.
     pub fn time_out(self) {
         let time = self.elapsed();
-        self.end(SlotEnd::TimedOut(time));
+        self.end(SlotOutcome::TimedOut(time));
     }
 
     /// Gives the slot back.
-    pub fn end(mut self, end: SlotEnd) {
+    pub fn end(mut self, end: SlotOutcome) {
         self.ended = true;
         self.release(end);
     }
@@ -119,7 +119,7 @@
         self.state.node.clock.now().since(self.start)
     }
 
-    fn release(&self, end: SlotEnd) {
+    fn release(&self, end: SlotOutcome) {
         let now = self.state.node.clock.now();
         let mut desk = lock(&self.state.slots);
         let changes = desk.admission.release(end, &self.rules, now);
@@ -130,7 +130,7 @@
 impl Drop for SlotGuard {
     fn drop(&mut self) {
         if !self.ended {
-            self.release(SlotEnd::Unused);
+            self.release(SlotOutcome::Unused);
         }
     }
 }
@@ -151,7 +151,7 @@
         // Decisions are sent under the lock, so that none can come after this.
         if self.receiver.try_recv() == Ok(SlotDecision::Run) {
             let now = self.state.node.clock.now();
-            let changes = desk.admission.release(SlotEnd::Unused, self.rules, now);
+            let changes = desk.admission.release(SlotOutcome::Unused, self.rules, now);
             desk.dispatch(&changes, self.rules, now);
         }
     }
@@ -178,7 +178,7 @@
             deadline,
         };
         let mut changes = Vec::new();
-        let decision = desk.admission.arrive(request, &rules, now, &mut changes);
+        let decision = desk.admission.admit(request, &rules, now, &mut changes);
         desk.dispatch(&changes, &rules, now);
         let (sender, receiver) = oneshot::channel();
         if decision == SlotDecision::Wait {
@@ -213,7 +213,7 @@
             let mut desk = lock(&wait.state.slots);
             let changes = desk.admission.advance(wait.rules, now);
             desk.dispatch(&changes, wait.rules, now);
-            desk.admission.next_advance(now).unwrap_or(now)
+            desk.admission.next_advance_at(now).unwrap_or(now)
         };
         let sleep = next.since(now).max(MIN_SLEEP);
         if let Ok(decision) = tokio::time::timeout(sleep, &mut wait.receiver).await {
@@ -241,7 +241,7 @@
         class,
         deadline,
     };
-    match desk.admission.arrive_relayed(request, &rules, now) {
+    match desk.admission.admit_relayed(request, &rules, now) {
         SlotDecision::Run => {
             drop(desk);
             Ok(SlotGuard::new(state, &rules))
--- a/crates/hyssopstaird/src/host/socket.rs
+++ b/crates/hyssopstaird/src/host/socket.rs
@@ -16,7 +16,7 @@
 use std::task::Poll;
 use std::task::Waker;
 
-use hyssopstair_telemetry::callers::CALLERS;
+use hyssopstair_telemetry::callers::CALLER_TRACES;
 use hyssopstair_wire::entry::to_ipv4;
 use hyssopstair_wire::packet::MAX_PACKET_LENGTH;
 use hyssopstair_wire::packet::PacketKind;
@@ -112,7 +112,7 @@
             caller,
             target: route.target,
             version: self.state.node.view().version,
-            trace: CALLERS.find(caller, now),
+            trace: CALLER_TRACES.find_trace(caller, now),
         };
         let mut buffer = [0; MAX_PACKET_LENGTH];
         let written = write_packet(&mut buffer, PacketKind::Return, &header, transmit.contents);
--- a/crates/hyssopstaird/src/host/state.rs
+++ b/crates/hyssopstaird/src/host/state.rs
@@ -155,7 +155,7 @@
     /// Takes nothing new from now on. Tickets that were not shown yet are void,
     /// so that other hosts can settle them while this process still answers.
     pub fn start_draining(&self) {
-        lock(&self.tickets).void_unused();
+        lock(&self.tickets).revoke_unused();
         self.draining.store(true, Ordering::Relaxed);
     }
 }
--- a/crates/hyssopstaird/src/host/tickets.rs
+++ b/crates/hyssopstaird/src/host/tickets.rs
@@ -62,8 +62,8 @@
     }
 
     /// Takes back a hand-over that provably sent nothing.
-    pub fn take_back(&mut self) {
-        lock(&self.state.tickets).take_back(self.number);
+    pub fn undo_hand_over(&mut self) {
+        lock(&self.state.tickets).undo_hand_over(self.number);
         self.is_handed_over = false;
     }
 
@@ -74,7 +74,7 @@
 
     fn record(&mut self, outcome: RunOutcome) {
         self.is_finished = true;
-        lock(&self.state.tickets).finish(self.number, outcome);
+        lock(&self.state.tickets).record_outcome(self.number, outcome);
         self.state.ticket_ended.notify_waiters();
     }
 }
@@ -98,13 +98,13 @@
     let now = state.node.clock.now();
     let mut ledger = lock(&state.tickets);
     (0..count)
-        .map(|_| state.ticket_key.seal(&ledger.issue(now)))
+        .map(|_| state.ticket_key.encode_ticket(&ledger.issue(now)))
         .collect()
 }
 
 /// Claims the ticket of a request, waiting for another copy of it to end.
 pub async fn claim(state: &Arc<HostState>, request: &CallerRequest) -> TicketResult {
-    let Ok(ticket) = state.ticket_key.open(&request.key) else {
+    let Ok(ticket) = state.ticket_key.decode_ticket(&request.key) else {
         return TicketResult::NeedsTicket;
     };
     let call = &request.call;
@@ -114,7 +114,7 @@
     loop {
         let ended = state.ticket_ended.notified();
         let now = state.node.clock.now();
-        let decision = lock(&state.tickets).present(&ticket, fingerprint, now);
+        let decision = lock(&state.tickets).claim(&ticket, fingerprint, now);
         if decision != TicketDecision::Wait {
             return carry_out(state, request, &ticket, fingerprint, decision).await;
         }
--- a/crates/hyssopstaird/src/ops/run.rs
+++ b/crates/hyssopstaird/src/ops/run.rs
@@ -30,7 +30,7 @@
 pub fn run_daemon(settings: DaemonSettings) -> Result<(), Report<DaemonError>> {
     let format =
         LogFormat::from_environment().map_err(|text| Report::new(DaemonError::new(text)))?;
-    logs::start(format);
+    logs::start_logging(format);
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build()
--- a/crates/hyssopstaird/src/telemetry.rs
+++ b/crates/hyssopstaird/src/telemetry.rs
@@ -9,15 +9,15 @@
 use hyssopstair_routing::balancer::DropReason;
 use hyssopstair_rules::settings::DaemonSettings;
 use hyssopstair_rules::settings::RoleSettings;
-use hyssopstair_telemetry::callers::CALLERS;
-use hyssopstair_telemetry::counts::COUNTS;
-use hyssopstair_telemetry::metrics::GaugeReading;
+use hyssopstair_telemetry::callers::CALLER_TRACES;
+use hyssopstair_telemetry::counts::COUNTERS;
+use hyssopstair_telemetry::metrics::GaugeValues;
 use hyssopstair_telemetry::metrics::MemberCount;
-use hyssopstair_telemetry::metrics::MetricsReader;
+use hyssopstair_telemetry::metrics::MetricsExporter;
 use hyssopstair_telemetry::relays;
 use hyssopstair_telemetry::requests::RequestScope;
-use hyssopstair_telemetry::traces::ProcessNames;
-use hyssopstair_telemetry::traces::TraceExport;
+use hyssopstair_telemetry::traces::ProcessAttributes;
+use hyssopstair_telemetry::traces::TraceExporter;
 use hyssopstair_wire::control::MemberEntry;
 use hyssopstair_wire::control::MemberRole;
 use hyssopstair_wire::control::MemberState;
@@ -36,8 +36,8 @@
 #[derive(Debug)]
 pub struct DaemonTelemetry {
     /// The metrics.
-    pub metrics: Arc<MetricsReader>,
-    traces: Option<TraceExport>,
+    pub metrics: Arc<MetricsExporter>,
+    traces: Option<TraceExporter>,
 }
 
 impl DaemonTelemetry {
@@ -51,19 +51,19 @@
         node: &Arc<ControlNode>,
     ) -> Result<Self, Report<DaemonError>> {
         let instance = node.me().to_string();
-        let names = ProcessNames {
+        let names = ProcessAttributes {
             role: role_name(&settings.role),
             instance: &instance,
             zone: &settings.zone,
         };
         let source = node.clone();
         let gauges = Arc::new(move || read_gauges(&source));
-        let metrics = MetricsReader::start(names.resource(), gauges)
+        let metrics = MetricsExporter::start(names.resource(), gauges)
             .change_context_lazy(|| DaemonError::new("failed to start metrics"))?;
         let traces = settings
             .traces
             .as_deref()
-            .map(|url| TraceExport::start(url, names.resource()))
+            .map(|url| TraceExporter::start(url, names.resource()))
             .transpose()
             .change_context_lazy(|| DaemonError::new("failed to start traces"))?;
         if traces.is_some() {
@@ -80,7 +80,7 @@
         let Some(traces) = self.traces else {
             return;
         };
-        relays::export_all(node.clock.now());
+        relays::export_all_spans(node.clock.now());
         let _ = tokio::task::spawn_blocking(move || traces.stop()).await;
     }
 }
@@ -89,7 +89,7 @@
     let mut interval = tokio::time::interval(RELAY_TICK);
     loop {
         interval.tick().await;
-        relays::export_due(node.clock.now());
+        relays::export_due_spans(node.clock.now());
     }
 }
 
@@ -100,8 +100,8 @@
     }
 }
 
-fn read_gauges(node: &ControlNode) -> GaugeReading {
-    GaugeReading {
+fn read_gauges(node: &ControlNode) -> GaugeValues {
+    GaugeValues {
         members: count_members(&node.members()),
         config_version: node.view().version,
     }
@@ -142,15 +142,15 @@
 
 /// Counts a packet that is sent on to a host.
 pub fn count_forwarded(header: &ForwardHeader) {
-    COUNTS.packets_forwarded.increment();
+    COUNTERS.packets_forwarded.increment();
     if header.incarnation.is_none() {
-        COUNTS.packets_opening.increment();
+        COUNTERS.packets_opening.increment();
     }
 }
 
 /// Counts a packet that is dropped.
 pub fn count_dropped(reason: DropReason) {
-    COUNTS.packets_dropped.increment(drop_label(reason));
+    COUNTERS.packets_dropped.increment(drop_label(reason));
 }
 
 fn drop_label(reason: DropReason) -> &'static str {
@@ -176,9 +176,9 @@
 impl<'a> TracedRequest<'a> {
     /// Begins; does nothing for a request that is not sampled.
     pub fn begin(state: &'a HostState, caller: SocketAddr, scope: &RequestScope) -> Self {
-        let traced = to_ipv4(caller).zip(scope.trace());
+        let traced = to_ipv4(caller).zip(scope.trace_context());
         if let Some((caller, trace)) = traced {
-            CALLERS.begin(caller, trace, state.node.clock.now());
+            CALLER_TRACES.start_request(caller, trace, state.node.clock.now());
         }
         Self { state, traced }
     }
@@ -186,7 +186,7 @@
     /// Ends: packets that are still under way belong to the trace for a while.
     pub fn end(self) {
         if let Some((caller, trace)) = self.traced {
-            CALLERS.end(caller, trace, self.state.node.clock.now());
+            CALLER_TRACES.end_request(caller, trace, self.state.node.clock.now());
         }
     }
 }
--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use hyssopstair_telemetry::counts::COUNTS;
+use hyssopstair_telemetry::counts::COUNTERS;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
@@ -183,12 +183,12 @@
         };
         for url in &self.urls {
             if let CallKind::Write = kind {
-                COUNTS.platform_writes.increment();
+                COUNTERS.platform_writes.increment();
             }
             match self.call_one(url, path, request).await {
                 Ok(answer) => return Ok(answer),
                 Err(error) => {
-                    COUNTS.platform_errors.increment();
+                    COUNTERS.platform_errors.increment();
                     last = PlatformError::NoAnswer {
                         url: url.clone(),
                         reason: error.to_string(),
@@ -205,7 +205,7 @@
         path: &str,
         request: &Q,
     ) -> Result<A, reqwest::Error> {
-        COUNTS.platform_calls.increment();
+        COUNTERS.platform_calls.increment();
         self.http
             .post(format!("{url}{path}"))
             .json(request)
--- a/crates/requests/src/admission.rs
+++ b/crates/requests/src/admission.rs
@@ -50,7 +50,7 @@
     /// May be run again; counts once.
     Idempotent,
     /// Must not be run twice; counts double.
-    Once,
+    NonIdempotent,
 }
 
 /// A request that asks for a slot.
@@ -69,7 +69,7 @@
 pub enum SlotDecision {
     /// It has a slot.
     Run,
-    /// It waits; a [`SlotChange`] ends the wait.
+    /// It waits; a [`QueueDecision`] ends the wait.
     Wait,
     /// It is refused.
     Refuse {
@@ -81,7 +81,7 @@
 /// The end of a wait: the decision is [`SlotDecision::Run`] or
 /// [`SlotDecision::Refuse`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct SlotChange {
+pub struct QueueDecision {
     /// The request that waited.
     pub key: RequestKey,
     /// What becomes of it.
@@ -90,7 +90,7 @@
 
 /// How the use of a slot ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum SlotEnd {
+pub enum SlotOutcome {
     /// With an answer, after this time.
     Completed(Duration),
     /// Without an answer before the deadline, after this time.
@@ -105,7 +105,7 @@
 
 /// The slots and the queue of one host.
 #[derive(Debug, Default)]
-pub struct AdmissionState {
+pub struct AdmissionController {
     running: u32,
     waiting: Vec<SlotRequest>,
     limit: WorkingLimit,
@@ -116,15 +116,15 @@
     pause: Duration,
 }
 
-impl AdmissionState {
+impl AdmissionController {
     /// Decides about a request that arrives. Requests that must make way are
     /// added to `changes`.
-    pub fn arrive(
+    pub fn admit(
         &mut self,
         request: SlotRequest,
         rules: &AdmissionRules,
         now: MonotonicTime,
-        changes: &mut Vec<SlotChange>,
+        changes: &mut Vec<QueueDecision>,
     ) -> SlotDecision {
         self.restart_when_idle(now);
         self.drop_late(rules, now, changes);
@@ -148,7 +148,7 @@
 
     /// Decides about a request that was refused at another host: it takes a
     /// free slot or is refused, and never waits.
-    pub fn arrive_relayed(
+    pub fn admit_relayed(
         &mut self,
         request: SlotRequest,
         rules: &AdmissionRules,
@@ -166,26 +166,26 @@
     /// Takes back a slot and returns what becomes of waiting requests.
     pub fn release(
         &mut self,
-        end: SlotEnd,
+        end: SlotOutcome,
         rules: &AdmissionRules,
         now: MonotonicTime,
-    ) -> Vec<SlotChange> {
+    ) -> Vec<QueueDecision> {
         self.running = self.running.saturating_sub(1);
         match end {
-            SlotEnd::Completed(time) => {
+            SlotOutcome::Completed(time) => {
                 self.estimate.record(time);
                 self.last_sample = now;
                 self.last_completion = Some(now);
                 self.pause = Duration::ZERO;
                 self.limit.grow(rules);
             }
-            SlotEnd::TimedOut(time) => {
+            SlotOutcome::TimedOut(time) => {
                 self.estimate.record(time);
                 self.last_sample = now;
                 self.limit = WorkingLimit::default();
             }
-            SlotEnd::Shed | SlotEnd::Failed => self.back_off(now),
-            SlotEnd::Unused => {}
+            SlotOutcome::Shed | SlotOutcome::Failed => self.back_off(now),
+            SlotOutcome::Unused => {}
         }
         self.advance(rules, now)
     }
@@ -195,14 +195,14 @@
         self.waiting.retain(|request| request.key != key);
     }
 
-    /// Does what is due at `now`; see [`Self::next_advance`].
-    pub fn advance(&mut self, rules: &AdmissionRules, now: MonotonicTime) -> Vec<SlotChange> {
+    /// Does what is due at `now`; see [`Self::next_advance_at`].
+    pub fn advance(&mut self, rules: &AdmissionRules, now: MonotonicTime) -> Vec<QueueDecision> {
         let mut changes = Vec::new();
         self.drop_late(rules, now, &mut changes);
         while !self.waiting.is_empty() && self.has_free_slot(rules, now) {
             let request = self.waiting.remove(0);
             self.running += 1;
-            changes.push(SlotChange {
+            changes.push(QueueDecision {
                 key: request.key,
                 decision: SlotDecision::Run,
             });
@@ -212,7 +212,7 @@
 
     /// Returns when [`Self::advance`] has something to do, if nothing else
     /// happens before.
-    pub fn next_advance(&self, now: MonotonicTime) -> Option<MonotonicTime> {
+    pub fn next_advance_at(&self, now: MonotonicTime) -> Option<MonotonicTime> {
         let earliest = self.waiting.iter().map(|request| request.deadline).min()?;
         if self.paused_until > now {
             return Some(earliest.min(self.paused_until));
@@ -222,7 +222,7 @@
 
     /// Takes in what the backend server says of its own load, from 0 to 1, or
     /// of its health as 0 or 1.
-    pub fn hear_report(&mut self, load: f64, now: MonotonicTime) {
+    pub fn record_load_report(&mut self, load: f64, now: MonotonicTime) {
         let is_doubted = self
             .last_completion
             .is_some_and(|completion| now.since(completion) < REPORT_DOUBT);
@@ -317,7 +317,7 @@
         &mut self,
         rules: &AdmissionRules,
         now: MonotonicTime,
-        changes: &mut Vec<SlotChange>,
+        changes: &mut Vec<QueueDecision>,
     ) {
         let decision = self.refusal(rules, now);
         let mut index = 0;
@@ -328,7 +328,7 @@
                 continue;
             }
             self.waiting.remove(index);
-            changes.push(SlotChange {
+            changes.push(QueueDecision {
                 key: request.key,
                 decision,
             });
@@ -356,9 +356,9 @@
         request: &SlotRequest,
         rules: &AdmissionRules,
         now: MonotonicTime,
-        changes: &mut Vec<SlotChange>,
+        changes: &mut Vec<QueueDecision>,
     ) -> bool {
-        if request.class != RequestClass::Once {
+        if request.class != RequestClass::NonIdempotent {
             return false;
         }
         let lesser = self
@@ -370,7 +370,7 @@
         };
         let decision = self.refusal(rules, now);
         let other = self.waiting.remove(index);
-        changes.push(SlotChange {
+        changes.push(QueueDecision {
             key: other.key,
             decision,
         });
--- a/crates/requests/src/budget.rs
+++ b/crates/requests/src/budget.rs
@@ -21,12 +21,12 @@
 
 impl RetryBudget {
     /// Counts a request that completed at its first host.
-    pub fn earn(&mut self) {
+    pub fn deposit(&mut self) {
         self.saved = (self.saved + TRIES_PER_SUCCESS).min(MAX_SAVED);
     }
 
     /// Takes one second try, if one is saved.
-    pub fn try_spend(&mut self) -> bool {
+    pub fn try_withdraw(&mut self) -> bool {
         if self.saved < 1.0 {
             return false;
         }
--- a/crates/requests/src/ledger.rs
+++ b/crates/requests/src/ledger.rs
@@ -168,7 +168,7 @@
 
     /// Decides about a request that carries a ticket, and claims the ticket
     /// when the request may run.
-    pub fn present(
+    pub fn claim(
         &mut self,
         ticket: &RequestTicket,
         fingerprint: RequestFingerprint,
@@ -249,7 +249,7 @@
 
     /// Takes back a hand-over that provably sent nothing, so that the request
     /// may be handed over elsewhere.
-    pub fn take_back(&mut self, number: TicketNumber) {
+    pub fn undo_hand_over(&mut self, number: TicketNumber) {
         if let Some(record) = self.record_mut(number)
             && record.state == RecordState::Running
         {
@@ -258,7 +258,7 @@
     }
 
     /// Records how a claimed request ended.
-    pub fn finish(&mut self, number: TicketNumber, outcome: RunOutcome) {
+    pub fn record_outcome(&mut self, number: TicketNumber, outcome: RunOutcome) {
         let free = self.limits.reply_bytes - self.reply_bytes;
         let outcome = match outcome {
             RunOutcome::Done(Some(reply)) if reply.len() > free => RunOutcome::Done(None),
@@ -276,7 +276,7 @@
     }
 
     /// Makes all tickets void that were issued and not yet shown.
-    pub fn void_unused(&mut self) {
+    pub fn revoke_unused(&mut self) {
         self.floor = self.next;
     }
 
@@ -286,7 +286,7 @@
     }
 
     /// Returns the number of requests that hold a ticket and have not ended.
-    pub fn unfinished(&self) -> usize {
+    pub fn unfinished_count(&self) -> usize {
         self.records
             .iter()
             .filter(|record| !matches!(record.state, RecordState::Ended(_)))
@@ -314,7 +314,7 @@
         }
         self.purge(now);
         if self.records.len() >= self.limits.records {
-            self.void_unused();
+            self.revoke_unused();
             return LookUp::Ended(RunOutcome::NotRun);
         }
         LookUp::Free
--- a/crates/requests/src/relay.rs
+++ b/crates/requests/src/relay.rs
@@ -51,19 +51,19 @@
     }
 
     /// Notes the load that a peer gave in an answer.
-    pub fn hear(&mut self, peer: ProcessId, percent: u16, now: MonotonicTime) {
+    pub fn record_load(&mut self, peer: ProcessId, percent: u16, now: MonotonicTime) {
         let load = self.entry(peer);
         load.percent = percent;
         load.heard = now;
     }
 
     /// Keeps a peer from being chosen for some time.
-    pub fn avoid(&mut self, peer: ProcessId, time: Duration, now: MonotonicTime) {
+    pub fn avoid_peer(&mut self, peer: ProcessId, time: Duration, now: MonotonicTime) {
         self.entry(peer).avoid_until = now + time;
     }
 
     /// Chooses the less loaded of two random members of `peers`.
-    pub fn choose(&mut self, peers: &[ProcessId], now: MonotonicTime) -> Option<ProcessId> {
+    pub fn choose_peer(&mut self, peers: &[ProcessId], now: MonotonicTime) -> Option<ProcessId> {
         let open: Vec<ProcessId> = peers
             .iter()
             .copied()
@@ -81,7 +81,7 @@
     }
 
     /// Forgets peers that are not in `peers`, which is sorted.
-    pub fn keep_only(&mut self, peers: &[ProcessId]) {
+    pub fn retain_peers(&mut self, peers: &[ProcessId]) {
         self.loads
             .retain(|load| peers.binary_search(&load.peer).is_ok());
     }
@@ -126,7 +126,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RelayDecision {
     /// It is the first copy.
-    Fresh,
+    New,
     /// A copy was here before, or may have been.
     Repeated,
     /// It was sent to another process, or there is no space for its sender.
@@ -161,7 +161,7 @@
 
     /// Notes request `number` of `sender`, sent to `target`. Senders count
     /// from one.
-    pub fn receive(
+    pub fn record_relay(
         &mut self,
         sender: ProcessId,
         target: ProcessId,
@@ -175,7 +175,7 @@
             .senders
             .binary_search_by_key(&sender, |entry| entry.sender);
         match found {
-            Ok(index) => self.senders[index].receive(number, now),
+            Ok(index) => self.senders[index].record_relay(number, now),
             Err(_) => self.add_sender(sender, number, now),
         }
     }
@@ -194,7 +194,7 @@
             seen: Vec::new(),
             heard: now,
         };
-        let decision = entry.receive(number, now);
+        let decision = entry.record_relay(number, now);
         let index = self.senders.partition_point(|other| other.sender < sender);
         self.senders.insert(index, entry);
         decision
@@ -202,7 +202,7 @@
 }
 
 impl RelaySender {
-    fn receive(&mut self, number: u64, now: MonotonicTime) -> RelayDecision {
+    fn record_relay(&mut self, number: u64, now: MonotonicTime) -> RelayDecision {
         self.heard = now;
         if number <= self.floor {
             return RelayDecision::Repeated;
@@ -214,6 +214,6 @@
         if self.seen.len() > NUMBERS_PER_SENDER {
             self.floor = self.seen.remove(0);
         }
-        RelayDecision::Fresh
+        RelayDecision::New
     }
 }
--- a/crates/requests/src/ticket.rs
+++ b/crates/requests/src/ticket.rs
@@ -81,7 +81,7 @@
     }
 
     /// Returns the text form of a ticket.
-    pub fn seal(&self, ticket: &RequestTicket) -> String {
+    pub fn encode_ticket(&self, ticket: &RequestTicket) -> String {
         let mut bytes = [0; TICKET_LENGTH];
         bytes[0..4].copy_from_slice(&ticket.issuer.address.ip().octets());
         bytes[4..6].copy_from_slice(&ticket.issuer.address.port().to_be_bytes());
@@ -98,7 +98,7 @@
     /// # Errors
     ///
     /// Returns a [`TicketError`] when no process of this fleet issued it.
-    pub fn open(&self, text: &str) -> Result<RequestTicket, TicketError> {
+    pub fn decode_ticket(&self, text: &str) -> Result<RequestTicket, TicketError> {
         let bytes = decode_hex(text).ok_or(TicketError::Malformed)?;
         if self.tag(&bytes[..BODY_LENGTH]) != bytes[BODY_LENGTH..] {
             return Err(TicketError::WrongTag);
--- a/crates/requests/tests/curve/host.rs
+++ b/crates/requests/tests/curve/host.rs
@@ -1,9 +1,9 @@
 //! One host of the service.
 
-use hyssopstair_requests::admission::AdmissionState;
+use hyssopstair_requests::admission::AdmissionController;
 use hyssopstair_requests::admission::RequestClass;
 use hyssopstair_requests::admission::RequestKey;
-use hyssopstair_requests::admission::SlotEnd;
+use hyssopstair_requests::admission::SlotOutcome;
 use hyssopstair_requests::admission::SlotRequest;
 use hyssopstair_requests::budget::RetryBudget;
 use hyssopstair_requests::relay::PeerLoads;
@@ -24,7 +24,7 @@
     /// How its backend server behaves.
     pub kind: HostKind,
     /// Its slots and queue.
-    pub admission: AdmissionState,
+    pub admission: AdmissionController,
     /// Its budget of second tries.
     pub budget: RetryBudget,
     /// What it knows of the others.
@@ -36,7 +36,7 @@
 impl WorldHost {
     /// Creates a host whose slots are open, unless it starts cold.
     pub fn new(kind: HostKind, index: usize, setting: &CurveSetting) -> Self {
-        let mut admission = AdmissionState::default();
+        let mut admission = AdmissionController::default();
         let starts_cold = kind == HostKind::Cold && setting.step >= PolicyStep::Ramp;
         if !starts_cold {
             warm(&mut admission, setting);
@@ -52,16 +52,16 @@
 }
 
 /// Opens all slots of a host by completed requests.
-fn warm(admission: &mut AdmissionState, setting: &CurveSetting) {
+fn warm(admission: &mut AdmissionController, setting: &CurveSetting) {
     let rules = setting.admission_rules();
     let now = MonotonicTime::default();
     for key in 0..WARM_REQUESTS {
         let request = SlotRequest {
             key: RequestKey(key),
-            class: RequestClass::Once,
+            class: RequestClass::NonIdempotent,
             deadline: MonotonicTime(u64::MAX),
         };
-        admission.arrive(request, &rules, now, &mut Vec::new());
-        admission.release(SlotEnd::Completed(WORK_TIME), &rules, now);
+        admission.admit(request, &rules, now, &mut Vec::new());
+        admission.release(SlotOutcome::Completed(WORK_TIME), &rules, now);
     }
 }
--- a/crates/requests/tests/curve/mod.rs
+++ b/crates/requests/tests/curve/mod.rs
@@ -10,11 +10,11 @@
 use std::time::Duration;
 use std::time::Instant;
 
+use hyssopstair_requests::admission::QueueDecision;
 use hyssopstair_requests::admission::RequestClass;
 use hyssopstair_requests::admission::RequestKey;
-use hyssopstair_requests::admission::SlotChange;
 use hyssopstair_requests::admission::SlotDecision;
-use hyssopstair_requests::admission::SlotEnd;
+use hyssopstair_requests::admission::SlotOutcome;
 use hyssopstair_requests::admission::SlotRequest;
 use hyssopstair_wire::address::HostIncarnation;
 use hyssopstair_wire::address::ProcessId;
@@ -188,7 +188,7 @@
     fn new_request(&mut self, arrived: MonotonicTime) -> WorldRequest {
         let is_once = self.random.random_range(0..100) < ONCE_PERCENT;
         let class = match is_once {
-            true => RequestClass::Once,
+            true => RequestClass::NonIdempotent,
             false => RequestClass::Idempotent,
         };
         WorldRequest {
@@ -207,8 +207,8 @@
 
     fn handle(&mut self, event: WorldEvent) {
         match event {
-            WorldEvent::Arrive { request } => self.arrive(request),
-            WorldEvent::Relayed { request, host } => self.arrive_relayed(request, host),
+            WorldEvent::Arrive { request } => self.admit(request),
+            WorldEvent::Relayed { request, host } => self.admit_relayed(request, host),
             WorldEvent::RelayAnswered {
                 request,
                 host,
@@ -233,7 +233,7 @@
         }
     }
 
-    fn arrive(&mut self, request: usize) {
+    fn admit(&mut self, request: usize) {
         let host = self.requests[request].first;
         self.requests[request].asks += 1;
         self.requests[request].is_relayed = false;
@@ -243,7 +243,7 @@
         let mut changes = Vec::new();
         let admission = &mut self.hosts[host].admission;
         let start = Instant::now();
-        let decision = admission.arrive(slot_request, &rules, self.now, &mut changes);
+        let decision = admission.admit(slot_request, &rules, self.now, &mut changes);
         let time = start.elapsed();
         self.apply(host, &changes, time);
         match decision {
@@ -297,13 +297,15 @@
     }
 
     /// Returns what the host is told of the end, by the policy steps in use.
-    fn slot_end(&self, end: WorkEnd, time: Duration) -> SlotEnd {
+    fn slot_end(&self, end: WorkEnd, time: Duration) -> SlotOutcome {
         match end {
-            WorkEnd::Answered => SlotEnd::Completed(time),
-            WorkEnd::TimedOut if self.setting.step >= PolicyStep::Ramp => SlotEnd::TimedOut(time),
-            WorkEnd::TimedOut => SlotEnd::Completed(time),
-            WorkEnd::Shed if self.setting.step >= PolicyStep::Pause => SlotEnd::Shed,
-            WorkEnd::Shed => SlotEnd::Unused,
+            WorkEnd::Answered => SlotOutcome::Completed(time),
+            WorkEnd::TimedOut if self.setting.step >= PolicyStep::Ramp => {
+                SlotOutcome::TimedOut(time)
+            }
+            WorkEnd::TimedOut => SlotOutcome::Completed(time),
+            WorkEnd::Shed if self.setting.step >= PolicyStep::Pause => SlotOutcome::Shed,
+            WorkEnd::Shed => SlotOutcome::Unused,
         }
     }
 
@@ -312,7 +314,7 @@
         if done.is_relayed {
             self.tally.relays_completed += 1;
         } else {
-            self.hosts[host].budget.earn();
+            self.hosts[host].budget.deposit();
         }
         if self.now >= done.deadline {
             self.hosts[host].tally.late += 1;
@@ -336,7 +338,7 @@
     }
 
     /// Does what a decision, which took `time`, says of waiting requests.
-    fn apply(&mut self, host: usize, changes: &[SlotChange], time: Duration) {
+    fn apply(&mut self, host: usize, changes: &[QueueDecision], time: Duration) {
         for change in changes {
             let request = change.key.0 as usize;
             match change.decision {
@@ -360,7 +362,7 @@
     }
 
     fn schedule_advance(&mut self, host: usize) {
-        let next = self.hosts[host].admission.next_advance(self.now);
+        let next = self.hosts[host].admission.next_advance_at(self.now);
         if let Some(time) = next
             && time.0 < u64::MAX
         {
@@ -376,7 +378,7 @@
                 HostKind::Lying => 1.0,
                 _ => 0.0,
             };
-            host.admission.hear_report(load, self.now);
+            host.admission.record_load_report(load, self.now);
         }
         if self.now < MonotonicTime::default() + LOAD_TIME {
             self.schedule(REPORT_TIME, WorldEvent::Report);
--- a/crates/requests/tests/curve/relaying.rs
+++ b/crates/requests/tests/curve/relaying.rs
@@ -16,12 +16,12 @@
 use crate::curve::setting::PolicyStep;
 
 impl LoadWorld {
-    pub(super) fn arrive_relayed(&mut self, request: usize, host: usize) {
+    pub(super) fn admit_relayed(&mut self, request: usize, host: usize) {
         let slot_request = self.slot_request(request);
         let rules = self.setting.admission_rules();
         let admission = &mut self.hosts[host].admission;
         let start = Instant::now();
-        let decision = admission.arrive_relayed(slot_request, &rules, self.now);
+        let decision = admission.admit_relayed(slot_request, &rules, self.now);
         let time = start.elapsed();
         match decision {
             SlotDecision::Run => self.start(request, host),
@@ -54,9 +54,9 @@
     ) {
         let first = self.requests[request].first;
         let loads = &mut self.hosts[first].loads;
-        loads.hear(process(host), percent, self.now);
+        loads.record_load(process(host), percent, self.now);
         if let Some(pause) = refused {
-            loads.avoid(process(host), pause, self.now);
+            loads.avoid_peer(process(host), pause, self.now);
             self.tally.relays_refused += 1;
             self.give_up(request);
         }
@@ -74,10 +74,10 @@
             .map(process)
             .collect();
         let host = &mut self.hosts[first];
-        let Some(peer) = host.loads.choose(&peers, self.now) else {
+        let Some(peer) = host.loads.choose_peer(&peers, self.now) else {
             return self.give_up(request);
         };
-        if self.setting.step >= PolicyStep::Budget && !host.budget.try_spend() {
+        if self.setting.step >= PolicyStep::Budget && !host.budget.try_withdraw() {
             return self.give_up(request);
         }
         self.tally.relays += 1;
--- a/crates/requests/tests/curve/tally.rs
+++ b/crates/requests/tests/curve/tally.rs
@@ -72,7 +72,7 @@
     pub fn complete(&mut self, class: RequestClass, time: Duration) {
         self.weight += match class {
             RequestClass::Idempotent => 1,
-            RequestClass::Once => 2,
+            RequestClass::NonIdempotent => 2,
         };
         self.times.push(time);
     }
--- a/crates/requests/tests/fuzz.rs
+++ b/crates/requests/tests/fuzz.rs
@@ -1,7 +1,7 @@
 //! Stateful fuzz of the decisions about requests that must not run twice.
 //!
 //! Several hosts decide with the real [`TicketLedger`], [`RelayLog`] and
-//! [`AdmissionState`]. The oracle is the list of what each backend server ran,
+//! [`AdmissionController`]. The oracle is the list of what each backend server ran,
 //! and what each caller was told. `HYSSOPSTAIR_FUZZ_CASES` gives the number of
 //! cases.
 
--- a/crates/requests/tests/model/mod.rs
+++ b/crates/requests/tests/model/mod.rs
@@ -2,12 +2,12 @@
 
 use std::time::Duration;
 
+use hyssopstair_requests::admission::AdmissionController;
 use hyssopstair_requests::admission::AdmissionRules;
-use hyssopstair_requests::admission::AdmissionState;
 use hyssopstair_requests::admission::RequestClass;
 use hyssopstair_requests::admission::RequestKey;
 use hyssopstair_requests::admission::SlotDecision;
-use hyssopstair_requests::admission::SlotEnd;
+use hyssopstair_requests::admission::SlotOutcome;
 use hyssopstair_requests::admission::SlotRequest;
 use hyssopstair_requests::ledger::LedgerLimits;
 use hyssopstair_requests::ledger::RunOutcome;
@@ -122,7 +122,7 @@
     me: ProcessId,
     ledger: TicketLedger,
     relays: RelayLog,
-    admission: AdmissionState,
+    admission: AdmissionController,
     /// Slots that requests of the model hold.
     held: u32,
     next_relay: u64,
@@ -139,7 +139,7 @@
             me,
             ledger: TicketLedger::new(me, LIMITS, first),
             relays: RelayLog::new(me),
-            admission: AdmissionState::default(),
+            admission: AdmissionController::default(),
             held: 0,
             next_relay: 0,
         }
@@ -226,12 +226,12 @@
         let shown = self.tickets[ticket].ticket;
         let print = fingerprint(ticket, other);
         let now = self.now;
-        let decision = self.hosts[host].ledger.present(&shown, print, now);
+        let decision = self.hosts[host].ledger.claim(&shown, print, now);
         match decision {
             TicketDecision::Run if other => {
                 // The caller's mistake: the ticket stands for the other body.
                 let ledger = &mut self.hosts[host].ledger;
-                ledger.finish(shown.number, RunOutcome::NotRun);
+                ledger.record_outcome(shown.number, RunOutcome::NotRun);
             }
             TicketDecision::Run => self.requests.push(ModelRequest {
                 ticket,
@@ -269,11 +269,11 @@
     fn slot(&mut self, host: usize, deadline: MonotonicTime) -> bool {
         let request = SlotRequest {
             key: RequestKey(0),
-            class: RequestClass::Once,
+            class: RequestClass::NonIdempotent,
             deadline,
         };
         let place = &mut self.hosts[host];
-        let decision = place.admission.arrive_relayed(request, &RULES, self.now);
+        let decision = place.admission.admit_relayed(request, &RULES, self.now);
         if decision != SlotDecision::Run {
             return false;
         }
@@ -282,7 +282,7 @@
         true
     }
 
-    fn release(&mut self, host: usize, end: SlotEnd) {
+    fn release(&mut self, host: usize, end: SlotOutcome) {
         let place = &mut self.hosts[host];
         place.held -= 1;
         place.admission.release(end, &RULES, self.now);
@@ -297,7 +297,7 @@
             return;
         }
         let is_not_run = outcome == RunOutcome::NotRun;
-        host.ledger.finish(number, outcome);
+        host.ledger.record_outcome(number, outcome);
         if is_not_run {
             self.tell_not_run(request.ticket);
         }
@@ -318,7 +318,7 @@
             .ledger
             .hand_over(number, deadline, self.now);
         if allowed.is_err() {
-            self.release(host, SlotEnd::Unused);
+            self.release(host, SlotOutcome::Unused);
             self.finish(index, RunOutcome::NotRun);
             return;
         }
@@ -365,16 +365,16 @@
             .position(|host| host.me.address == message.target.address)
             .unwrap();
         let relays = &mut self.hosts[to].relays;
-        let seen = relays.receive(message.sender, message.target, message.number, now);
+        let seen = relays.record_relay(message.sender, message.target, message.number, now);
         let outcome = match seen {
             RelayDecision::Repeated => RunOutcome::MayHaveRun,
             RelayDecision::Refused => RunOutcome::NotRun,
-            RelayDecision::Fresh if self.slot(to, message.deadline) => {
+            RelayDecision::New if self.slot(to, message.deadline) => {
                 self.run(message.ticket);
-                self.release(to, SlotEnd::Completed(Duration::from_millis(20)));
+                self.release(to, SlotOutcome::Completed(Duration::from_millis(20)));
                 RunOutcome::Done(Some(reply_of(message.ticket).into()))
             }
-            RelayDecision::Fresh => RunOutcome::NotRun,
+            RelayDecision::New => RunOutcome::NotRun,
         };
         let waiting = self.requests.iter().position(|request| {
             request.issuer == message.sender
@@ -393,7 +393,7 @@
             let number = self.tickets[message.ticket].ticket.number;
             let host = self.requests[waiting].host;
             if self.hosts[host].me == message.sender {
-                self.hosts[host].ledger.take_back(number);
+                self.hosts[host].ledger.undo_hand_over(number);
             }
             self.requests[waiting].stage = Stage::Claimed;
             return;
@@ -410,14 +410,14 @@
         }
         let (slot, outcome) = match end {
             WorldEnd::Whole => (
-                SlotEnd::Completed(Duration::from_millis(20)),
+                SlotOutcome::Completed(Duration::from_millis(20)),
                 RunOutcome::Done(Some(reply_of(ticket).into())),
             ),
-            WorldEnd::Cut => (SlotEnd::Failed, RunOutcome::MayHaveRun),
+            WorldEnd::Cut => (SlotOutcome::Failed, RunOutcome::MayHaveRun),
             WorldEnd::Refused => {
                 // The backend server has shed it: nothing ran after all.
                 self.tickets[ticket].runs = 0;
-                (SlotEnd::Shed, RunOutcome::NotRun)
+                (SlotOutcome::Shed, RunOutcome::NotRun)
             }
         };
         self.release(host, slot);
@@ -492,7 +492,7 @@
                     .requests
                     .retain(|request| request.issuer.address != me);
             }
-            WorldStep::Drain { host } => state.hosts[host].ledger.void_unused(),
+            WorldStep::Drain { host } => state.hosts[host].ledger.revoke_unused(),
             WorldStep::Wait { millis } => state.now = now + Duration::from_millis(millis),
             _ => {}
         }
--- a/crates/requests/tests/tickets.rs
+++ b/crates/requests/tests/tickets.rs
@@ -43,26 +43,26 @@
 fn text_form_keeps_the_ticket() {
     let key = TicketKey::derive(&FleetSecret::new([3; 16]));
     let ticket = ledger().issue(START);
-    let text = key.seal(&ticket);
+    let text = key.encode_ticket(&ticket);
     expect!["hyt1-7f0102011b580000000700000000000000640000000007365040e3fb27d9f35fe49d"]
         .assert_eq(&text);
-    assert_eq!(key.open(&text), Ok(ticket));
-    assert_eq!(key.open("8f2a"), Err(TicketError::Malformed));
+    assert_eq!(key.decode_ticket(&text), Ok(ticket));
+    assert_eq!(key.decode_ticket("8f2a"), Err(TicketError::Malformed));
     let forged = text.replace("0064", "0065");
-    assert_eq!(key.open(&forged), Err(TicketError::WrongTag));
+    assert_eq!(key.decode_ticket(&forged), Err(TicketError::WrongTag));
 }
 
 #[test]
 fn second_copy_waits_and_gets_the_stored_reply() {
     let mut ledger = ledger();
     let ticket = ledger.issue(START);
-    assert_eq!(ledger.present(&ticket, BODY, START), TicketDecision::Run);
-    assert_eq!(ledger.present(&ticket, BODY, START), TicketDecision::Wait);
+    assert_eq!(ledger.claim(&ticket, BODY, START), TicketDecision::Run);
+    assert_eq!(ledger.claim(&ticket, BODY, START), TicketDecision::Wait);
     assert_eq!(ledger.hand_over(ticket.number, LATER, START), Ok(()));
     let reply: std::sync::Arc<[u8]> = b"enrolled".as_slice().into();
-    ledger.finish(ticket.number, RunOutcome::Done(Some(reply.clone())));
+    ledger.record_outcome(ticket.number, RunOutcome::Done(Some(reply.clone())));
     assert_eq!(
-        ledger.present(&ticket, BODY, LATER),
+        ledger.claim(&ticket, BODY, LATER),
         TicketDecision::Replay(Some(reply.clone()))
     );
     assert_eq!(
@@ -70,7 +70,7 @@
         SettleDecision::Done(Some(reply))
     );
     assert_eq!(
-        ledger.present(&ticket, RequestFingerprint(2), LATER),
+        ledger.claim(&ticket, RequestFingerprint(2), LATER),
         TicketDecision::OtherRequest
     );
 }
@@ -80,7 +80,7 @@
     let mut ledger = ledger();
     let ticket = ledger.issue(START);
     assert_eq!(ledger.settle(&ticket, BODY, START), SettleDecision::NotRun);
-    assert_eq!(ledger.present(&ticket, BODY, START), TicketDecision::NotRun);
+    assert_eq!(ledger.claim(&ticket, BODY, START), TicketDecision::NotRun);
 }
 
 #[test]
@@ -88,19 +88,19 @@
     let mut ledger = ledger();
     let ticket = ledger.issue(START);
     let far = LATER + TICKET_LIFETIME * 2;
-    ledger.present(&ticket, BODY, START);
+    ledger.claim(&ticket, BODY, START);
     assert_eq!(
         ledger.hand_over(ticket.number, far, START + TICKET_LIFETIME),
         Err(HandOverError::Expired)
     );
-    assert_eq!(ledger.present(&ticket, BODY, START), TicketDecision::NotRun);
+    assert_eq!(ledger.claim(&ticket, BODY, START), TicketDecision::NotRun);
 }
 
 #[test]
 fn request_past_its_deadline_is_not_handed_over() {
     let mut ledger = ledger();
     let ticket = ledger.issue(START);
-    ledger.present(&ticket, BODY, START);
+    ledger.claim(&ticket, BODY, START);
     assert_eq!(
         ledger.hand_over(ticket.number, LATER, LATER),
         Err(HandOverError::DeadlinePassed)
@@ -114,7 +114,7 @@
     let mut after = TicketLedger::new(process(8), LedgerLimits::default(), TicketNumber(100));
     after.issue(START);
     assert_eq!(
-        after.present(&ticket, BODY, START),
+        after.claim(&ticket, BODY, START),
         TicketDecision::MayHaveRun
     );
     assert_eq!(
@@ -128,15 +128,15 @@
     let mut ledger = ledger();
     let ran = ledger.issue(START);
     let unused = ledger.issue(START + Duration::from_secs(1));
-    ledger.present(&ran, BODY, START);
+    ledger.claim(&ran, BODY, START);
     ledger.hand_over(ran.number, LATER, START).unwrap();
-    ledger.finish(ran.number, RunOutcome::Done(None));
+    ledger.record_outcome(ran.number, RunOutcome::Done(None));
     let late = START + TICKET_LIFETIME * 2;
     let fresh = ledger.issue(late);
-    ledger.present(&fresh, BODY, late);
+    ledger.claim(&fresh, BODY, late);
     assert_eq!(ledger.records(), 1);
-    assert_eq!(ledger.present(&ran, BODY, late), TicketDecision::MayHaveRun);
-    assert_eq!(ledger.present(&unused, BODY, late), TicketDecision::NotRun);
+    assert_eq!(ledger.claim(&ran, BODY, late), TicketDecision::MayHaveRun);
+    assert_eq!(ledger.claim(&unused, BODY, late), TicketDecision::NotRun);
 }
 
 #[test]
@@ -145,21 +145,18 @@
     let tickets: Vec<_> = (0..6).map(|_| ledger.issue(START)).collect();
     let decisions: Vec<_> = tickets
         .iter()
-        .map(|ticket| ledger.present(ticket, BODY, START))
+        .map(|ticket| ledger.claim(ticket, BODY, START))
         .collect();
     expect!["[Run, Run, Run, Run, NotRun, NotRun]"].assert_eq(&format!("{decisions:?}"));
-    ledger.finish(tickets[0].number, RunOutcome::MayHaveRun);
+    ledger.record_outcome(tickets[0].number, RunOutcome::MayHaveRun);
     let late = START + TICKET_LIFETIME;
     ledger.hand_over(tickets[1].number, late, START).unwrap();
     // The records of tickets that still run outlast their expiry.
     let fresh = ledger.issue(late);
-    assert_eq!(ledger.present(&fresh, BODY, late), TicketDecision::Run);
+    assert_eq!(ledger.claim(&fresh, BODY, late), TicketDecision::Run);
+    assert_eq!(ledger.claim(&tickets[1], BODY, late), TicketDecision::Wait);
     assert_eq!(
-        ledger.present(&tickets[1], BODY, late),
-        TicketDecision::Wait
-    );
-    assert_eq!(
-        ledger.present(&tickets[5], BODY, late),
+        ledger.claim(&tickets[5], BODY, late),
         TicketDecision::MayHaveRun
     );
 }
--- a/crates/telemetry/examples/telemetry_cost.rs
+++ b/crates/telemetry/examples/telemetry_cost.rs
@@ -10,11 +10,11 @@
 use std::time::Instant;
 
 use hyssopstair_telemetry::callers::CallerTraces;
-use hyssopstair_telemetry::counts::COUNTS;
-use hyssopstair_telemetry::metrics::GaugeReading;
-use hyssopstair_telemetry::metrics::MetricsReader;
-use hyssopstair_telemetry::metrics::count_request;
-use hyssopstair_telemetry::traces::ProcessNames;
+use hyssopstair_telemetry::counts::COUNTERS;
+use hyssopstair_telemetry::metrics::GaugeValues;
+use hyssopstair_telemetry::metrics::MetricsExporter;
+use hyssopstair_telemetry::metrics::record_request;
+use hyssopstair_telemetry::traces::ProcessAttributes;
 use hyssopstair_wire::packet::TraceContext;
 use hyssopstair_wire::time::MonotonicTime;
 
@@ -22,23 +22,23 @@
 const EVENTS: u32 = 2_000_000;
 
 fn main() {
-    let names = ProcessNames {
+    let names = ProcessAttributes {
         role: "balancer",
         instance: "cost",
         zone: "cost",
     };
-    let reader = MetricsReader::start(names.resource(), Arc::new(GaugeReading::default))
+    let reader = MetricsExporter::start(names.resource(), Arc::new(GaugeValues::default))
         .expect("metrics start");
     for threads in [1, 2, 4, 8] {
         let name = format!("one count, {threads} threads");
-        measure(&name, threads, || COUNTS.packets_forwarded.increment());
+        measure(&name, threads, || COUNTERS.packets_forwarded.increment());
     }
     measure("one drop by reason", 1, || {
-        COUNTS.packets_dropped.increment(black_box("no_host"));
+        COUNTERS.packets_dropped.increment(black_box("no_host"));
     });
     measure_traces();
     measure("one request", 1, || {
-        count_request("done", "GET", black_box(Duration::from_millis(3)));
+        record_request("done", "GET", black_box(Duration::from_millis(3)));
     });
     let start = Instant::now();
     let text = reader.render().expect("metrics are written");
@@ -50,17 +50,17 @@
     let now = MonotonicTime::default();
     let traces = CallerTraces::default();
     measure("look for a trace, none sampled", 1, || {
-        black_box(traces.find(black_box(caller), now));
+        black_box(traces.find_trace(black_box(caller), now));
     });
     let trace = TraceContext {
         trace: [1; 16],
         span: [1; 8],
     };
     for port in 1..=1_000 {
-        traces.begin(SocketAddrV4::new(Ipv4Addr::LOCALHOST, port), trace, now);
+        traces.start_request(SocketAddrV4::new(Ipv4Addr::LOCALHOST, port), trace, now);
     }
     measure("look for a trace, 1000 sampled", 1, || {
-        black_box(traces.find(black_box(caller), now));
+        black_box(traces.find_trace(black_box(caller), now));
     });
 }
 
--- a/crates/telemetry/src/callers.rs
+++ b/crates/telemetry/src/callers.rs
@@ -49,7 +49,7 @@
 
     /// Notes that a sampled request of a caller begins; a later one takes the
     /// place of an earlier one.
-    pub fn begin(&self, caller: SocketAddrV4, trace: TraceContext, now: MonotonicTime) {
+    pub fn start_request(&self, caller: SocketAddrV4, trace: TraceContext, now: MonotonicTime) {
         let mut callers = self.lock();
         callers.retain(|item| !item.is_over(now));
         let item = TracedCaller {
@@ -66,7 +66,7 @@
     }
 
     /// Notes that a sampled request has ended.
-    pub fn end(&self, caller: SocketAddrV4, trace: TraceContext, now: MonotonicTime) {
+    pub fn end_request(&self, caller: SocketAddrV4, trace: TraceContext, now: MonotonicTime) {
         let mut callers = self.lock();
         if let Ok(index) = callers.binary_search_by_key(&caller, |item| item.caller)
             && callers[index].trace == trace
@@ -76,7 +76,7 @@
     }
 
     /// Returns the trace that a packet to a caller belongs to.
-    pub fn find(&self, caller: SocketAddrV4, now: MonotonicTime) -> Option<TraceContext> {
+    pub fn find_trace(&self, caller: SocketAddrV4, now: MonotonicTime) -> Option<TraceContext> {
         if self.count.load(Ordering::Relaxed) == 0 {
             return None;
         }
@@ -105,4 +105,4 @@
 }
 
 /// The traced callers of this process.
-pub static CALLERS: CallerTraces = CallerTraces::new();
+pub static CALLER_TRACES: CallerTraces = CallerTraces::new();
--- a/crates/telemetry/src/counts.rs
+++ b/crates/telemetry/src/counts.rs
@@ -121,7 +121,7 @@
 
 /// The counters of a daemon.
 #[derive(Debug, Default)]
-pub struct DaemonCounts {
+pub struct DaemonCounters {
     /// Packets of callers that were sent on to a host.
     pub packets_forwarded: EventCounter,
     /// Packets to callers that were sent on.
@@ -145,9 +145,9 @@
     /// Requests that were tried again at another host.
     pub requests_relayed: EventCounter,
     /// Control bytes that were sent.
-    pub control_sent: EventCounter,
+    pub control_bytes_sent: EventCounter,
     /// Control bytes that were received.
-    pub control_received: EventCounter,
+    pub control_bytes_received: EventCounter,
     /// Calls to the platform.
     pub platform_calls: EventCounter,
     /// Calls to the platform that write; the others read.
@@ -158,7 +158,7 @@
     pub spans_lost: EventCounter,
 }
 
-impl DaemonCounts {
+impl DaemonCounters {
     /// Creates counters at zero.
     pub const fn new() -> Self {
         Self {
@@ -173,8 +173,8 @@
             requests_open: LevelGauge::new(),
             requests_queued: LevelGauge::new(),
             requests_relayed: EventCounter::new(),
-            control_sent: EventCounter::new(),
-            control_received: EventCounter::new(),
+            control_bytes_sent: EventCounter::new(),
+            control_bytes_received: EventCounter::new(),
             platform_calls: EventCounter::new(),
             platform_writes: EventCounter::new(),
             platform_errors: EventCounter::new(),
@@ -184,4 +184,4 @@
 }
 
 /// The counters of this process.
-pub static COUNTS: DaemonCounts = DaemonCounts::new();
+pub static COUNTERS: DaemonCounters = DaemonCounters::new();
--- a/crates/telemetry/src/limiter.rs
+++ b/crates/telemetry/src/limiter.rs
@@ -12,18 +12,18 @@
 /// Lets the first of a run of equal warnings through, then one with a count
 /// every [`REPEAT_INTERVAL`].
 #[derive(Debug)]
-pub struct RepeatLimiter {
+pub struct WarningLimiter {
     reported: Option<MonotonicTime>,
     held_back: u64,
 }
 
-impl Default for RepeatLimiter {
+impl Default for WarningLimiter {
     fn default() -> Self {
         Self::new()
     }
 }
 
-impl RepeatLimiter {
+impl WarningLimiter {
     /// Creates a limiter that has seen no warning.
     pub const fn new() -> Self {
         Self {
@@ -34,7 +34,7 @@
 
     /// Notes a warning, and returns how many were held back since the last
     /// report when it is to be reported.
-    pub fn warn(&mut self, now: MonotonicTime) -> Option<u64> {
+    pub fn record_warning(&mut self, now: MonotonicTime) -> Option<u64> {
         let recent = self
             .reported
             .is_some_and(|reported| now.since(reported) < REPEAT_INTERVAL);
@@ -48,30 +48,30 @@
 
     /// Notes that the cause has ended, and returns how many warnings there were
     /// no report of; nothing when there was no warning.
-    pub fn recover(&mut self) -> Option<u64> {
+    pub fn record_recovery(&mut self) -> Option<u64> {
         self.reported.take()?;
         Some(std::mem::take(&mut self.held_back))
     }
 }
 
-/// A [`RepeatLimiter`] that several tasks share.
+/// A [`WarningLimiter`] that several tasks share.
 #[derive(Debug, Default)]
 pub struct SharedLimiter {
-    inner: Mutex<RepeatLimiter>,
+    inner: Mutex<WarningLimiter>,
 }
 
 impl SharedLimiter {
     /// Creates a limiter that has seen no warning.
     pub const fn new() -> Self {
         Self {
-            inner: Mutex::new(RepeatLimiter::new()),
+            inner: Mutex::new(WarningLimiter::new()),
         }
     }
 
     /// Notes a warning, and returns how many were held back since the last
     /// report when it is to be reported.
-    pub fn warn(&self, now: MonotonicTime) -> Option<u64> {
+    pub fn record_warning(&self, now: MonotonicTime) -> Option<u64> {
         let mut limiter = self.inner.lock().unwrap_or_else(PoisonError::into_inner);
-        limiter.warn(now)
+        limiter.record_warning(now)
     }
 }
--- a/crates/telemetry/src/logs.rs
+++ b/crates/telemetry/src/logs.rs
@@ -57,7 +57,7 @@
 }
 
 /// Starts to write logs; later calls change nothing.
-pub fn start(format: LogFormat) {
+pub fn start_logging(format: LogFormat) {
     let appender = match format {
         LogFormat::Logfmt => {
             Stderr::default().with_layout(LogfmtLayout::default().timezone(TimeZone::UTC))
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -16,7 +16,7 @@
 use prometheus::Registry;
 use prometheus::TextEncoder;
 
-use crate::counts::COUNTS;
+use crate::counts::COUNTERS;
 use crate::counts::EventCounter;
 use crate::counts::LabelCounter;
 use crate::counts::LevelGauge;
@@ -43,7 +43,7 @@
 
 /// Values of one moment that a daemon is asked for.
 #[derive(Debug, Clone, Default)]
-pub struct GaugeReading {
+pub struct GaugeValues {
     /// Members that are known.
     pub members: Vec<MemberCount>,
     /// The version of the configuration in force.
@@ -51,7 +51,7 @@
 }
 
 /// Reads the gauges of a daemon.
-pub type GaugeSource = Arc<dyn Fn() -> GaugeReading + Send + Sync>;
+pub type GaugeSource = Arc<dyn Fn() -> GaugeValues + Send + Sync>;
 
 /// Why metrics cannot be shown.
 #[derive(Debug, thiserror::Error)]
@@ -60,14 +60,14 @@
 
 /// Shows the metrics of a daemon.
 #[derive(Debug)]
-pub struct MetricsReader {
+pub struct MetricsExporter {
     registry: Registry,
     _provider: SdkMeterProvider,
 }
 
 static REQUEST_DURATION: OnceLock<Histogram<f64>> = OnceLock::new();
 
-impl MetricsReader {
+impl MetricsExporter {
     /// Registers all instruments; `gauges` is called at each reading.
     ///
     /// # Errors
@@ -112,7 +112,7 @@
 }
 
 /// Counts a request that has ended, and how long it took.
-pub fn count_request(verdict: &'static str, method: &'static str, duration: Duration) {
+pub fn record_request(verdict: &'static str, method: &'static str, duration: Duration) {
     if let Some(histogram) = REQUEST_DURATION.get() {
         let labels = [
             KeyValue::new("hyssopstair.verdict", verdict),
@@ -132,7 +132,7 @@
 }
 
 fn register_packets(meter: &Meter) {
-    let counts = &COUNTS;
+    let counts = &COUNTERS;
     counter(
         meter,
         "hyssopstair.packets.forwarded",
@@ -180,18 +180,18 @@
 }
 
 fn register_control(meter: &Meter) {
-    let counts = &COUNTS;
+    let counts = &COUNTERS;
     counter(
         meter,
         "hyssopstair.control.sent",
         "By",
-        &counts.control_sent,
+        &counts.control_bytes_sent,
     );
     counter(
         meter,
         "hyssopstair.control.received",
         "By",
-        &counts.control_received,
+        &counts.control_bytes_received,
     );
     counter(
         meter,
@@ -241,7 +241,7 @@
 }
 
 fn register_levels(meter: &Meter) {
-    let counts = &COUNTS;
+    let counts = &COUNTERS;
     level(
         meter,
         "hyssopstair.flows.open",
--- a/crates/telemetry/src/relays.rs
+++ b/crates/telemetry/src/relays.rs
@@ -103,7 +103,7 @@
 static MEMORY: Mutex<RelayMemory> = Mutex::new(RelayMemory::new());
 
 /// Notes a packet that the balancer returned; does nothing without a trace.
-pub fn note_returned(trace: Option<TraceContext>, now: MonotonicTime) {
+pub fn record_returned_packet(trace: Option<TraceContext>, now: MonotonicTime) {
     if let Some(trace) = trace {
         let mut memory = MEMORY.lock().unwrap_or_else(PoisonError::into_inner);
         memory.note(trace, now);
@@ -111,7 +111,7 @@
 }
 
 /// Makes the spans that are due.
-pub fn export_due(now: MonotonicTime) {
+pub fn export_due_spans(now: MonotonicTime) {
     let mut memory = MEMORY.lock().unwrap_or_else(PoisonError::into_inner);
     let records = memory.take_due(now);
     drop(memory);
@@ -119,7 +119,7 @@
 }
 
 /// Makes the spans of all traces, for a process that stops.
-pub fn export_all(now: MonotonicTime) {
+pub fn export_all_spans(now: MonotonicTime) {
     let mut memory = MEMORY.lock().unwrap_or_else(PoisonError::into_inner);
     let records = memory.take_all();
     drop(memory);
--- a/crates/telemetry/src/requests.rs
+++ b/crates/telemetry/src/requests.rs
@@ -21,8 +21,8 @@
 use opentelemetry_http::HeaderExtractor;
 use opentelemetry_http::HeaderInjector;
 
-use crate::counts::COUNTS;
-use crate::metrics::count_request;
+use crate::counts::COUNTERS;
+use crate::metrics::record_request;
 use crate::traces::SCOPE;
 use crate::traces::propagator;
 
@@ -61,7 +61,7 @@
 
 impl RequestScope {
     /// Begins a request; it belongs to the trace that its headers name.
-    pub fn begin(request: &Request<()>) -> Self {
+    pub fn start(request: &Request<()>) -> Self {
         let parent = propagator().extract(&HeaderExtractor(request.headers()));
         let method = method_name(request.method());
         let builder = SpanBuilder::from_name(REQUEST_SPAN)
@@ -79,7 +79,7 @@
     }
 
     /// Returns where in its trace the request is, when it is sampled.
-    pub fn trace(&self) -> Option<TraceContext> {
+    pub fn trace_context(&self) -> Option<TraceContext> {
         let span = self.context.span();
         let context = span.span_context();
         (context.is_valid() && context.is_sampled()).then(|| TraceContext {
@@ -90,10 +90,10 @@
 
     /// Serves the request by `future` and counts how it ends.
     pub async fn run<F: Future>(self, future: F) -> F::Output {
-        let _open = COUNTS.requests_open.enter();
+        let _open = COUNTERS.requests_open.enter();
         let output = future.with_context(self.context.clone()).await;
         let verdict = read_verdict(&self.context);
-        count_request(verdict, self.method, self.begun.elapsed());
+        record_request(verdict, self.method, self.begun.elapsed());
         let span = self.context.span();
         span.set_attribute(KeyValue::new("hyssopstair.verdict", verdict));
         span.end();
@@ -102,7 +102,7 @@
 }
 
 /// Notes the verdict that the caller of the present request is given.
-pub fn note_verdict(verdict: &'static str) {
+pub fn record_verdict(verdict: &'static str) {
     Context::map_current(|context| {
         if let Some(VerdictCell(cell)) = context.get::<VerdictCell>() {
             *cell.lock().unwrap_or_else(PoisonError::into_inner) = verdict;
@@ -111,7 +111,7 @@
 }
 
 /// Runs a step of the present request, with a span of its own.
-pub async fn hop<F: Future>(name: &'static str, future: F) -> F::Output {
+pub async fn run_in_span<F: Future>(name: &'static str, future: F) -> F::Output {
     let sampled = Context::map_current(|context| context.span().span_context().is_sampled());
     if !sampled {
         return future.await;
@@ -123,13 +123,13 @@
 
 /// Waits until the present request may run.
 pub async fn wait_for_admission<F: Future>(future: F) -> F::Output {
-    let _queued = COUNTS.requests_queued.enter();
-    hop(ADMISSION_SPAN, future).await
+    let _queued = COUNTERS.requests_queued.enter();
+    run_in_span(ADMISSION_SPAN, future).await
 }
 
 /// Puts the present span into the headers of a request that is sent on; the
 /// caller's own header stays when the request is not sampled.
-pub fn inject(headers: &mut HeaderMap) {
+pub fn inject_trace_context(headers: &mut HeaderMap) {
     let context = Context::current();
     if context.span().span_context().is_sampled() {
         propagator().inject_context(&context, &mut HeaderInjector(headers));
@@ -137,15 +137,15 @@
 }
 
 /// Returns the trace header that names the present span, when it is sampled.
-pub fn trace_header() -> Option<String> {
+pub fn traceparent_value() -> Option<String> {
     let mut headers = HeaderMap::new();
-    inject(&mut headers);
+    inject_trace_context(&mut headers);
     headers.get(TRACE_HEADER)?.to_str().ok().map(str::to_owned)
 }
 
 /// Runs a request that another host has sent, with a span of its own below the
 /// one that `header` names.
-pub async fn serve_relayed<F: Future>(header: Option<&str>, future: F) -> F::Output {
+pub async fn serve_relayed_request<F: Future>(header: Option<&str>, future: F) -> F::Output {
     let mut headers = HeaderMap::new();
     if let Some(value) = header.and_then(|text| text.parse().ok()) {
         headers.insert(TRACE_HEADER, value);
--- a/crates/telemetry/src/traces.rs
+++ b/crates/telemetry/src/traces.rs
@@ -25,7 +25,7 @@
 use opentelemetry_sdk::trace::SdkTracerProvider;
 use opentelemetry_sdk::trace::SpanData;
 
-use crate::counts::COUNTS;
+use crate::counts::COUNTERS;
 use crate::limiter::SharedLimiter;
 
 /// Name of the instrumentation scope.
@@ -48,7 +48,7 @@
 
 /// What is known of a process, for its metrics and spans.
 #[derive(Debug, Clone, Copy)]
-pub struct ProcessNames<'a> {
+pub struct ProcessAttributes<'a> {
     /// The role.
     pub role: &'a str,
     /// The name of the process.
@@ -57,7 +57,7 @@
     pub zone: &'a str,
 }
 
-impl ProcessNames<'_> {
+impl ProcessAttributes<'_> {
     /// Returns the names as OpenTelemetry has them.
     pub fn resource(&self) -> Resource {
         Resource::builder_empty()
@@ -82,11 +82,11 @@
 
 /// Exports spans until it is stopped.
 #[derive(Debug)]
-pub struct TraceExport {
+pub struct TraceExporter {
     provider: SdkTracerProvider,
 }
 
-impl TraceExport {
+impl TraceExporter {
     /// Starts to export to the collector at `url`.
     ///
     /// # Errors
@@ -163,9 +163,9 @@
     }
 
     fn warn(&self, spans: u64) {
-        COUNTS.spans_lost.add(spans);
+        COUNTERS.spans_lost.add(spans);
         let now = MonotonicTime(self.origin.elapsed().as_micros() as u64);
-        if let Some(held_back) = self.limiter.warn(now) {
+        if let Some(held_back) = self.limiter.record_warning(now) {
             log::warn!(collector = self.url.as_str(), spans, held_back;
                 "traces: the collector took no spans");
         }
--- a/crates/telemetry/tests/limiter.rs
+++ b/crates/telemetry/tests/limiter.rs
@@ -1,19 +1,19 @@
 //! Repeated warnings.
 
 use expect_test::expect;
-use hyssopstair_telemetry::limiter::RepeatLimiter;
 use hyssopstair_telemetry::limiter::SharedLimiter;
+use hyssopstair_telemetry::limiter::WarningLimiter;
 use hyssopstair_wire::time::MonotonicTime;
 
 #[test]
 fn a_repeated_warning_is_reported_first_and_then_with_a_count() {
-    let mut limiter = RepeatLimiter::default();
+    let mut limiter = WarningLimiter::default();
     let reports: Vec<(u64, Option<u64>)> = [0, 1, 2, 29, 30, 31, 61]
         .into_iter()
         .map(|second| {
             (
                 second,
-                limiter.warn(MonotonicTime::from_millis(second * 1_000)),
+                limiter.record_warning(MonotonicTime::from_millis(second * 1_000)),
             )
         })
         .filter(|(_, report)| report.is_some())
@@ -23,14 +23,14 @@
 
 #[test]
 fn a_warning_after_a_recovery_is_a_first_one() {
-    let mut limiter = RepeatLimiter::default();
+    let mut limiter = WarningLimiter::default();
     let at = MonotonicTime::from_millis;
     let results = (
-        limiter.recover(),
-        limiter.warn(at(0)),
-        limiter.warn(at(10)),
-        limiter.recover(),
-        limiter.warn(at(20)),
+        limiter.record_recovery(),
+        limiter.record_warning(at(0)),
+        limiter.record_warning(at(10)),
+        limiter.record_recovery(),
+        limiter.record_warning(at(20)),
     );
     expect!["(None, Some(0), None, Some(1), Some(0))"].assert_eq(&format!("{results:?}"));
 }
@@ -38,6 +38,7 @@
 #[test]
 fn a_shared_limiter_reports_as_one() {
     static LIMITER: SharedLimiter = SharedLimiter::new();
-    let reports = [0, 1, 30].map(|second| LIMITER.warn(MonotonicTime::from_millis(second * 1_000)));
+    let reports =
+        [0, 1, 30].map(|second| LIMITER.record_warning(MonotonicTime::from_millis(second * 1_000)));
     expect!["[Some(0), None, Some(1)]"].assert_eq(&format!("{reports:?}"));
 }
--- a/crates/telemetry/tests/metrics.rs
+++ b/crates/telemetry/tests/metrics.rs
@@ -4,20 +4,20 @@
 use std::time::Duration;
 
 use expect_test::expect;
-use hyssopstair_telemetry::counts::COUNTS;
-use hyssopstair_telemetry::metrics::GaugeReading;
+use hyssopstair_telemetry::counts::COUNTERS;
+use hyssopstair_telemetry::metrics::GaugeValues;
 use hyssopstair_telemetry::metrics::MemberCount;
-use hyssopstair_telemetry::metrics::MetricsReader;
-use hyssopstair_telemetry::metrics::count_request;
-use hyssopstair_telemetry::traces::ProcessNames;
+use hyssopstair_telemetry::metrics::MetricsExporter;
+use hyssopstair_telemetry::metrics::record_request;
+use hyssopstair_telemetry::traces::ProcessAttributes;
 
-fn reading() -> GaugeReading {
+fn reading() -> GaugeValues {
     let members = vec![MemberCount {
         role: "host",
         state: "alive",
         count: 10,
     }];
-    GaugeReading {
+    GaugeValues {
         members,
         config_version: 7,
     }
@@ -36,20 +36,20 @@
 
 #[test]
 fn counters_have_names_and_units_by_convention() {
-    let names = ProcessNames {
+    let names = ProcessAttributes {
         role: "balancer",
         instance: "127.0.0.1:7000",
         zone: "utr-a",
     };
-    let reader = MetricsReader::start(names.resource(), Arc::new(reading)).unwrap();
-    COUNTS.packets_forwarded.add(3);
-    COUNTS.packets_dropped.increment("no_host");
-    COUNTS.packets_dropped.increment("malformed");
-    COUNTS.packets_dropped.increment("no_host");
-    COUNTS.control_sent.add(120);
-    let _open = COUNTS.flows_open.enter();
-    drop(COUNTS.flows_open.enter());
-    count_request("done", "POST", Duration::from_millis(20));
+    let reader = MetricsExporter::start(names.resource(), Arc::new(reading)).unwrap();
+    COUNTERS.packets_forwarded.add(3);
+    COUNTERS.packets_dropped.increment("no_host");
+    COUNTERS.packets_dropped.increment("malformed");
+    COUNTERS.packets_dropped.increment("no_host");
+    COUNTERS.control_bytes_sent.add(120);
+    let _open = COUNTERS.flows_open.enter();
+    drop(COUNTERS.flows_open.enter());
+    record_request("done", "POST", Duration::from_millis(20));
     let text = reader.render().unwrap();
     expect![[r#"
         hyssopstair_configuration_version 7
--- a/crates/telemetry/tests/relays.rs
+++ b/crates/telemetry/tests/relays.rs
@@ -68,16 +68,18 @@
     let traces = CallerTraces::default();
     let mut found = Vec::new();
     let mut look = |step: &str, now| {
-        let number = traces.find(caller(1), now).map(|trace| trace.trace[15]);
+        let number = traces
+            .find_trace(caller(1), now)
+            .map(|trace| trace.trace[15]);
         found.push(format!("{step}: {number:?}"));
     };
     look("before", at(0));
-    traces.begin(caller(1), trace(1), at(0));
+    traces.start_request(caller(1), trace(1), at(0));
     look("running", at(60_000));
-    traces.begin(caller(1), trace(2), at(60_000));
-    traces.end(caller(1), trace(1), at(60_001));
+    traces.start_request(caller(1), trace(2), at(60_000));
+    traces.end_request(caller(1), trace(1), at(60_001));
     look("second request", at(90_000));
-    traces.end(caller(1), trace(2), at(90_000));
+    traces.end_request(caller(1), trace(2), at(90_000));
     look("just ended", at(90_300));
     look("over", at(90_301));
     expect![[r#"
@@ -94,8 +96,8 @@
     let traces = CallerTraces::default();
     let ports = 1..=(MAX_TRACED as u16 + 10);
     for port in ports.clone() {
-        traces.begin(caller(port), trace(port), at(0));
+        traces.start_request(caller(port), trace(port), at(0));
     }
-    let known = ports.filter(|port| traces.find(caller(*port), at(0)).is_some());
+    let known = ports.filter(|port| traces.find_trace(caller(*port), at(0)).is_some());
     assert_eq!(known.count(), MAX_TRACED);
 }
