--- a/crates/requests/src/admission.rs
+++ b/crates/requests/src/admission.rs
@@ -1,188 +1,195 @@
-//! Which requests a host hands to its backend server, and when.
+//! Admission control for the requests that a host sends to its backend server.
 //!
-//! A request takes a slot, waits in a short queue, or is refused at once. The
-//! number of slots in use is bounded by the rules and by a working limit, which
-//! starts at one, grows with completed requests and falls when the backend
-//! server sheds. What the backend server reports about itself can only send the
-//! limit back to one; completed requests raise it again.
+//! A request gets a slot, waits in a short queue, or is refused immediately. The
+//! number of slots in use is limited by the rules and by an adaptive concurrency
+//! limit. That limit starts at one, grows with completed requests and is reset to
+//! one when the backend server sheds, fails or times out. A load report of the
+//! backend server can only reset the limit; only completed requests raise it.
 
 use std::time::Duration;
 
 use hyssopstair_wire::time::MonotonicTime;
 
-use crate::estimate::ServiceEstimate;
-use crate::limit::WorkingLimit;
+use crate::estimate::ServiceTimeEstimate;
+use crate::limit::ConcurrencyLimit;
 
-/// First pause after a shed answer.
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
+/// Backoff after the first shed or failed request.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
 
-/// Longest pause after a row of shed answers.
-const MAX_PAUSE: Duration = Duration::from_millis(200);
+/// Maximum backoff after consecutive shed or failed requests.
+const MAX_BACKOFF: Duration = Duration::from_millis(200);
 
-/// A host without a completed request for this long starts anew.
-const IDLE_TIME: Duration = Duration::from_secs(60);
+/// Time without a completed request after which the concurrency limit of an idle
+/// host is reset.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A host whose estimate has refused all work for this long tries a request.
-const TRIAL_TIME: Duration = Duration::from_secs(1);
+/// Age of the service time estimate at which an idle host that refuses a request
+/// only because of the estimate admits it as a probe.
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Completed requests of this age outweigh a report of the backend server.
-const REPORT_DOUBT: Duration = Duration::from_secs(5);
+/// A load report is ignored if a request has completed within this time before
+/// it.
+const REPORT_IGNORE_WINDOW: Duration = Duration::from_secs(5);
 
-/// Shortest time after which a refused caller may come back.
+/// Minimum retry delay that is given to a refused caller.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(10);
 
-/// What the rules allow on one host.
+/// The limits that the rules of a service set for one host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AdmissionRules {
-    /// Requests that run at once.
+    /// Maximum number of requests that run concurrently.
     pub slots: u32,
-    /// Requests that wait for a slot.
+    /// Maximum number of requests that wait for a slot.
     pub queue: usize,
 }
 
-/// Tells the requests of one host apart.
+/// Identifies a request within one host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestKey(pub u64);
 
-/// How much a request counts.
+/// Whether a request may run more than once; determines its priority in the queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestClass {
-    /// May be run again; counts once.
+    /// May run again; evicted from a full queue first.
     Idempotent,
-    /// Must not be run twice; counts double.
+    /// Must not run twice. It has twice the weight of an idempotent request and
+    /// evicts one from a full queue.
     NonIdempotent,
 }
 
-/// A request that asks for a slot.
+/// A request for a slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SlotRequest {
-    /// Its name.
+    /// Identifies the request.
     pub key: RequestKey,
-    /// How much it counts.
+    /// The class of the request.
     pub class: RequestClass,
-    /// When its caller stops waiting.
+    /// When the caller stops waiting.
     pub deadline: MonotonicTime,
 }
 
-/// What becomes of a request that asks for a slot.
+/// The decision about a request for a slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SlotDecision {
-    /// It has a slot.
+    /// The request has a slot and may run.
     Run,
-    /// It waits; a [`QueueDecision`] ends the wait.
+    /// The request waits in the queue until a [`QueueDecision`] is made about it.
     Wait,
-    /// It is refused.
+    /// The request is refused.
     Refuse {
-        /// When the caller may ask again.
+        /// Minimum delay before the caller retries.
         retry_after: Duration,
     },
 }
 
-/// The end of a wait: the decision is [`SlotDecision::Run`] or
-/// [`SlotDecision::Refuse`].
+/// The decision about a request that waited in the queue: either
+/// [`SlotDecision::Run`] or [`SlotDecision::Refuse`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QueueDecision {
     /// The request that waited.
     pub key: RequestKey,
-    /// What becomes of it.
+    /// The decision about it.
     pub decision: SlotDecision,
 }
 
-/// How the use of a slot ended.
+/// How the request that held a slot ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SlotOutcome {
-    /// With an answer, after this time.
+    /// The backend server responded after this time.
     Completed(Duration),
-    /// Without an answer before the deadline, after this time.
+    /// The deadline passed without a response, after this time.
     TimedOut(Duration),
     /// The backend server shed the request.
     Shed,
-    /// The backend server could not be reached or broke off.
+    /// The backend server was unreachable or closed the connection.
     Failed,
-    /// The caller cancelled it, or it was never handed over.
+    /// The caller cancelled the request, or it was never sent to the backend
+    /// server.
     Unused,
 }
 
-/// The slots and the queue of one host.
+/// The slots and the request queue of one host.
 #[derive(Debug, Default)]
 pub struct AdmissionController {
-    running: u32,
-    waiting: Vec<SlotRequest>,
-    limit: WorkingLimit,
-    estimate: ServiceEstimate,
-    last_completion: Option<MonotonicTime>,
-    last_sample: MonotonicTime,
-    paused_until: MonotonicTime,
-    pause: Duration,
+    running_count: u32,
+    queue: Vec<SlotRequest>,
+    limit: ConcurrencyLimit,
+    estimate: ServiceTimeEstimate,
+    last_completed_at: Option<MonotonicTime>,
+    last_sample_at: MonotonicTime,
+    backoff_until: MonotonicTime,
+    backoff: Duration,
 }
 
 impl AdmissionController {
-    /// Decides about a request that arrives. Requests that must make way are
-    /// added to `changes`.
+    /// Decides whether a new request runs, waits or is refused. Decisions about
+    /// queued requests that are refused in the process are added to `decisions`.
     pub fn admit(
         &mut self,
         request: SlotRequest,
         rules: &AdmissionRules,
         now: MonotonicTime,
-        changes: &mut Vec<QueueDecision>,
+        decisions: &mut Vec<QueueDecision>,
     ) -> SlotDecision {
-        self.restart_when_idle(now);
-        self.drop_late(rules, now, changes);
-        if self.needs_trial(&request, now) {
-            self.limit = WorkingLimit::default();
-            self.estimate = ServiceEstimate::default();
+        self.reset_limit_when_idle(now);
+        self.refuse_late(rules, now, decisions);
+        if self.needs_probe(&request, now) {
+            self.limit = ConcurrencyLimit::default();
+            self.estimate = ServiceTimeEstimate::default();
         }
-        if self.misses_deadline(&request, self.waiting.len(), rules, now) {
-            return self.refusal(rules, now);
+        if self.misses_deadline(&request, self.queue.len(), rules, now) {
+            return self.refusal_decision(rules, now);
         }
-        if self.waiting.is_empty() && self.has_free_slot(rules, now) {
-            self.running += 1;
+        if self.queue.is_empty() && self.has_free_slot(rules, now) {
+            self.running_count += 1;
             return SlotDecision::Run;
         }
-        if self.waiting.len() >= rules.queue && !self.make_way(&request, rules, now, changes) {
-            return self.refusal(rules, now);
+        if self.queue.len() >= rules.queue
+            && !self.evict_idempotent(&request, rules, now, decisions)
+        {
+            return self.refusal_decision(rules, now);
         }
-        self.waiting.push(request);
+        self.queue.push(request);
         SlotDecision::Wait
     }
 
-    /// Decides about a request that was refused at another host: it takes a
-    /// free slot or is refused, and never waits.
+    /// Decides whether a request that was refused at another host and relayed runs
+    /// or is refused. A relayed request never waits.
     pub fn admit_relayed(
         &mut self,
         request: SlotRequest,
         rules: &AdmissionRules,
         now: MonotonicTime,
     ) -> SlotDecision {
-        self.restart_when_idle(now);
-        let is_late = self.misses_deadline(&request, 0, rules, now);
-        if is_late || !self.waiting.is_empty() || !self.has_free_slot(rules, now) {
-            return self.refusal(rules, now);
+        self.reset_limit_when_idle(now);
+        let misses_deadline = self.misses_deadline(&request, 0, rules, now);
+        if misses_deadline || !self.queue.is_empty() || !self.has_free_slot(rules, now) {
+            return self.refusal_decision(rules, now);
         }
-        self.running += 1;
+        self.running_count += 1;
         SlotDecision::Run
     }
 
-    /// Takes back a slot and returns what becomes of waiting requests.
+    /// Releases a slot and returns the decisions about queued requests that follow.
     pub fn release(
         &mut self,
-        end: SlotOutcome,
+        outcome: SlotOutcome,
         rules: &AdmissionRules,
         now: MonotonicTime,
     ) -> Vec<QueueDecision> {
-        self.running = self.running.saturating_sub(1);
-        match end {
+        self.running_count = self.running_count.saturating_sub(1);
+        match outcome {
             SlotOutcome::Completed(time) => {
                 self.estimate.record(time);
-                self.last_sample = now;
-                self.last_completion = Some(now);
-                self.pause = Duration::ZERO;
-                self.limit.grow(rules);
+                self.last_sample_at = now;
+                self.last_completed_at = Some(now);
+                self.backoff = Duration::ZERO;
+                self.limit.increase(rules);
             }
             SlotOutcome::TimedOut(time) => {
                 self.estimate.record(time);
-                self.last_sample = now;
-                self.limit = WorkingLimit::default();
+                self.last_sample_at = now;
+                self.limit = ConcurrencyLimit::default();
             }
             SlotOutcome::Shed | SlotOutcome::Failed => self.back_off(now),
             SlotOutcome::Unused => {}
@@ -190,145 +197,159 @@
         self.advance(rules, now)
     }
 
-    /// Forgets a waiting request whose caller has cancelled it.
+    /// Removes a queued request that its caller has cancelled.
     pub fn cancel(&mut self, key: RequestKey) {
-        self.waiting.retain(|request| request.key != key);
+        self.queue.retain(|request| request.key != key);
     }
 
-    /// Does what is due at `now`; see [`Self::next_advance_at`].
+    /// Refuses queued requests that can no longer meet their deadline, and starts
+    /// queued requests while slots are free. Returns the decisions.
+    ///
+    /// See [`Self::next_advance_at`] for when to call it.
     pub fn advance(&mut self, rules: &AdmissionRules, now: MonotonicTime) -> Vec<QueueDecision> {
-        let mut changes = Vec::new();
-        self.drop_late(rules, now, &mut changes);
-        while !self.waiting.is_empty() && self.has_free_slot(rules, now) {
-            let request = self.waiting.remove(0);
-            self.running += 1;
-            changes.push(QueueDecision {
+        let mut decisions = Vec::new();
+        self.refuse_late(rules, now, &mut decisions);
+        while !self.queue.is_empty() && self.has_free_slot(rules, now) {
+            let request = self.queue.remove(0);
+            self.running_count += 1;
+            decisions.push(QueueDecision {
                 key: request.key,
                 decision: SlotDecision::Run,
             });
         }
-        changes
+        decisions
     }
 
-    /// Returns when [`Self::advance`] has something to do, if nothing else
-    /// happens before.
+    /// Returns when [`Self::advance`] must be called next unless another call
+    /// comes first, or `None` if no request waits.
     pub fn next_advance_at(&self, now: MonotonicTime) -> Option<MonotonicTime> {
-        let earliest = self.waiting.iter().map(|request| request.deadline).min()?;
-        if self.paused_until > now {
-            return Some(earliest.min(self.paused_until));
+        let next_at = self.queue.iter().map(|request| request.deadline).min()?;
+        if self.backoff_until > now {
+            return Some(next_at.min(self.backoff_until));
         }
-        Some(earliest)
+        Some(next_at)
     }
 
-    /// Takes in what the backend server says of its own load, from 0 to 1, or
-    /// of its health as 0 or 1.
+    /// Records a load report of the backend server, from 0 (idle) to 1 (full). A
+    /// health check is reported as 0 (healthy) or 1 (unhealthy).
+    ///
+    /// A report of full load resets the concurrency limit unless a recently
+    /// completed request contradicts it.
     pub fn record_load_report(&mut self, load: f64, now: MonotonicTime) {
-        let is_doubted = self
-            .last_completion
-            .is_some_and(|completion| now.since(completion) < REPORT_DOUBT);
-        if load >= 1.0 && !is_doubted {
-            self.limit = WorkingLimit::default();
+        let is_contradicted = self
+            .last_completed_at
+            .is_some_and(|completed_at| now.since(completed_at) < REPORT_IGNORE_WINDOW);
+        if load >= 1.0 && !is_contradicted {
+            self.limit = ConcurrencyLimit::default();
         }
     }
 
-    /// Returns the number of slots that are taken.
-    pub fn running(&self) -> u32 {
-        self.running
+    /// Returns the number of slots in use.
+    pub fn running_count(&self) -> u32 {
+        self.running_count
     }
 
-    /// Returns the number of requests that wait.
-    pub fn waiting(&self) -> usize {
-        self.waiting.len()
+    /// Returns the number of queued requests.
+    pub fn waiting_count(&self) -> usize {
+        self.queue.len()
     }
 
-    /// Returns the work that is accepted, in percent of what can run at once.
+    /// Returns the number of running and queued requests, in percent of the
+    /// concurrency limit, or `u16::MAX` while the host backs off.
     pub fn load_percent(&self, rules: &AdmissionRules, now: MonotonicTime) -> u16 {
-        if self.paused_until > now {
+        if self.backoff_until > now {
             return u16::MAX;
         }
-        let work = self.running as usize + self.waiting.len();
-        let limit = self.limit.whole(rules) as usize;
-        u16::try_from(work * 100 / limit).unwrap_or(u16::MAX)
+        let request_count = self.running_count as usize + self.queue.len();
+        let limit = self.limit.slot_count(rules) as usize;
+        u16::try_from(request_count * 100 / limit).unwrap_or(u16::MAX)
     }
 
     fn has_free_slot(&self, rules: &AdmissionRules, now: MonotonicTime) -> bool {
-        now >= self.paused_until && self.running < self.limit.whole(rules)
+        now >= self.backoff_until && self.running_count < self.limit.slot_count(rules)
     }
 
-    fn restart_when_idle(&mut self, now: MonotonicTime) {
+    fn reset_limit_when_idle(&mut self, now: MonotonicTime) {
         let is_idle = self
-            .last_completion
-            .is_some_and(|completion| now.since(completion) >= IDLE_TIME);
-        if is_idle && self.running == 0 {
-            self.limit = WorkingLimit::default();
+            .last_completed_at
+            .is_some_and(|completed_at| now.since(completed_at) >= IDLE_TIMEOUT);
+        if is_idle && self.running_count == 0 {
+            self.limit = ConcurrencyLimit::default();
         }
     }
 
-    /// Returns whether an idle host refuses `request` only by an estimate that
-    /// nothing has renewed for some time. Without a trial, such an estimate
-    /// would refuse all work for ever. A request that must not be run twice is
-    /// not put at risk.
-    fn needs_trial(&self, request: &SlotRequest, now: MonotonicTime) -> bool {
-        let is_idle = self.running == 0 && self.waiting.is_empty() && now >= self.paused_until;
-        let is_old = now.since(self.last_sample) >= TRIAL_TIME;
-        let is_refused = now + self.estimate.cautious() >= request.deadline;
-        let is_alive = now < request.deadline;
-        let may_be_late = request.class == RequestClass::Idempotent;
-        is_idle && is_old && is_refused && is_alive && may_be_late
+    /// Returns whether `request` should be admitted as a probe: the host is idle,
+    /// and only a stale estimate of the service time causes the refusal.
+    ///
+    /// Without probes, such an estimate would never be updated and the host would
+    /// refuse all requests forever. Non-idempotent requests are never used as
+    /// probes.
+    fn needs_probe(&self, request: &SlotRequest, now: MonotonicTime) -> bool {
+        let is_idle = self.running_count == 0 && self.queue.is_empty() && now >= self.backoff_until;
+        let is_estimate_stale = now.since(self.last_sample_at) >= PROBE_INTERVAL;
+        let is_refused = now + self.estimate.upper_bound() >= request.deadline;
+        let is_before_deadline = now < request.deadline;
+        let is_idempotent = request.class == RequestClass::Idempotent;
+        is_idle && is_estimate_stale && is_refused && is_before_deadline && is_idempotent
     }
 
     fn back_off(&mut self, now: MonotonicTime) {
-        self.limit = WorkingLimit::default();
-        self.pause = (self.pause * 2).clamp(FIRST_PAUSE, MAX_PAUSE);
-        self.paused_until = now + self.pause;
+        self.limit = ConcurrencyLimit::default();
+        self.backoff = (self.backoff * 2).clamp(INITIAL_BACKOFF, MAX_BACKOFF);
+        self.backoff_until = now + self.backoff;
     }
 
-    /// Returns whether a request with `ahead` others before it in the queue
-    /// would end after its deadline.
+    /// Returns whether a request with `ahead_count` queued requests ahead of it is
+    /// expected to end after its deadline.
     fn misses_deadline(
         &self,
         request: &SlotRequest,
-        ahead: usize,
+        ahead_count: usize,
         rules: &AdmissionRules,
         now: MonotonicTime,
     ) -> bool {
-        let wait = self.expected_wait(ahead, rules, now);
-        now + wait + self.estimate.cautious() >= request.deadline
+        let wait = self.expected_wait(ahead_count, rules, now);
+        now + wait + self.estimate.upper_bound() >= request.deadline
     }
 
-    /// Returns the time after which a request that has `ahead` others before
-    /// it in the queue may expect a slot.
-    fn expected_wait(&self, ahead: usize, rules: &AdmissionRules, now: MonotonicTime) -> Duration {
-        let limit = self.limit.whole(rules);
-        let pause = self.paused_until.since(now);
-        let before = self.running as usize + ahead;
-        let rounds = (before + 1).saturating_sub(limit as usize);
-        pause + self.estimate.mean() * rounds as u32 / limit
+    /// Returns the expected wait for a slot of a request with `ahead_count` queued
+    /// requests ahead of it.
+    fn expected_wait(
+        &self,
+        ahead_count: usize,
+        rules: &AdmissionRules,
+        now: MonotonicTime,
+    ) -> Duration {
+        let limit = self.limit.slot_count(rules);
+        let backoff = self.backoff_until.since(now);
+        let preceding_count = self.running_count as usize + ahead_count;
+        let blocking_count = (preceding_count + 1).saturating_sub(limit as usize);
+        backoff + self.estimate.mean() * blocking_count as u32 / limit
     }
 
-    fn refusal(&self, rules: &AdmissionRules, now: MonotonicTime) -> SlotDecision {
-        let wait = self.expected_wait(self.waiting.len(), rules, now);
+    fn refusal_decision(&self, rules: &AdmissionRules, now: MonotonicTime) -> SlotDecision {
+        let wait = self.expected_wait(self.queue.len(), rules, now);
         SlotDecision::Refuse {
             retry_after: wait.max(MIN_RETRY_AFTER),
         }
     }
 
-    fn drop_late(
+    fn refuse_late(
         &mut self,
         rules: &AdmissionRules,
         now: MonotonicTime,
-        changes: &mut Vec<QueueDecision>,
+        decisions: &mut Vec<QueueDecision>,
     ) {
-        let decision = self.refusal(rules, now);
+        let decision = self.refusal_decision(rules, now);
         let mut index = 0;
-        while index < self.waiting.len() {
-            let request = self.waiting[index];
+        while index < self.queue.len() {
+            let request = self.queue[index];
             if !self.misses_deadline_in_queue(&request, index, rules, now) {
                 index += 1;
                 continue;
             }
-            self.waiting.remove(index);
-            changes.push(QueueDecision {
+            self.queue.remove(index);
+            decisions.push(QueueDecision {
                 key: request.key,
                 decision,
             });
@@ -342,35 +363,35 @@
         rules: &AdmissionRules,
         now: MonotonicTime,
     ) -> bool {
-        // Running requests have used a part of their time, so that only whole
-        // rounds of others in the queue are counted here.
-        let rounds = index as u32 / self.limit.whole(rules);
-        let wait = self.paused_until.since(now) + self.estimate.mean() * rounds;
-        now + wait + self.estimate.cautious() >= request.deadline
+        // Running requests are partly done, so only full rounds of queued requests
+        // ahead of this one add to the expected wait.
+        let round_count = index as u32 / self.limit.slot_count(rules);
+        let wait = self.backoff_until.since(now) + self.estimate.mean() * round_count;
+        now + wait + self.estimate.upper_bound() >= request.deadline
     }
 
-    /// Refuses a waiting request that counts less than `request`, and returns
-    /// whether there was one.
-    fn make_way(
+    /// Refuses the last idempotent request in the queue to make space for a
+    /// non-idempotent `request`. Returns whether there is space now.
+    fn evict_idempotent(
         &mut self,
         request: &SlotRequest,
         rules: &AdmissionRules,
         now: MonotonicTime,
-        changes: &mut Vec<QueueDecision>,
+        decisions: &mut Vec<QueueDecision>,
     ) -> bool {
         if request.class != RequestClass::NonIdempotent {
             return false;
         }
-        let lesser = self
-            .waiting
+        let found = self
+            .queue
             .iter()
             .rposition(|other| other.class == RequestClass::Idempotent);
-        let Some(index) = lesser else {
+        let Some(index) = found else {
             return false;
         };
-        let decision = self.refusal(rules, now);
-        let other = self.waiting.remove(index);
-        changes.push(QueueDecision {
+        let decision = self.refusal_decision(rules, now);
+        let other = self.queue.remove(index);
+        decisions.push(QueueDecision {
             key: other.key,
             decision,
         });
--- a/crates/requests/src/budget.rs
+++ b/crates/requests/src/budget.rs
@@ -1,36 +1,39 @@
-//! How many requests may be tried at a second host.
+//! A budget for retries at a second host.
 
-/// Tries that one success pays for.
-const TRIES_PER_SUCCESS: f64 = 0.1;
+/// Retries that one successful request adds to the budget.
+const RETRIES_PER_SUCCESS: f64 = 0.1;
 
-/// Most tries that are saved up.
-const MAX_SAVED: f64 = 10.0;
+/// Maximum number of retries in the budget.
+const MAX_BALANCE: f64 = 10.0;
 
-/// A bound on second tries of one service, as a share of its successes, so
-/// that a service that fails is not asked more often for it.
+/// Limits the retries of one service to a fraction of its successful requests,
+/// so that a failing service does not receive additional load from retries.
 #[derive(Debug)]
 pub struct RetryBudget {
-    saved: f64,
+    balance: f64,
 }
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        Self { saved: MAX_SAVED }
+        Self {
+            balance: MAX_BALANCE,
+        }
     }
 }
 
 impl RetryBudget {
-    /// Counts a request that completed at its first host.
+    /// Adds to the budget for a request that completed at its first host.
     pub fn deposit(&mut self) {
-        self.saved = (self.saved + TRIES_PER_SUCCESS).min(MAX_SAVED);
+        self.balance = (self.balance + RETRIES_PER_SUCCESS).min(MAX_BALANCE);
     }
 
-    /// Takes one second try, if one is saved.
+    /// Withdraws one retry and returns `true`, or returns `false` if the budget
+    /// is exhausted.
     pub fn try_withdraw(&mut self) -> bool {
-        if self.saved < 1.0 {
+        if self.balance < 1.0 {
             return false;
         }
-        self.saved -= 1.0;
+        self.balance -= 1.0;
         true
     }
 }
--- a/crates/requests/src/estimate.rs
+++ b/crates/requests/src/estimate.rs
@@ -1,45 +1,47 @@
-//! How long requests take, learnt from those that completed.
+//! An estimate of the service time of requests.
 
 use std::time::Duration;
 
-/// The mean moves by one part in this many of the difference to a new sample.
-const MEAN_WEIGHT: u32 = 8;
+/// Divisor of the weight of a new sample: the mean moves by 1/8 of the
+/// difference to it.
+const MEAN_DIVISOR: u32 = 8;
 
-/// Mean deviations that a cautious estimate adds to the mean.
-const CAUTION: u32 = 3;
+/// Number of mean deviations that the upper bound adds to the mean.
+const DEVIATION_FACTOR: u32 = 3;
 
-/// A moving mean of the time that requests take, and of their deviation.
+/// Exponentially weighted moving averages of the service time and of its
+/// deviation from the mean.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct ServiceEstimate {
-    samples: u64,
+pub struct ServiceTimeEstimate {
+    sample_count: u64,
     mean: Duration,
     deviation: Duration,
 }
 
-impl ServiceEstimate {
-    /// Takes in the time of a completed request.
+impl ServiceTimeEstimate {
+    /// Records the service time of a request.
     pub fn record(&mut self, time: Duration) {
-        if self.samples == 0 {
+        if self.sample_count == 0 {
             self.mean = time;
         }
-        self.samples += 1;
+        self.sample_count += 1;
         let deviation = self.mean.abs_diff(time);
-        self.mean = blend(self.mean, time);
-        self.deviation = blend(self.deviation, deviation);
+        self.mean = update_moving_mean(self.mean, time);
+        self.deviation = update_moving_mean(self.deviation, deviation);
     }
 
-    /// Returns the mean, or zero before the first sample.
+    /// Returns the mean service time, or zero before the first sample.
     pub fn mean(&self) -> Duration {
         self.mean
     }
 
-    /// Returns a time that few requests exceed, or zero before the first
+    /// Returns a service time that few requests exceed, or zero before the first
     /// sample.
-    pub fn cautious(&self) -> Duration {
-        self.mean + self.deviation * CAUTION
+    pub fn upper_bound(&self) -> Duration {
+        self.mean + self.deviation * DEVIATION_FACTOR
     }
 }
 
-fn blend(old: Duration, new: Duration) -> Duration {
-    old - old / MEAN_WEIGHT + new / MEAN_WEIGHT
+fn update_moving_mean(mean: Duration, sample: Duration) -> Duration {
+    mean - mean / MEAN_DIVISOR + sample / MEAN_DIVISOR
 }
--- a/crates/requests/src/ledger.rs
+++ b/crates/requests/src/ledger.rs
@@ -1,10 +1,11 @@
-//! What one incarnation remembers of the tickets that it issued.
+//! The state of the tickets that one incarnation of a host has issued.
 //!
-//! A ticket that was issued and not yet shown takes no memory: its number lies
-//! in the window of issued numbers and has no record. A record is kept from the
-//! first sight of a ticket until the ticket expires, and always while its
-//! request runs. When there is no space for another record, all tickets without
-//! one become void, so that no outcome is ever forgotten.
+//! A ticket that has not been presented yet takes no memory: its number is in
+//! the range of issued numbers and has no record. A record is created when a
+//! ticket is first presented and kept until the ticket expires, or until its
+//! request ends if that is later. When the maximum number of records is reached,
+//! all tickets without a record are revoked, so that no recorded outcome has to be
+//! evicted before its ticket expires.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,89 +17,92 @@
 use crate::ticket::RequestTicket;
 use crate::ticket::TicketNumber;
 
-/// Time from the issue of a ticket to its expiry.
+/// Lifetime of a ticket, from its issue to its expiry.
 pub const TICKET_LIFETIME: Duration = Duration::from_secs(120);
 
-/// Time between two searches for records that have expired.
+/// Minimum interval between two purges of expired records.
 const PURGE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Bounds of the memory of a ledger.
+/// Limits of the memory that a ledger uses.
 #[derive(Debug, Clone, Copy)]
 pub struct LedgerLimits {
-    /// Most records.
-    pub records: usize,
-    /// Most bytes of all stored replies together.
-    pub reply_bytes: usize,
+    /// Maximum number of records.
+    pub max_records: usize,
+    /// Maximum total size of the stored replies, in bytes.
+    pub max_reply_bytes: usize,
 }
 
 impl Default for LedgerLimits {
     fn default() -> Self {
         Self {
-            records: 32_768,
-            reply_bytes: 16 << 20,
+            max_records: 32_768,
+            max_reply_bytes: 16 << 20,
         }
     }
 }
 
-/// A whole answer, in the form in which hosts exchange it.
+/// A complete response, in the encoding that hosts exchange.
 pub type StoredReply = Arc<[u8]>;
 
-/// How the run of a request ended.
+/// How a request with a ticket ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RunOutcome {
-    /// It ran, with this answer; none when the answer is too long to be kept.
+    /// The request ran, with this response; `None` if the response is too long to
+    /// be stored.
     Done(Option<StoredReply>),
-    /// It did not run, and never will under its ticket.
+    /// The request did not run and never will under its ticket.
     NotRun,
-    /// Nobody knows whether it ran.
+    /// It is unknown whether the request ran.
     MayHaveRun,
 }
 
-/// What is to be done with a request that carries a ticket.
+/// How a request that presents a ticket is handled.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TicketDecision {
     /// The request may run; the ticket is claimed by it.
     Run,
-    /// Another copy of the request is at work.
+    /// Another copy of the request holds the ticket and has not ended.
     Wait,
-    /// The request ran before; none when its answer was too long to be kept.
+    /// The request ran before, with this response; `None` if the response was too
+    /// long to be stored.
     Replay(Option<StoredReply>),
-    /// It did not run and never will under this ticket.
+    /// The request did not run and never will under this ticket.
     NotRun,
-    /// Nobody knows whether it ran.
+    /// It is unknown whether the request ran.
     MayHaveRun,
     /// The ticket was used for another request.
     OtherRequest,
-    /// Another process issued the ticket and has to be asked.
+    /// Another process issued the ticket and must be asked for its state.
     AskIssuer,
 }
 
-/// What an issuer says of a ticket that was shown to another host.
+/// What the issuer reports about a ticket that was presented to another host.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SettleDecision {
-    /// The request ran; none when its answer was too long to be kept.
+    /// The request ran, with this response; `None` if the response was too long to
+    /// be stored.
     Done(Option<StoredReply>),
-    /// The request is at work.
+    /// A request holds the ticket and has not ended.
     Running,
-    /// It did not run and never will under this ticket.
+    /// The request did not run and never will under this ticket.
     NotRun,
-    /// Nobody knows whether it ran.
+    /// It is unknown whether the request ran.
     MayHaveRun,
     /// The ticket was used for another request.
     OtherRequest,
 }
 
-/// Why a claimed request must not be handed to the backend server.
+/// Why a request must not be handed over to the backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum HandOverError {
     /// The ticket has expired.
-    #[error("the ticket has expired")]
+    #[error("ticket has expired")]
     Expired,
-    /// The caller no longer waits.
-    #[error("the deadline has passed")]
+    /// The deadline of the request has passed.
+    #[error("request deadline has passed")]
     DeadlinePassed,
-    /// No request holds the ticket.
-    #[error("the ticket is not claimed")]
+    /// No claimed request holds the ticket.
+    #[error("ticket is not claimed")]
     NotClaimed,
 }
 
@@ -117,109 +121,116 @@
     state: RecordState,
 }
 
-/// The tickets of one incarnation of a host.
+/// The state of the tickets of one incarnation of a host.
 #[derive(Debug)]
 pub struct TicketLedger {
-    me: ProcessId,
+    self_id: ProcessId,
     limits: LedgerLimits,
-    first: TicketNumber,
-    next: TicketNumber,
-    /// Tickets below this number that have no record are void.
-    floor: TicketNumber,
-    /// The latest expiry of a record that was dropped.
-    forgotten: MonotonicTime,
+    first_number: TicketNumber,
+    next_number: TicketNumber,
+    /// Tickets below this number that have no record are revoked.
+    revoked_below: TicketNumber,
+    /// The latest expiry among the purged records. A ticket without a record that
+    /// expires no later may have run.
+    latest_purged_expiry: MonotonicTime,
     latest_expiry: MonotonicTime,
-    next_purge: MonotonicTime,
+    next_purge_at: MonotonicTime,
     records: Vec<TicketRecord>,
-    reply_bytes: usize,
+    stored_reply_bytes: usize,
 }
 
 impl TicketLedger {
-    /// Creates the ledger of the process `me`. A random `first` number tells
-    /// its tickets from those of a process that had the same name by a fault of
-    /// the clock.
-    pub fn new(me: ProcessId, limits: LedgerLimits, first: TicketNumber) -> Self {
+    /// Creates the ledger of the process `self_id`.
+    ///
+    /// `first_number` should be random. If a clock fault gives two processes the
+    /// same address and incarnation, it distinguishes their tickets.
+    pub fn new(self_id: ProcessId, limits: LedgerLimits, first_number: TicketNumber) -> Self {
         Self {
-            me,
+            self_id,
             limits,
-            first,
-            next: first,
-            floor: first,
-            forgotten: MonotonicTime::default(),
+            first_number,
+            next_number: first_number,
+            revoked_below: first_number,
+            latest_purged_expiry: MonotonicTime::default(),
             latest_expiry: MonotonicTime::default(),
-            next_purge: MonotonicTime::default(),
+            next_purge_at: MonotonicTime::default(),
             records: Vec::new(),
-            reply_bytes: 0,
+            stored_reply_bytes: 0,
         }
     }
 
-    /// Issues a ticket.
+    /// Issues a ticket that expires [`TICKET_LIFETIME`] after `now`, and not before
+    /// any ticket that was issued earlier.
     pub fn issue(&mut self, now: MonotonicTime) -> RequestTicket {
-        let number = self.next;
-        self.next = TicketNumber(number.0 + 1);
-        // Expiries never decrease with the number, which `forgotten` relies on.
+        let number = self.next_number;
+        self.next_number = TicketNumber(number.0 + 1);
+        // Expiries must not decrease with the number: `latest_purged_expiry`
+        // relies on it.
         self.latest_expiry = self.latest_expiry.max(now + TICKET_LIFETIME);
         RequestTicket {
-            issuer: self.me,
+            issuer: self.self_id,
             number,
             expiry: self.latest_expiry,
         }
     }
 
-    /// Decides about a request that carries a ticket, and claims the ticket
-    /// when the request may run.
+    /// Returns how to handle a request that presents a ticket, and claims the
+    /// ticket if the request may run.
     pub fn claim(
         &mut self,
         ticket: &RequestTicket,
         fingerprint: RequestFingerprint,
         now: MonotonicTime,
     ) -> TicketDecision {
-        if ticket.issuer.address != self.me.address {
+        if ticket.issuer.address != self.self_id.address {
             return TicketDecision::AskIssuer;
         }
-        match self.look_up(ticket, fingerprint, now) {
-            LookUp::Free => {
-                self.insert(ticket, fingerprint, RecordState::Claimed);
+        match self.look_up_ticket(ticket, fingerprint, now) {
+            TicketStatus::Unclaimed => {
+                self.insert_record(ticket, fingerprint, RecordState::Claimed);
                 TicketDecision::Run
             }
-            LookUp::Held => TicketDecision::Wait,
-            LookUp::Ended(RunOutcome::Done(reply)) => TicketDecision::Replay(reply),
-            LookUp::Ended(RunOutcome::NotRun) => TicketDecision::NotRun,
-            LookUp::Ended(RunOutcome::MayHaveRun) => TicketDecision::MayHaveRun,
-            LookUp::OtherRequest => TicketDecision::OtherRequest,
+            TicketStatus::Active => TicketDecision::Wait,
+            TicketStatus::Ended(RunOutcome::Done(reply)) => TicketDecision::Replay(reply),
+            TicketStatus::Ended(RunOutcome::NotRun) => TicketDecision::NotRun,
+            TicketStatus::Ended(RunOutcome::MayHaveRun) => TicketDecision::MayHaveRun,
+            TicketStatus::OtherRequest => TicketDecision::OtherRequest,
         }
     }
 
-    /// Tells another host what became of a ticket; a ticket that was not used
-    /// becomes void.
+    /// Returns the state of a ticket that was presented to another host. A ticket
+    /// that was not claimed before is revoked.
     pub fn settle(
         &mut self,
         ticket: &RequestTicket,
         fingerprint: RequestFingerprint,
         now: MonotonicTime,
     ) -> SettleDecision {
-        match self.look_up(ticket, fingerprint, now) {
-            LookUp::Free => {
+        match self.look_up_ticket(ticket, fingerprint, now) {
+            TicketStatus::Unclaimed => {
                 let state = RecordState::Ended(RunOutcome::NotRun);
-                self.insert(ticket, fingerprint, state);
+                self.insert_record(ticket, fingerprint, state);
                 SettleDecision::NotRun
             }
-            LookUp::Held => SettleDecision::Running,
-            LookUp::Ended(RunOutcome::Done(reply)) => SettleDecision::Done(reply),
-            LookUp::Ended(RunOutcome::NotRun) => SettleDecision::NotRun,
-            LookUp::Ended(RunOutcome::MayHaveRun) => SettleDecision::MayHaveRun,
-            LookUp::OtherRequest => SettleDecision::OtherRequest,
+            TicketStatus::Active => SettleDecision::Running,
+            TicketStatus::Ended(RunOutcome::Done(reply)) => SettleDecision::Done(reply),
+            TicketStatus::Ended(RunOutcome::NotRun) => SettleDecision::NotRun,
+            TicketStatus::Ended(RunOutcome::MayHaveRun) => SettleDecision::MayHaveRun,
+            TicketStatus::OtherRequest => SettleDecision::OtherRequest,
         }
     }
 
-    /// Allows the hand-over of a claimed request to a backend server. To be
-    /// asked right before the hand-over, after any wait: a process that was
-    /// paused finds here that its ticket has expired.
+    /// Marks a claimed request as running, before it is handed over to a backend
+    /// server.
+    ///
+    /// Must be called immediately before the hand-over, after any wait, so that a
+    /// process that was suspended detects that the ticket has expired.
     ///
     /// # Errors
     ///
-    /// Returns a [`HandOverError`] when the request must not run; its ticket is
-    /// void then.
+    /// Returns a [`HandOverError`] if the request must not run. If the ticket has
+    /// expired or the deadline has passed, the outcome [`RunOutcome::NotRun`] is
+    /// recorded.
     pub fn hand_over(
         &mut self,
         number: TicketNumber,
@@ -247,8 +258,8 @@
         Ok(())
     }
 
-    /// Takes back a hand-over that provably sent nothing, so that the request
-    /// may be handed over elsewhere.
+    /// Marks a running request as claimed again, so that it may be handed over
+    /// elsewhere. Must be called only if it is certain that the request did not run.
     pub fn undo_hand_over(&mut self, number: TicketNumber) {
         if let Some(record) = self.record_mut(number)
             && record.state == RecordState::Running
@@ -257,11 +268,12 @@
         }
     }
 
-    /// Records how a claimed request ended.
+    /// Records how a request that holds a ticket ended. A response that exceeds the
+    /// remaining space for replies is not stored; a second outcome is ignored.
     pub fn record_outcome(&mut self, number: TicketNumber, outcome: RunOutcome) {
-        let free = self.limits.reply_bytes - self.reply_bytes;
+        let free_bytes = self.limits.max_reply_bytes - self.stored_reply_bytes;
         let outcome = match outcome {
-            RunOutcome::Done(Some(reply)) if reply.len() > free => RunOutcome::Done(None),
+            RunOutcome::Done(Some(reply)) if reply.len() > free_bytes => RunOutcome::Done(None),
             outcome => outcome,
         };
         let length = reply_length(&outcome);
@@ -272,16 +284,16 @@
             return;
         }
         record.state = RecordState::Ended(outcome);
-        self.reply_bytes += length;
+        self.stored_reply_bytes += length;
     }
 
-    /// Makes all tickets void that were issued and not yet shown.
+    /// Revokes all tickets that were issued and not yet presented.
     pub fn revoke_unused(&mut self) {
-        self.floor = self.next;
+        self.revoked_below = self.next_number;
     }
 
     /// Returns the number of records.
-    pub fn records(&self) -> usize {
+    pub fn record_count(&self) -> usize {
         self.records.len()
     }
 
@@ -293,40 +305,42 @@
             .count()
     }
 
-    fn look_up(
+    /// Returns the state of a ticket. Revokes all unused tickets if there is no
+    /// space for a record of this one.
+    fn look_up_ticket(
         &mut self,
         ticket: &RequestTicket,
         fingerprint: RequestFingerprint,
         now: MonotonicTime,
-    ) -> LookUp {
-        let is_mine = ticket.issuer == self.me;
-        if !is_mine || ticket.number < self.first || ticket.number >= self.next {
-            return LookUp::Ended(RunOutcome::MayHaveRun);
+    ) -> TicketStatus {
+        let is_own = ticket.issuer == self.self_id;
+        if !is_own || ticket.number < self.first_number || ticket.number >= self.next_number {
+            return TicketStatus::Ended(RunOutcome::MayHaveRun);
         }
-        if let Ok(index) = self.find(ticket.number) {
-            return self.records[index].look_up(fingerprint);
+        if let Ok(index) = self.find_record(ticket.number) {
+            return self.records[index].status_for(fingerprint);
         }
-        if ticket.expiry <= self.forgotten {
-            return LookUp::Ended(RunOutcome::MayHaveRun);
+        if ticket.expiry <= self.latest_purged_expiry {
+            return TicketStatus::Ended(RunOutcome::MayHaveRun);
         }
-        if now >= ticket.expiry || ticket.number < self.floor {
-            return LookUp::Ended(RunOutcome::NotRun);
+        if now >= ticket.expiry || ticket.number < self.revoked_below {
+            return TicketStatus::Ended(RunOutcome::NotRun);
         }
-        self.purge(now);
-        if self.records.len() >= self.limits.records {
+        self.purge_expired(now);
+        if self.records.len() >= self.limits.max_records {
             self.revoke_unused();
-            return LookUp::Ended(RunOutcome::NotRun);
+            return TicketStatus::Ended(RunOutcome::NotRun);
         }
-        LookUp::Free
+        TicketStatus::Unclaimed
     }
 
-    fn insert(
+    fn insert_record(
         &mut self,
         ticket: &RequestTicket,
         fingerprint: RequestFingerprint,
         state: RecordState,
     ) {
-        if let Err(index) = self.find(ticket.number) {
+        if let Err(index) = self.find_record(ticket.number) {
             let record = TicketRecord {
                 number: ticket.number,
                 expiry: ticket.expiry,
@@ -337,13 +351,15 @@
         }
     }
 
-    fn purge(&mut self, now: MonotonicTime) {
-        if now < self.next_purge {
+    /// Removes the records of ended requests whose tickets have expired, at most
+    /// once per [`PURGE_INTERVAL`].
+    fn purge_expired(&mut self, now: MonotonicTime) {
+        if now < self.next_purge_at {
             return;
         }
-        self.next_purge = now + PURGE_INTERVAL;
-        let mut forgotten = self.forgotten;
-        let mut freed = 0;
+        self.next_purge_at = now + PURGE_INTERVAL;
+        let mut latest_purged_expiry = self.latest_purged_expiry;
+        let mut freed_bytes = 0;
         self.records.retain(|record| {
             let RecordState::Ended(outcome) = &record.state else {
                 return true;
@@ -351,41 +367,42 @@
             if now < record.expiry {
                 return true;
             }
-            forgotten = forgotten.max(record.expiry);
-            freed += reply_length(outcome);
+            latest_purged_expiry = latest_purged_expiry.max(record.expiry);
+            freed_bytes += reply_length(outcome);
             false
         });
-        self.forgotten = forgotten;
-        self.reply_bytes -= freed;
+        self.latest_purged_expiry = latest_purged_expiry;
+        self.stored_reply_bytes -= freed_bytes;
     }
 
-    fn find(&self, number: TicketNumber) -> Result<usize, usize> {
+    fn find_record(&self, number: TicketNumber) -> Result<usize, usize> {
         self.records
             .binary_search_by_key(&number, |record| record.number)
     }
 
     fn record_mut(&mut self, number: TicketNumber) -> Option<&mut TicketRecord> {
-        let index = self.find(number).ok()?;
+        let index = self.find_record(number).ok()?;
         Some(&mut self.records[index])
     }
 }
 
-/// What a ledger knows of a ticket.
-enum LookUp {
-    Free,
-    Held,
+/// The state of a ticket, as seen by one request.
+enum TicketStatus {
+    Unclaimed,
+    /// Claimed or running.
+    Active,
     Ended(RunOutcome),
     OtherRequest,
 }
 
 impl TicketRecord {
-    fn look_up(&self, fingerprint: RequestFingerprint) -> LookUp {
+    fn status_for(&self, fingerprint: RequestFingerprint) -> TicketStatus {
         if self.fingerprint != fingerprint {
-            return LookUp::OtherRequest;
+            return TicketStatus::OtherRequest;
         }
         match &self.state {
-            RecordState::Claimed | RecordState::Running => LookUp::Held,
-            RecordState::Ended(outcome) => LookUp::Ended(outcome.clone()),
+            RecordState::Claimed | RecordState::Running => TicketStatus::Active,
+            RecordState::Ended(outcome) => TicketStatus::Ended(outcome.clone()),
         }
     }
 }
--- a/crates/requests/src/lib.rs
+++ b/crates/requests/src/lib.rs
@@ -1,10 +1,12 @@
-//! Decisions about requests: which run, which wait, which are refused, and
-//! what may be said about each afterwards.
+//! Admission control, deduplication and retries of requests at a host.
 //!
-//! Start with [`verdict`] for what a caller is told. [`ticket`] and [`ledger`]
-//! keep a request that is not idempotent from running twice, [`admission`] decides
-//! which requests run, and [`relay`] and [`budget`] which are tried at another
-//! host.
+//! [`verdict`] defines the outcomes that are reported to callers. [`ticket`] and
+//! [`ledger`] prevent a non-idempotent request from running twice, [`admission`]
+//! decides whether a request runs, waits or is refused, and [`relay`] and
+//! [`budget`] control retries at another host.
+//!
+//! The crate does no I/O and reads no clock: callers pass the time in, so that
+//! tests can run the same code under simulated time.
 
 pub mod admission;
 pub mod budget;
--- a/crates/requests/src/relay.rs
+++ b/crates/requests/src/relay.rs
@@ -1,7 +1,7 @@
-//! Requests that one host hands to another.
+//! Requests that one host relays to another.
 //!
-//! [`PeerLoads`] chooses the other host. [`RelayLog`] keeps a relayed request
-//! that arrives twice from running twice.
+//! [`PeerLoads`] selects the host that receives the request. [`RelayLog`]
+//! prevents a relayed request that is delivered twice from running twice.
 
 use std::time::Duration;
 
@@ -11,108 +11,111 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-/// Load that is assumed of a host that has not been asked, in percent.
-const UNKNOWN_LOAD: u16 = 50;
+/// Load assumed for a peer without a recent load report, in percent.
+const DEFAULT_LOAD_PERCENT: u16 = 50;
 
-/// Time after which an answer says nothing about the present load.
-const LOAD_AGE: Duration = Duration::from_secs(2);
+/// Age at which a load report is stale.
+const MAX_LOAD_AGE: Duration = Duration::from_secs(2);
 
-/// Numbers that are remembered of each sender.
-const NUMBERS_PER_SENDER: usize = 256;
+/// Maximum number of relay numbers that are tracked for each sender.
+const MAX_NUMBERS_PER_SENDER: usize = 256;
 
-/// Senders that are remembered.
+/// Maximum number of senders that are tracked.
 const MAX_SENDERS: usize = 1_024;
 
-/// A sender that is silent for this long is forgotten when space is needed.
-const SENDER_AGE: Duration = Duration::from_secs(600);
+/// Idle time after which a sender may be evicted when the table is full.
+const SENDER_IDLE_TIMEOUT: Duration = Duration::from_secs(600);
 
 #[derive(Debug)]
 struct PeerLoad {
     peer: ProcessId,
-    percent: u16,
-    heard: MonotonicTime,
-    avoid_until: MonotonicTime,
+    load_percent: u16,
+    updated_at: MonotonicTime,
+    excluded_until: MonotonicTime,
 }
 
-/// What a host has learnt of the load of others from their answers.
+/// The load of other hosts, as reported in their responses to relayed requests.
 #[derive(Debug)]
 pub struct PeerLoads {
     loads: Vec<PeerLoad>,
-    random: StdRng,
+    rng: StdRng,
 }
 
 impl PeerLoads {
-    /// Creates an empty table.
+    /// Creates an empty table. `seed` seeds the random selection of peers.
     pub fn new(seed: u64) -> Self {
         Self {
             loads: Vec::new(),
-            random: StdRng::seed_from_u64(seed),
+            rng: StdRng::seed_from_u64(seed),
         }
     }
 
-    /// Notes the load that a peer gave in an answer.
-    pub fn record_load(&mut self, peer: ProcessId, percent: u16, now: MonotonicTime) {
-        let load = self.entry(peer);
-        load.percent = percent;
-        load.heard = now;
+    /// Records the load, in percent, that a peer reported in a response.
+    pub fn record_load(&mut self, peer: ProcessId, load_percent: u16, now: MonotonicTime) {
+        let load = self.load_mut(peer);
+        load.load_percent = load_percent;
+        load.updated_at = now;
     }
 
-    /// Keeps a peer from being chosen for some time.
+    /// Excludes a peer from selection for `time`.
     pub fn avoid_peer(&mut self, peer: ProcessId, time: Duration, now: MonotonicTime) {
-        self.entry(peer).avoid_until = now + time;
+        self.load_mut(peer).excluded_until = now + time;
     }
 
-    /// Chooses the less loaded of two random members of `peers`.
+    /// Returns the less loaded of two peers that are drawn at random from `peers`,
+    /// or `None` if all of them are excluded. The two draws may give the same peer.
     pub fn choose_peer(&mut self, peers: &[ProcessId], now: MonotonicTime) -> Option<ProcessId> {
-        let open: Vec<ProcessId> = peers
+        let candidates: Vec<ProcessId> = peers
             .iter()
             .copied()
-            .filter(|peer| !self.is_avoided(*peer, now))
+            .filter(|peer| !self.is_excluded(*peer, now))
             .collect();
-        if open.is_empty() {
+        if candidates.is_empty() {
             return None;
         }
-        let first = open[self.random.random_range(0..open.len())];
-        let second = open[self.random.random_range(0..open.len())];
-        if self.percent(second, now) < self.percent(first, now) {
+        let first = candidates[self.rng.random_range(0..candidates.len())];
+        let second = candidates[self.rng.random_range(0..candidates.len())];
+        if self.load_percent(second, now) < self.load_percent(first, now) {
             return Some(second);
         }
         Some(first)
     }
 
-    /// Forgets peers that are not in `peers`, which is sorted.
+    /// Removes the peers that are not in `peers`, which must be sorted.
     pub fn retain_peers(&mut self, peers: &[ProcessId]) {
         self.loads
             .retain(|load| peers.binary_search(&load.peer).is_ok());
     }
 
-    fn is_avoided(&self, peer: ProcessId, now: MonotonicTime) -> bool {
-        match self.find(peer) {
-            Ok(index) => self.loads[index].avoid_until > now,
+    fn is_excluded(&self, peer: ProcessId, now: MonotonicTime) -> bool {
+        match self.find_load(peer) {
+            Ok(index) => self.loads[index].excluded_until > now,
             Err(_) => false,
         }
     }
 
-    fn percent(&self, peer: ProcessId, now: MonotonicTime) -> u16 {
-        match self.find(peer) {
-            Ok(index) if now.since(self.loads[index].heard) < LOAD_AGE => self.loads[index].percent,
-            _ => UNKNOWN_LOAD,
+    fn load_percent(&self, peer: ProcessId, now: MonotonicTime) -> u16 {
+        match self.find_load(peer) {
+            Ok(index) if now.since(self.loads[index].updated_at) < MAX_LOAD_AGE => {
+                self.loads[index].load_percent
+            }
+            _ => DEFAULT_LOAD_PERCENT,
         }
     }
 
-    fn find(&self, peer: ProcessId) -> Result<usize, usize> {
+    fn find_load(&self, peer: ProcessId) -> Result<usize, usize> {
         self.loads.binary_search_by_key(&peer, |load| load.peer)
     }
 
-    fn entry(&mut self, peer: ProcessId) -> &mut PeerLoad {
-        let index = match self.find(peer) {
+    fn load_mut(&mut self, peer: ProcessId) -> &mut PeerLoad {
+        let index = match self.find_load(peer) {
             Ok(index) => index,
             Err(index) => {
                 let load = PeerLoad {
                     peer,
-                    percent: UNKNOWN_LOAD,
-                    heard: MonotonicTime::default(),
-                    avoid_until: MonotonicTime::default(),
+                    load_percent: DEFAULT_LOAD_PERCENT,
+                    updated_at: MonotonicTime::default(),
+                    excluded_until: MonotonicTime::default(),
                 };
                 self.loads.insert(index, load);
                 index
@@ -122,45 +125,48 @@
     }
 }
 
-/// What is to be done with a relayed request.
+/// How a relayed request is handled on arrival.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RelayDecision {
-    /// It is the first copy.
+    /// The first copy; it may run.
     New,
-    /// A copy was here before, or may have been.
+    /// A copy was received before, or may have been: its number is no longer
+    /// tracked.
     Repeated,
-    /// It was sent to another process, or there is no space for its sender.
+    /// The request was addressed to another process, or the table of senders is
+    /// full.
     Refused,
 }
 
 #[derive(Debug)]
-struct RelaySender {
+struct SenderHistory {
     sender: ProcessId,
-    /// Numbers up to this one count as seen.
-    floor: u64,
-    /// The numbers above the floor that were seen, sorted.
-    seen: Vec<u64>,
-    heard: MonotonicTime,
+    /// Numbers up to and including this one are treated as seen.
+    window_floor: u64,
+    /// The numbers above the floor that were received, sorted.
+    seen_numbers: Vec<u64>,
+    last_received_at: MonotonicTime,
 }
 
-/// The relayed requests that a process has received.
+/// The relayed requests that a process has received, for deduplication.
 #[derive(Debug)]
 pub struct RelayLog {
-    me: ProcessId,
-    senders: Vec<RelaySender>,
+    self_id: ProcessId,
+    senders: Vec<SenderHistory>,
 }
 
 impl RelayLog {
-    /// Creates the log of the process `me`.
-    pub fn new(me: ProcessId) -> Self {
+    /// Creates an empty log for the process `self_id`.
+    pub fn new(self_id: ProcessId) -> Self {
         Self {
-            me,
+            self_id,
             senders: Vec::new(),
         }
     }
 
-    /// Notes request `number` of `sender`, sent to `target`. Senders count
-    /// from one.
+    /// Records that request `number` of `sender`, addressed to `target`, has
+    /// arrived, and returns how to handle it. Each sender numbers its requests from
+    /// one.
     pub fn record_relay(
         &mut self,
         sender: ProcessId,
@@ -168,14 +174,14 @@
         number: u64,
         now: MonotonicTime,
     ) -> RelayDecision {
-        if target != self.me {
+        if target != self.self_id {
             return RelayDecision::Refused;
         }
         let found = self
             .senders
-            .binary_search_by_key(&sender, |entry| entry.sender);
+            .binary_search_by_key(&sender, |history| history.sender);
         match found {
-            Ok(index) => self.senders[index].record_relay(number, now),
+            Ok(index) => self.senders[index].record_number(number, now),
             Err(_) => self.add_sender(sender, number, now),
         }
     }
@@ -183,36 +189,36 @@
     fn add_sender(&mut self, sender: ProcessId, number: u64, now: MonotonicTime) -> RelayDecision {
         if self.senders.len() >= MAX_SENDERS {
             self.senders
-                .retain(|entry| now.since(entry.heard) < SENDER_AGE);
+                .retain(|history| now.since(history.last_received_at) < SENDER_IDLE_TIMEOUT);
         }
         if self.senders.len() >= MAX_SENDERS {
             return RelayDecision::Refused;
         }
-        let mut entry = RelaySender {
+        let mut history = SenderHistory {
             sender,
-            floor: 0,
-            seen: Vec::new(),
-            heard: now,
+            window_floor: 0,
+            seen_numbers: Vec::new(),
+            last_received_at: now,
         };
-        let decision = entry.record_relay(number, now);
+        let decision = history.record_number(number, now);
         let index = self.senders.partition_point(|other| other.sender < sender);
-        self.senders.insert(index, entry);
+        self.senders.insert(index, history);
         decision
     }
 }
 
-impl RelaySender {
-    fn record_relay(&mut self, number: u64, now: MonotonicTime) -> RelayDecision {
-        self.heard = now;
-        if number <= self.floor {
+impl SenderHistory {
+    fn record_number(&mut self, number: u64, now: MonotonicTime) -> RelayDecision {
+        self.last_received_at = now;
+        if number <= self.window_floor {
             return RelayDecision::Repeated;
         }
-        let Err(index) = self.seen.binary_search(&number) else {
+        let Err(index) = self.seen_numbers.binary_search(&number) else {
             return RelayDecision::Repeated;
         };
-        self.seen.insert(index, number);
-        if self.seen.len() > NUMBERS_PER_SENDER {
-            self.floor = self.seen.remove(0);
+        self.seen_numbers.insert(index, number);
+        if self.seen_numbers.len() > MAX_NUMBERS_PER_SENDER {
+            self.window_floor = self.seen_numbers.remove(0);
         }
         RelayDecision::New
     }
--- a/crates/requests/src/ticket.rs
+++ b/crates/requests/src/ticket.rs
@@ -1,10 +1,12 @@
-//! Tickets: idempotency keys that name the one process that may run a request.
+//! Tickets: idempotency keys that name the process that issued them.
 //!
-//! A host seals a ticket for a caller, and the caller sends it back as the
-//! idempotency key of its request. The tag keeps a caller from making a ticket
-//! that sends hosts to an address of its choice.
+//! A host issues a ticket to a caller, and the caller sends it back as the
+//! idempotency key of its request. The issuer tracks the ticket and ensures that
+//! the request runs at most once. A ticket ends with an authentication tag;
+//! without it, a caller could forge a ticket that makes hosts connect to an
+//! address of its choice.
 //!
-//! Layout, 34 bytes, integers in network order: IPv4 address (4), port (2),
+//! Layout, 34 bytes, integers in network byte order: IPv4 address (4), port (2),
 //! incarnation (4), number (8), expiry (8), tag (8). The text form is
 //! [`TICKET_PREFIX`] followed by the bytes in hexadecimal digits.
 
@@ -23,44 +25,47 @@
 use hyssopstair_wire::token::FleetSecret;
 use hyssopstair_wire::token::SECRET_LENGTH;
 
-/// Start of the text form of a ticket.
+/// Prefix of the text form of a ticket.
 pub const TICKET_PREFIX: &str = "hyt1-";
 
+/// Length of the authenticated fields, in bytes.
 const BODY_LENGTH: usize = 26;
 
+/// Length of a ticket with its tag, in bytes.
 const TICKET_LENGTH: usize = 34;
 
-/// The number of a ticket among those of one incarnation.
+/// The sequence number of a ticket within one incarnation of its issuer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TicketNumber(pub u64);
 
-/// The right to run one request once, at the process that issued it.
+/// Permission to run one request once, tracked by the process that issued it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RequestTicket {
     /// The process that issued the ticket.
     pub issuer: ProcessId,
-    /// Its number among those of the issuer's incarnation.
+    /// The sequence number within the issuer's incarnation.
     pub number: TicketNumber,
-    /// When it ends, on the issuer's own clock.
+    /// The expiry time on the issuer's monotonic clock.
     pub expiry: MonotonicTime,
 }
 
-/// A hash of what a request asks for, equal at all hosts of a fleet.
+/// A keyed hash of the method, path and body of a request. All hosts of a fleet
+/// compute the same value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RequestFingerprint(pub u128);
 
-/// Why a key is no ticket of this fleet.
+/// Why an idempotency key is not a valid ticket of this fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum TicketError {
-    /// The key does not have the form of a ticket.
-    #[error("key is not a ticket")]
+    /// The key does not have the format of a ticket.
+    #[error("idempotency key is not a ticket")]
     Malformed,
-    /// The tag does not match.
-    #[error("ticket has a wrong tag")]
+    /// The authentication tag does not match.
+    #[error("ticket authentication tag does not match")]
     WrongTag,
 }
 
-/// The key that seals and opens tickets.
+/// The key that authenticates tickets and fingerprints requests.
 #[derive(Clone)]
 pub struct TicketKey {
     secret: [u8; SECRET_LENGTH],
@@ -73,14 +78,14 @@
 }
 
 impl TicketKey {
-    /// Derives the key from the secret of the fleet.
+    /// Derives the key from the fleet secret.
     pub fn derive(secret: &FleetSecret) -> Self {
         Self {
             secret: secret.derive(b"ticket"),
         }
     }
 
-    /// Returns the text form of a ticket.
+    /// Returns the text form of a ticket with its authentication tag.
     pub fn encode_ticket(&self, ticket: &RequestTicket) -> String {
         let mut bytes = [0; TICKET_LENGTH];
         bytes[0..4].copy_from_slice(&ticket.issuer.address.ip().octets());
@@ -93,11 +98,12 @@
         encode_hex(&bytes)
     }
 
-    /// Reads the text form of a ticket and checks its tag.
+    /// Parses the text form of a ticket and verifies its tag.
     ///
     /// # Errors
     ///
-    /// Returns a [`TicketError`] when no process of this fleet issued it.
+    /// Returns a [`TicketError`] if the text is malformed or the tag does not
+    /// match, which means that no process of this fleet issued the ticket.
     pub fn decode_ticket(&self, text: &str) -> Result<RequestTicket, TicketError> {
         let bytes = decode_hex(text).ok_or(TicketError::Malformed)?;
         if self.tag(&bytes[..BODY_LENGTH]) != bytes[BODY_LENGTH..] {
@@ -116,7 +122,8 @@
         })
     }
 
-    /// Hashes what a request asks for.
+    /// Returns the fingerprint of a request. Each part is hashed with its length,
+    /// so that the boundaries between the parts are unambiguous.
     pub fn fingerprint(&self, method: &str, path: &str, body: &[u8]) -> RequestFingerprint {
         let mut hasher = SipHasher128::new_with_key(&self.secret);
         for part in [method.as_bytes(), path.as_bytes(), body] {
@@ -143,7 +150,7 @@
     let mut text = String::with_capacity(TICKET_PREFIX.len() + 2 * bytes.len());
     text.push_str(TICKET_PREFIX);
     for byte in bytes {
-        // Writing to a string does not fail.
+        // Writing to a `String` cannot fail.
         let _ = write!(text, "{byte:02x}");
     }
     text
@@ -156,13 +163,14 @@
     }
     let mut bytes = [0; TICKET_LENGTH];
     for (byte, pair) in bytes.iter_mut().zip(digits.chunks_exact(2)) {
-        *byte = 16 * hex_digit(pair[0])? + hex_digit(pair[1])?;
+        *byte = 16 * parse_hex_digit(pair[0])? + parse_hex_digit(pair[1])?;
     }
     Some(bytes)
 }
 
-/// Only lower-case digits are read, so that a ticket has one text form.
-fn hex_digit(digit: u8) -> Option<u8> {
+/// Parses one lower-case hexadecimal digit. Upper-case digits are rejected so
+/// that each ticket has exactly one text form.
+fn parse_hex_digit(digit: u8) -> Option<u8> {
     match digit {
         b'0'..=b'9' => Some(digit - b'0'),
         b'a'..=b'f' => Some(digit - b'a' + 10),
--- a/crates/requests/src/verdict.rs
+++ b/crates/requests/src/verdict.rs
@@ -1,29 +1,29 @@
-//! What is known of a request that has ended.
+//! The outcome of a request, as reported to its caller.
 
 use std::time::Duration;
 
-/// Whether a request has run.
+/// Whether a request ran, as far as the host can tell.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestVerdict {
-    /// It ran, and its whole answer is there.
+    /// The request ran and its complete response is available.
     Done,
-    /// It did not run and never will.
+    /// The request did not run and never will.
     NotRun {
-        /// When the caller may ask again.
+        /// Minimum delay before the caller retries.
         retry_after: Duration,
     },
-    /// Nobody knows whether it ran.
+    /// It is unknown whether the request ran.
     MayHaveRun,
 }
 
-/// Name of the response header that carries the verdict.
+/// Response header that carries the verdict.
 pub const VERDICT_HEADER: &str = "hyssopstair-verdict";
 
-/// Name of the response header that carries a fresh ticket.
+/// Response header that carries a new ticket.
 pub const TICKET_HEADER: &str = "hyssopstair-ticket";
 
 impl RequestVerdict {
-    /// Returns the value of the response header.
+    /// Returns the value for the [`VERDICT_HEADER`].
     pub fn header_value(&self) -> &'static str {
         match self {
             Self::Done => "done",
--- a/crates/requests/tests/admission.rs
+++ b/crates/requests/tests/admission.rs
@@ -250,7 +250,7 @@
     );
     assert_eq!(next, "Wait []");
     state.release(SlotOutcome::Unused, &RULES, at(3));
-    assert_eq!((state.running(), state.waiting()), (2, 1));
+    assert_eq!((state.running_count(), state.waiting_count()), (2, 1));
 }
 
 fn process(last: u8) -> ProcessId {
--- a/crates/requests/tests/curve/mod.rs
+++ b/crates/requests/tests/curve/mod.rs
@@ -266,7 +266,7 @@
             let end = WorkEnd::Shed;
             return self.schedule(SHED_TIME, WorldEvent::End { request, host, end });
         }
-        let running = self.hosts[host].admission.running();
+        let running = self.hosts[host].admission.running_count();
         let work = kind.service_time(self.now, running);
         let time = work.mul_f64(self.requests[request].factor);
         self.requests[request].has_run = true;
--- a/crates/requests/tests/model/mod.rs
+++ b/crates/requests/tests/model/mod.rs
@@ -32,8 +32,8 @@
 const HOSTS: usize = 3;
 const RULES: AdmissionRules = AdmissionRules { slots: 2, queue: 1 };
 const LIMITS: LedgerLimits = LedgerLimits {
-    records: 6,
-    reply_bytes: 256,
+    max_records: 6,
+    max_reply_bytes: 256,
 };
 const PATIENCE: Duration = Duration::from_secs(5);
 
@@ -501,9 +501,13 @@
 
     fn check_invariants(state: &Self, (): &()) {
         for host in &state.hosts {
-            assert_eq!(host.admission.running(), host.held, "a slot has leaked");
-            assert!(host.admission.running() <= RULES.slots);
-            assert!(host.ledger.records() <= LIMITS.records);
+            assert_eq!(
+                host.admission.running_count(),
+                host.held,
+                "a slot has leaked"
+            );
+            assert!(host.admission.running_count() <= RULES.slots);
+            assert!(host.ledger.record_count() <= LIMITS.max_records);
         }
     }
 }
--- a/crates/requests/tests/tickets.rs
+++ b/crates/requests/tests/tickets.rs
@@ -33,8 +33,8 @@
 
 fn ledger() -> TicketLedger {
     let limits = LedgerLimits {
-        records: 4,
-        reply_bytes: 64,
+        max_records: 4,
+        max_reply_bytes: 64,
     };
     TicketLedger::new(process(7), limits, TicketNumber(100))
 }
@@ -134,7 +134,7 @@
     let late = START + TICKET_LIFETIME * 2;
     let fresh = ledger.issue(late);
     ledger.claim(&fresh, BODY, late);
-    assert_eq!(ledger.records(), 1);
+    assert_eq!(ledger.record_count(), 1);
     assert_eq!(ledger.claim(&ran, BODY, late), TicketDecision::MayHaveRun);
     assert_eq!(ledger.claim(&unused, BODY, late), TicketDecision::NotRun);
 }
