--- a/crates/requests/examples/load_curve.rs
+++ b/crates/requests/examples/load_curve.rs
@@ -1,6 +1,8 @@
-//! Prints load curves: for each deployment, deadline, kind of caller, rate and
-//! policy step what was completed, refused and late; then what each host did
-//! at three times the capacity under the whole policy.
+//! Prints load curves of the admission control.
+//!
+//! For each deployment, deadline, caller behaviour, arrival rate and policy step,
+//! prints the completed, refused and late requests. After each curve, prints the
+//! counts of each host at three times the capacity under the full policy.
 
 use std::time::Duration;
 
@@ -14,35 +16,35 @@
 #[path = "../tests/curve/mod.rs"]
 mod curve;
 
-/// Deployments and their slots per host.
+/// Deployments and their number of slots per host.
 const DEPLOYMENTS: [(&str, u32); 2] = [("Foundation", 3), ("Hydroflow", 2)];
 
-/// Times that callers wait.
+/// Deadlines of the callers.
 const DEADLINES: [Duration; 3] = [
     Duration::from_millis(100),
     Duration::from_secs(1),
     Duration::from_secs(5),
 ];
 
-/// Arrivals as multiples of the capacity.
+/// Arrival rates, as multiples of the capacity.
 const RATES: [f64; 5] = [0.5, 0.8, 1.0, 1.5, 3.0];
 
-/// Seed of all arrivals and work.
+/// Seed of the arrivals and service times.
 const SEED: u64 = 20_261_203;
 
 fn main() {
     for (name, slots) in DEPLOYMENTS {
         for deadline in DEADLINES {
-            for comes_back in [false, true] {
+            for callers_retry in [false, true] {
                 let setting = CurveSetting {
                     slots,
                     deadline,
                     rate: 1.0,
-                    comes_back,
+                    callers_retry,
                     step: PolicyStep::Pause,
                     seed: SEED,
                 };
-                println!("\n{name}, deadline {deadline:?}, callers come back: {comes_back}\n");
+                println!("\n{name}, deadline {deadline:?}, callers retry: {callers_retry}\n");
                 print_curve(&setting);
             }
         }
@@ -88,19 +90,19 @@
 }
 
 fn print_hosts(tally: &CurveTally) {
-    println!("\n| host | asked | refused | dropped | shed | completed | late | busy s |");
+    println!("\n| host | received | refused | dropped | shed | completed | late | busy s |");
     println!("|---|---|---|---|---|---|---|---|");
     for host in &tally.hosts {
         println!(
             "| {:?} | {} | {} | {} | {} | {} | {} | {:.1} |",
             host.kind,
-            host.asked,
+            host.received,
             host.refused,
             host.dropped,
             host.shed,
             host.completed,
             host.late,
-            host.busy.as_secs_f64(),
+            host.busy_time.as_secs_f64(),
         );
     }
 }
--- a/crates/requests/tests/curve/host.rs
+++ b/crates/requests/tests/curve/host.rs
@@ -1,4 +1,4 @@
-//! One host of the service.
+//! One simulated host of a service.
 
 use hyssopstair_requests::admission::AdmissionController;
 use hyssopstair_requests::admission::RequestClass;
@@ -11,35 +11,37 @@
 
 use crate::curve::setting::CurveSetting;
 use crate::curve::setting::HostKind;
+use crate::curve::setting::MEAN_SERVICE_TIME;
 use crate::curve::setting::PolicyStep;
-use crate::curve::setting::WORK_TIME;
 use crate::curve::tally::HostTally;
 
-/// Completed requests that open all slots of a warm host.
-const WARM_REQUESTS: u64 = 40;
+/// Completed requests that raise the concurrency limit of a warm host to all its
+/// slots.
+const WARM_UP_REQUESTS: u64 = 40;
 
-/// One host and its backend server.
+/// A host and its backend server.
 #[derive(Debug)]
-pub struct WorldHost {
-    /// How its backend server behaves.
+pub struct SimulatedHost {
+    /// The behaviour of the backend server.
     pub kind: HostKind,
-    /// Its slots and queue.
+    /// The slots and the queue.
     pub admission: AdmissionController,
-    /// Its budget of second tries.
+    /// The budget for retries at other hosts.
     pub budget: RetryBudget,
-    /// What it knows of the others.
+    /// The reported load of the other hosts.
     pub loads: PeerLoads,
-    /// What it did.
+    /// The counts of this host.
     pub tally: HostTally,
 }
 
-impl WorldHost {
-    /// Creates a host whose slots are open, unless it starts cold.
+impl SimulatedHost {
+    /// Creates a host with all slots available. With [`PolicyStep::Ramp`], a cold
+    /// host starts with one slot instead.
     pub fn new(kind: HostKind, index: usize, setting: &CurveSetting) -> Self {
         let mut admission = AdmissionController::default();
         let starts_cold = kind == HostKind::Cold && setting.step >= PolicyStep::Ramp;
         if !starts_cold {
-            warm(&mut admission, setting);
+            warm_up(&mut admission, setting);
         }
         Self {
             kind,
@@ -51,17 +53,18 @@
     }
 }
 
-/// Opens all slots of a host by completed requests.
-fn warm(admission: &mut AdmissionController, setting: &CurveSetting) {
+/// Raises the concurrency limit of a host to all its slots by completing
+/// requests.
+fn warm_up(admission: &mut AdmissionController, setting: &CurveSetting) {
     let rules = setting.admission_rules();
     let now = MonotonicTime::default();
-    for key in 0..WARM_REQUESTS {
+    for key in 0..WARM_UP_REQUESTS {
         let request = SlotRequest {
             key: RequestKey(key),
             class: RequestClass::NonIdempotent,
             deadline: MonotonicTime(u64::MAX),
         };
         admission.admit(request, &rules, now, &mut Vec::new());
-        admission.release(SlotOutcome::Completed(WORK_TIME), &rules, now);
+        admission.release(SlotOutcome::Completed(MEAN_SERVICE_TIME), &rules, now);
     }
 }
--- a/crates/requests/tests/curve/mod.rs
+++ b/crates/requests/tests/curve/mod.rs
@@ -1,7 +1,8 @@
-//! Seven hosts under seeded load, over the decision code that hosts use.
+//! Simulation of seven hosts under seeded load, with the decision code of real
+//! hosts.
 //!
-//! Each policy step is turned off by what the decision code is given, so that
-//! the code itself is the same in all steps.
+//! A policy step is disabled through the inputs of the decision code, so that the
+//! code under test is the same in all steps.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -23,7 +24,7 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-use crate::curve::host::WorldHost;
+use crate::curve::host::SimulatedHost;
 use crate::curve::setting::CurveSetting;
 use crate::curve::setting::HostKind;
 use crate::curve::setting::PolicyStep;
@@ -34,38 +35,38 @@
 pub mod setting;
 pub mod tally;
 
-/// Time in which requests arrive.
-pub const LOAD_TIME: Duration = Duration::from_secs(30);
+/// Time during which requests arrive.
+pub const ARRIVAL_DURATION: Duration = Duration::from_secs(30);
 
-/// One-way time between two hosts.
+/// One-way latency between two hosts.
 const HOST_LATENCY: Duration = Duration::from_micros(500);
 
-/// Time after which a backend server answers that it sheds.
-const SHED_TIME: Duration = Duration::from_millis(1);
+/// Time after which a backend server responds to a request that it sheds.
+const SHED_RESPONSE_TIME: Duration = Duration::from_millis(1);
 
-/// Time after which the caller of a shed request may ask again.
-const SHED_RETRY: Duration = Duration::from_secs(1);
+/// Minimum retry delay of a shed request.
+const SHED_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Time between two reports of the backend servers' load.
-const REPORT_TIME: Duration = Duration::from_secs(1);
+/// Interval between two load reports of a backend server.
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Requests that cannot be run again, in percent.
-const ONCE_PERCENT: u32 = 20;
+/// Share of non-idempotent requests, in percent.
+const NON_IDEMPOTENT_PERCENT: u32 = 20;
 
-/// Times that one caller asks.
-const MAX_ASKS: u32 = 4;
+/// Maximum number of times that a caller sends one request.
+const MAX_ATTEMPTS: u32 = 4;
 
-/// How the work on a request ends at its backend server.
+/// How a request ends at its backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum WorkEnd {
+enum WorkOutcome {
     Answered,
     TimedOut,
     Shed,
 }
 
-/// What happens at some time. Numbers are indexes of requests and hosts.
+/// An event of the simulation. Requests and hosts are given by index.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum WorldEvent {
+enum SimulationEvent {
     Arrive {
         request: usize,
     },
@@ -73,17 +74,18 @@
         request: usize,
         host: usize,
     },
-    /// The first host hears of its relay; a refusal has a time to come back.
+    /// The first host receives the response to a relayed request; `retry_after` is
+    /// set if the request was refused.
     RelayAnswered {
         request: usize,
         host: usize,
         percent: u16,
-        refused: Option<Duration>,
+        retry_after: Option<Duration>,
     },
     End {
         request: usize,
         host: usize,
-        end: WorkEnd,
+        outcome: WorkOutcome,
     },
     Advance {
         host: usize,
@@ -92,132 +94,140 @@
 }
 
 #[derive(Debug)]
-struct WorldRequest {
+struct SimulatedRequest {
     class: RequestClass,
-    first: usize,
-    arrived: MonotonicTime,
+    first_host: usize,
+    arrived_at: MonotonicTime,
     deadline: MonotonicTime,
-    /// Service time as a multiple of the host's.
-    factor: f64,
-    asks: u32,
+    /// Service time, as a multiple of the mean of the host.
+    service_time_factor: f64,
+    attempt_count: u32,
     is_relayed: bool,
     has_run: bool,
-    started: MonotonicTime,
+    started_at: MonotonicTime,
     retry_after: Duration,
 }
 
-/// The hosts, the callers and what is due.
+/// The hosts, the requests of callers and the pending events.
 #[derive(Debug)]
-struct LoadWorld {
+struct LoadSimulation {
     setting: CurveSetting,
-    random: StdRng,
+    rng: StdRng,
     now: MonotonicTime,
-    due: BinaryHeap<Reverse<(MonotonicTime, u64, WorldEvent)>>,
-    events: u64,
-    requests: Vec<WorldRequest>,
-    hosts: Vec<WorldHost>,
+    event_queue: BinaryHeap<Reverse<(MonotonicTime, u64, SimulationEvent)>>,
+    event_count: u64,
+    requests: Vec<SimulatedRequest>,
+    hosts: Vec<SimulatedHost>,
     tally: CurveTally,
 }
 
-/// Runs one point of a load curve.
+/// Runs one point of a load curve and returns its results.
 pub fn run_curve(setting: &CurveSetting) -> CurveTally {
-    let mut world = LoadWorld::new(setting);
-    world.schedule_arrivals();
-    world.schedule(REPORT_TIME, WorldEvent::Report);
-    while let Some(Reverse((time, _, event))) = world.due.pop() {
-        world.now = time;
-        world.handle(event);
+    let mut simulation = LoadSimulation::new(setting);
+    simulation.schedule_arrivals();
+    simulation.schedule(REPORT_INTERVAL, SimulationEvent::Report);
+    while let Some(Reverse((time, _, event))) = simulation.event_queue.pop() {
+        simulation.now = time;
+        simulation.handle(event);
     }
-    let hosts = world.hosts.into_iter().map(|host| host.tally).collect();
-    world.tally.close(hosts);
-    world.tally
+    let hosts = simulation
+        .hosts
+        .into_iter()
+        .map(|host| host.tally)
+        .collect();
+    simulation.tally.finalize(hosts);
+    simulation.tally
 }
 
-fn process(index: usize) -> ProcessId {
+fn process_id(index: usize) -> ProcessId {
     ProcessId {
         address: SocketAddrV4::new(Ipv4Addr::LOCALHOST, index as u16 + 1),
         incarnation: HostIncarnation(1),
     }
 }
 
-fn index_of(process: ProcessId) -> usize {
-    usize::from(process.address.port()) - 1
+fn host_index(process_id: ProcessId) -> usize {
+    usize::from(process_id.address.port()) - 1
 }
 
-impl LoadWorld {
+impl LoadSimulation {
     fn new(setting: &CurveSetting) -> Self {
         let hosts = HostKind::ALL
             .iter()
             .enumerate()
-            .map(|(index, kind)| WorldHost::new(*kind, index, setting))
+            .map(|(index, kind)| SimulatedHost::new(*kind, index, setting))
             .collect();
         Self {
             setting: *setting,
-            random: StdRng::seed_from_u64(setting.seed),
+            rng: StdRng::seed_from_u64(setting.seed),
             now: MonotonicTime::default(),
-            due: BinaryHeap::new(),
-            events: 0,
+            event_queue: BinaryHeap::new(),
+            event_count: 0,
             requests: Vec::new(),
             hosts,
             tally: CurveTally::default(),
         }
     }
 
-    fn schedule(&mut self, delay: Duration, event: WorldEvent) {
-        self.events += 1;
-        let entry = (self.now + delay, self.events, event);
-        self.due.push(Reverse(entry));
+    fn schedule(&mut self, delay: Duration, event: SimulationEvent) {
+        self.event_count += 1;
+        let entry = (self.now + delay, self.event_count, event);
+        self.event_queue.push(Reverse(entry));
     }
 
     fn schedule_arrivals(&mut self) {
         let rate = self.setting.arrivals_per_second();
         let mut time = Duration::ZERO;
         loop {
-            let uniform: f64 = self.random.random_range(f64::EPSILON..1.0);
+            let uniform: f64 = self.rng.random_range(f64::EPSILON..1.0);
             time += Duration::from_secs_f64(-uniform.ln() / rate);
-            if time >= LOAD_TIME {
+            if time >= ARRIVAL_DURATION {
                 return;
             }
             let request = self.requests.len();
             let arrival = self.new_request(MonotonicTime::default() + time);
             self.requests.push(arrival);
-            self.schedule(time, WorldEvent::Arrive { request });
+            self.schedule(time, SimulationEvent::Arrive { request });
         }
     }
 
-    fn new_request(&mut self, arrived: MonotonicTime) -> WorldRequest {
-        let is_once = self.random.random_range(0..100) < ONCE_PERCENT;
-        let class = match is_once {
+    fn new_request(&mut self, arrived_at: MonotonicTime) -> SimulatedRequest {
+        let is_non_idempotent = self.rng.random_range(0..100) < NON_IDEMPOTENT_PERCENT;
+        let class = match is_non_idempotent {
             true => RequestClass::NonIdempotent,
             false => RequestClass::Idempotent,
         };
-        WorldRequest {
+        SimulatedRequest {
             class,
-            first: self.random.random_range(0..self.hosts.len()),
-            arrived,
-            deadline: arrived + self.setting.deadline,
-            factor: self.random.random_range(0.75..1.25),
-            asks: 0,
+            first_host: self.rng.random_range(0..self.hosts.len()),
+            arrived_at,
+            deadline: arrived_at + self.setting.deadline,
+            service_time_factor: self.rng.random_range(0.75..1.25),
+            attempt_count: 0,
             is_relayed: false,
             has_run: false,
-            started: arrived,
+            started_at: arrived_at,
             retry_after: Duration::ZERO,
         }
     }
 
-    fn handle(&mut self, event: WorldEvent) {
+    fn handle(&mut self, event: SimulationEvent) {
         match event {
-            WorldEvent::Arrive { request } => self.admit(request),
-            WorldEvent::Relayed { request, host } => self.admit_relayed(request, host),
-            WorldEvent::RelayAnswered {
+            SimulationEvent::Arrive { request } => self.handle_arrival(request),
+            SimulationEvent::Relayed { request, host } => self.handle_relay(request, host),
+            SimulationEvent::RelayAnswered {
                 request,
                 host,
                 percent,
-                refused,
-            } => self.hear_relay(request, host, percent, refused),
-            WorldEvent::End { request, host, end } => self.end(request, host, end),
-            WorldEvent::Advance { host } => self.advance(host),
-            WorldEvent::Report => self.report(),
+                retry_after,
+            } => self.handle_relay_answer(request, host, percent, retry_after),
+            SimulationEvent::End {
+                request,
+                host,
+                outcome,
+            } => self.handle_end(request, host, outcome),
+            SimulationEvent::Advance { host } => self.advance(host),
+            SimulationEvent::Report => self.report_loads(),
         }
     }
 
@@ -233,79 +243,94 @@
         }
     }
 
-    fn admit(&mut self, request: usize) {
-        let host = self.requests[request].first;
-        self.requests[request].asks += 1;
+    fn handle_arrival(&mut self, request: usize) {
+        let host = self.requests[request].first_host;
+        self.requests[request].attempt_count += 1;
         self.requests[request].is_relayed = false;
-        self.hosts[host].tally.asked += 1;
+        self.hosts[host].tally.received += 1;
         let slot_request = self.slot_request(request);
         let rules = self.setting.admission_rules();
-        let mut changes = Vec::new();
+        let mut decisions = Vec::new();
         let admission = &mut self.hosts[host].admission;
         let start = Instant::now();
-        let decision = admission.admit(slot_request, &rules, self.now, &mut changes);
+        let decision = admission.admit(slot_request, &rules, self.now, &mut decisions);
         let time = start.elapsed();
-        self.apply(host, &changes, time);
+        self.apply_decisions(host, &decisions, time);
         match decision {
             SlotDecision::Run => self.start(request, host),
             SlotDecision::Wait => {}
             SlotDecision::Refuse { retry_after } => {
                 self.tally.refusal_times.push(time);
                 self.hosts[host].tally.refused += 1;
-                self.try_elsewhere(request, retry_after);
+                self.relay_or_refuse(request, retry_after);
             }
         }
         self.schedule_advance(host);
     }
 
-    /// Runs a request at the backend server of a host.
+    /// Starts a request at the backend server of a host.
     fn start(&mut self, request: usize, host: usize) {
-        self.requests[request].started = self.now;
+        self.requests[request].started_at = self.now;
         let kind = self.hosts[host].kind;
         if kind.sheds(self.now) {
-            let end = WorkEnd::Shed;
-            return self.schedule(SHED_TIME, WorldEvent::End { request, host, end });
+            let outcome = WorkOutcome::Shed;
+            return self.schedule(
+                SHED_RESPONSE_TIME,
+                SimulationEvent::End {
+                    request,
+                    host,
+                    outcome,
+                },
+            );
         }
         let running = self.hosts[host].admission.running_count();
         let work = kind.service_time(self.now, running);
-        let time = work.mul_f64(self.requests[request].factor);
+        let time = work.mul_f64(self.requests[request].service_time_factor);
         self.requests[request].has_run = true;
-        let left = self.requests[request].deadline.since(self.now);
-        let is_cut = self.setting.step >= PolicyStep::Deadline && time >= left;
-        let (time, end) = match is_cut {
-            true => (left, WorkEnd::TimedOut),
-            false => (time, WorkEnd::Answered),
+        let remaining = self.requests[request].deadline.since(self.now);
+        let is_timed_out = self.setting.step >= PolicyStep::Deadline && time >= remaining;
+        let (time, outcome) = match is_timed_out {
+            true => (remaining, WorkOutcome::TimedOut),
+            false => (time, WorkOutcome::Answered),
         };
-        self.hosts[host].tally.busy += time;
-        self.schedule(time, WorldEvent::End { request, host, end });
+        self.hosts[host].tally.busy_time += time;
+        self.schedule(
+            time,
+            SimulationEvent::End {
+                request,
+                host,
+                outcome,
+            },
+        );
     }
 
-    fn end(&mut self, request: usize, host: usize, end: WorkEnd) {
-        let time = self.now.since(self.requests[request].started);
-        let slot_end = self.slot_end(end, time);
+    fn handle_end(&mut self, request: usize, host: usize, outcome: WorkOutcome) {
+        let time = self.now.since(self.requests[request].started_at);
+        let slot_outcome = self.slot_outcome(outcome, time);
         let rules = self.setting.admission_rules();
         let admission = &mut self.hosts[host].admission;
-        let decided = Instant::now();
-        let changes = admission.release(slot_end, &rules, self.now);
-        self.apply(host, &changes, decided.elapsed());
+        let decided_at = Instant::now();
+        let decisions = admission.release(slot_outcome, &rules, self.now);
+        self.apply_decisions(host, &decisions, decided_at.elapsed());
         self.schedule_advance(host);
-        match end {
-            WorkEnd::Answered => self.complete(request, host),
-            WorkEnd::TimedOut => self.hosts[host].tally.late += 1,
-            WorkEnd::Shed => self.take_shed(request, host),
+        match outcome {
+            WorkOutcome::Answered => self.complete(request, host),
+            WorkOutcome::TimedOut => self.hosts[host].tally.late += 1,
+            WorkOutcome::Shed => self.handle_shed(request, host),
         }
     }
 
-    /// Returns what the host is told of the end, by the policy steps in use.
-    fn slot_end(&self, end: WorkEnd, time: Duration) -> SlotOutcome {
-        match end {
-            WorkEnd::Answered => SlotOutcome::Completed(time),
-            WorkEnd::TimedOut if self.setting.step >= PolicyStep::Ramp => {
+    /// Returns the outcome that is reported to the host under the current policy
+    /// step.
+    fn slot_outcome(&self, outcome: WorkOutcome, time: Duration) -> SlotOutcome {
+        match outcome {
+            WorkOutcome::Answered => SlotOutcome::Completed(time),
+            WorkOutcome::TimedOut if self.setting.step >= PolicyStep::Ramp => {
                 SlotOutcome::TimedOut(time)
             }
-            WorkEnd::TimedOut => SlotOutcome::Completed(time),
-            WorkEnd::Shed if self.setting.step >= PolicyStep::Pause => SlotOutcome::Shed,
-            WorkEnd::Shed => SlotOutcome::Unused,
+            WorkOutcome::TimedOut => SlotOutcome::Completed(time),
+            WorkOutcome::Shed if self.setting.step >= PolicyStep::Pause => SlotOutcome::Shed,
+            WorkOutcome::Shed => SlotOutcome::Unused,
         }
     }
 
@@ -321,33 +346,34 @@
         } else {
             self.hosts[host].tally.completed += 1;
             self.tally
-                .complete(done.class, self.now.since(done.arrived));
+                .complete(done.class, self.now.since(done.arrived_at));
         }
         if done.is_relayed {
             self.answer_relay(request, host, None);
         }
     }
 
-    fn take_shed(&mut self, request: usize, host: usize) {
+    fn handle_shed(&mut self, request: usize, host: usize) {
         self.hosts[host].tally.shed += 1;
         if self.requests[request].is_relayed {
-            self.answer_relay(request, host, Some(SHED_RETRY));
+            self.answer_relay(request, host, Some(SHED_RETRY_AFTER));
         } else {
-            self.try_elsewhere(request, SHED_RETRY);
+            self.relay_or_refuse(request, SHED_RETRY_AFTER);
         }
     }
 
-    /// Does what a decision, which took `time`, says of waiting requests.
-    fn apply(&mut self, host: usize, changes: &[QueueDecision], time: Duration) {
-        for change in changes {
-            let request = change.key.0 as usize;
-            match change.decision {
+    /// Applies decisions about queued requests. `time` is the wall-clock duration of
+    /// the decisions.
+    fn apply_decisions(&mut self, host: usize, decisions: &[QueueDecision], time: Duration) {
+        for queue_decision in decisions {
+            let request = queue_decision.key.0 as usize;
+            match queue_decision.decision {
                 SlotDecision::Run => self.start(request, host),
-                SlotDecision::Wait => unreachable!("the end of a wait is a wait"),
+                SlotDecision::Wait => unreachable!("a queued request is run or refused"),
                 SlotDecision::Refuse { retry_after } => {
                     self.tally.refusal_times.push(time);
                     self.hosts[host].tally.dropped += 1;
-                    self.try_elsewhere(request, retry_after);
+                    self.relay_or_refuse(request, retry_after);
                 }
             }
         }
@@ -356,9 +382,9 @@
     fn advance(&mut self, host: usize) {
         let rules = self.setting.admission_rules();
         let admission = &mut self.hosts[host].admission;
-        let decided = Instant::now();
-        let changes = admission.advance(&rules, self.now);
-        self.apply(host, &changes, decided.elapsed());
+        let decided_at = Instant::now();
+        let decisions = admission.advance(&rules, self.now);
+        self.apply_decisions(host, &decisions, decided_at.elapsed());
     }
 
     fn schedule_advance(&mut self, host: usize) {
@@ -367,12 +393,13 @@
             && time.0 < u64::MAX
         {
             let delay = time.since(self.now);
-            self.schedule(delay, WorldEvent::Advance { host });
+            self.schedule(delay, SimulationEvent::Advance { host });
         }
     }
 
-    /// The lying host says that it is full, the others that they are free.
-    fn report(&mut self) {
+    /// Reports full load for the host of kind [`HostKind::Lying`] and no load for the
+    /// others.
+    fn report_loads(&mut self) {
         for host in &mut self.hosts {
             let load = match host.kind {
                 HostKind::Lying => 1.0,
@@ -380,8 +407,8 @@
             };
             host.admission.record_load_report(load, self.now);
         }
-        if self.now < MonotonicTime::default() + LOAD_TIME {
-            self.schedule(REPORT_TIME, WorldEvent::Report);
+        if self.now < MonotonicTime::default() + ARRIVAL_DURATION {
+            self.schedule(REPORT_INTERVAL, SimulationEvent::Report);
         }
     }
 }
--- a/crates/requests/tests/curve/relaying.rs
+++ b/crates/requests/tests/curve/relaying.rs
@@ -1,4 +1,4 @@
-//! Second tries at other hosts, and the end of refused requests.
+//! Retries at other hosts, and the outcome of refused requests.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -8,15 +8,16 @@
 use rand::RngExt;
 
 use crate::curve::HOST_LATENCY;
-use crate::curve::LoadWorld;
-use crate::curve::MAX_ASKS;
-use crate::curve::WorldEvent;
-use crate::curve::index_of;
-use crate::curve::process;
+use crate::curve::LoadSimulation;
+use crate::curve::MAX_ATTEMPTS;
+use crate::curve::SimulationEvent;
+use crate::curve::host_index;
+use crate::curve::process_id;
 use crate::curve::setting::PolicyStep;
 
-impl LoadWorld {
-    pub(super) fn admit_relayed(&mut self, request: usize, host: usize) {
+impl LoadSimulation {
+    /// Handles a relayed request that arrives at another host.
+    pub(super) fn handle_relay(&mut self, request: usize, host: usize) {
         let slot_request = self.slot_request(request);
         let rules = self.setting.admission_rules();
         let admission = &mut self.hosts[host].admission;
@@ -25,7 +26,7 @@
         let time = start.elapsed();
         match decision {
             SlotDecision::Run => self.start(request, host),
-            SlotDecision::Wait => unreachable!("a relayed request waits"),
+            SlotDecision::Wait => unreachable!("a relayed request never waits"),
             SlotDecision::Refuse { retry_after } => {
                 self.tally.refusal_times.push(time);
                 self.answer_relay(request, host, Some(retry_after));
@@ -33,68 +34,79 @@
         }
     }
 
-    pub(super) fn answer_relay(&mut self, request: usize, host: usize, refused: Option<Duration>) {
+    /// Sends the response to a relayed request; `retry_after` is set if it was
+    /// refused.
+    pub(super) fn answer_relay(
+        &mut self,
+        request: usize,
+        host: usize,
+        retry_after: Option<Duration>,
+    ) {
         let rules = self.setting.admission_rules();
         let percent = self.hosts[host].admission.load_percent(&rules, self.now);
-        let answer = WorldEvent::RelayAnswered {
+        let answer = SimulationEvent::RelayAnswered {
             request,
             host,
             percent,
-            refused,
+            retry_after,
         };
         self.schedule(HOST_LATENCY, answer);
     }
 
-    pub(super) fn hear_relay(
+    /// Handles the response to a relayed request at the host that relayed it.
+    pub(super) fn handle_relay_answer(
         &mut self,
         request: usize,
         host: usize,
         percent: u16,
-        refused: Option<Duration>,
+        retry_after: Option<Duration>,
     ) {
-        let first = self.requests[request].first;
-        let loads = &mut self.hosts[first].loads;
-        loads.record_load(process(host), percent, self.now);
-        if let Some(pause) = refused {
-            loads.avoid_peer(process(host), pause, self.now);
+        let first_host = self.requests[request].first_host;
+        let loads = &mut self.hosts[first_host].loads;
+        loads.record_load(process_id(host), percent, self.now);
+        if let Some(pause) = retry_after {
+            loads.avoid_peer(process_id(host), pause, self.now);
             self.tally.relays_refused += 1;
-            self.give_up(request);
+            self.retry_or_refuse(request);
         }
     }
 
-    /// Tries a refused request at another host, or gives it up.
-    pub(super) fn try_elsewhere(&mut self, request: usize, retry_after: Duration) {
+    /// Relays a refused request to another host. If that is not possible, its caller
+    /// retries later or is refused.
+    pub(super) fn relay_or_refuse(&mut self, request: usize, retry_after: Duration) {
         self.requests[request].retry_after = retry_after;
-        let first = self.requests[request].first;
+        let first_host = self.requests[request].first_host;
         if self.setting.step < PolicyStep::Relay || self.requests[request].deadline <= self.now {
-            return self.give_up(request);
+            return self.retry_or_refuse(request);
         }
         let peers: Vec<ProcessId> = (0..self.hosts.len())
-            .filter(|index| *index != first)
-            .map(process)
+            .filter(|index| *index != first_host)
+            .map(process_id)
             .collect();
-        let host = &mut self.hosts[first];
+        let host = &mut self.hosts[first_host];
         let Some(peer) = host.loads.choose_peer(&peers, self.now) else {
-            return self.give_up(request);
+            return self.retry_or_refuse(request);
         };
         if self.setting.step >= PolicyStep::Budget && !host.budget.try_withdraw() {
-            return self.give_up(request);
+            return self.retry_or_refuse(request);
         }
         self.tally.relays += 1;
         self.requests[request].is_relayed = true;
-        let host = index_of(peer);
-        self.schedule(HOST_LATENCY, WorldEvent::Relayed { request, host });
+        let host = host_index(peer);
+        self.schedule(HOST_LATENCY, SimulationEvent::Relayed { request, host });
     }
 
-    pub(super) fn give_up(&mut self, request: usize) {
+    /// Schedules a retry by the caller of a refused request, or counts the refusal if
+    /// the caller does not retry.
+    pub(super) fn retry_or_refuse(&mut self, request: usize) {
         let refused = &self.requests[request];
         let wait = refused.retry_after;
-        let comes_back = self.setting.comes_back
-            && refused.asks < MAX_ASKS
+        let callers_retry = self.setting.callers_retry
+            && refused.attempt_count < MAX_ATTEMPTS
             && self.now + wait < refused.deadline;
-        if comes_back {
-            let late = self.random.random_range(1.0..1.5);
-            return self.schedule(wait.mul_f64(late), WorldEvent::Arrive { request });
+        if callers_retry {
+            let late = self.rng.random_range(1.0..1.5);
+            return self.schedule(wait.mul_f64(late), SimulationEvent::Arrive { request });
         }
         self.tally.refuse(refused.has_run);
     }
--- a/crates/requests/tests/curve/setting.rs
+++ b/crates/requests/tests/curve/setting.rs
@@ -1,53 +1,55 @@
-//! What one point of a load curve is run with.
+//! Parameters of one point of a load curve, and the behaviour of the hosts.
 
 use std::time::Duration;
 
 use hyssopstair_requests::admission::AdmissionRules;
 use hyssopstair_wire::time::MonotonicTime;
 
-/// Time that the work on a request takes on average at a usual host.
-pub const WORK_TIME: Duration = Duration::from_millis(20);
+/// Mean service time of a request at a usual host.
+pub const MEAN_SERVICE_TIME: Duration = Duration::from_millis(20);
 
-/// Requests that wait at a host with a queue.
-const QUEUE: usize = 2;
+/// Queue length of a host, unless the policy has no queue.
+const QUEUE_LENGTH: usize = 2;
 
-/// Service time of the slow host, as a multiple of the usual.
+/// Service time of the slow host, as a multiple of [`MEAN_SERVICE_TIME`].
 const SLOW_FACTOR: u32 = 3;
 
-/// Service time of the cold host while it is cold, as a multiple of the usual
-/// and for each request that it runs.
+/// Service time of the cold host while it is cold, as a multiple of
+/// [`MEAN_SERVICE_TIME`] for each request that it runs concurrently.
 const COLD_FACTOR: u32 = 5;
 
-/// Time in which the cold host is cold.
-const COLD_TIME: Duration = Duration::from_secs(5);
+/// Time from the start during which the cold host is cold.
+const COLD_DURATION: Duration = Duration::from_secs(5);
 
-/// The shedding host sheds in the last part of each period.
+/// Period of the shedding host. It sheds all requests at the end of each period.
 const SHED_PERIOD: Duration = Duration::from_secs(4);
 
-/// Part of each period in which the shedding host works.
-const WORK_PERIOD: Duration = Duration::from_secs(3);
+/// Time from the start of each period during which the shedding host does not
+/// shed.
+const SHED_FREE_TIME: Duration = Duration::from_secs(3);
 
-/// The policy, each step with all before it.
+/// The steps of the admission policy. Each step includes all earlier ones.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PolicyStep {
     /// A request takes a free slot or is refused.
     Slots,
-    /// Requests wait in a short queue; enrolments are preferred.
+    /// Requests wait in a short queue; non-idempotent requests have priority.
     Queue,
-    /// Requests that miss their deadline are refused, dropped or cancelled.
+    /// Requests that cannot meet their deadline are refused, dropped from the queue
+    /// or cancelled.
     Deadline,
-    /// A refused request is tried at one other host.
+    /// A refused request is retried at one other host.
     Relay,
-    /// Second tries are bounded by a budget.
+    /// Retries at other hosts are limited by a budget.
     Budget,
-    /// A cold host, and one that timed out, starts with one slot.
+    /// A host starts with one slot when it is cold or after a timeout.
     Ramp,
-    /// A host pauses when its backend server sheds.
+    /// A host backs off when its backend server sheds.
     Pause,
 }
 
 impl PolicyStep {
-    /// All steps in their order.
+    /// All steps, in order.
     pub const ALL: [Self; 7] = [
         Self::Slots,
         Self::Queue,
@@ -59,18 +61,18 @@
     ];
 }
 
-/// How the backend server of a host behaves.
+/// The behaviour of the backend server of a host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HostKind {
-    /// Serves each request in the usual time.
+    /// Serves each request in the mean service time.
     Usual,
-    /// Takes longer for each request.
+    /// Takes longer for every request.
     Slow,
-    /// Serves as usual and reports that it is full.
+    /// Serves like a usual host but reports full load.
     Lying,
-    /// Answers 503 for stretches of time.
+    /// Sheds all requests (status 503) during a part of each period.
     Shedding,
-    /// Takes longer at first.
+    /// Takes longer after the start.
     Cold,
 }
 
@@ -86,30 +88,30 @@
         Self::Cold,
     ];
 
-    /// Returns the work that a host does in the long run, as a share of what
-    /// a usual host does.
+    /// Returns the long-term throughput of a host, as a fraction of that of a usual
+    /// host.
     pub fn speed(self) -> f64 {
         match self {
             Self::Slow => 1.0 / f64::from(SLOW_FACTOR),
-            Self::Shedding => WORK_PERIOD.as_secs_f64() / SHED_PERIOD.as_secs_f64(),
+            Self::Shedding => SHED_FREE_TIME.as_secs_f64() / SHED_PERIOD.as_secs_f64(),
             Self::Usual | Self::Lying | Self::Cold => 1.0,
         }
     }
 
-    /// Returns whether a request that is handed over at `now` is shed.
+    /// Returns whether the backend server sheds a request that it receives at `now`.
     pub fn sheds(self, now: MonotonicTime) -> bool {
         let in_period = now.since(MonotonicTime::default()).as_micros() % SHED_PERIOD.as_micros();
-        self == Self::Shedding && in_period >= WORK_PERIOD.as_micros()
+        self == Self::Shedding && in_period >= SHED_FREE_TIME.as_micros()
     }
 
-    /// Returns the mean time of a request that is handed over at `now` as one
-    /// of `running`.
+    /// Returns the mean service time of a request that is handed over at `now`,
+    /// when `running` requests run concurrently.
     pub fn service_time(self, now: MonotonicTime, running: u32) -> Duration {
-        let is_cold = self == Self::Cold && now < MonotonicTime::default() + COLD_TIME;
+        let is_cold = self == Self::Cold && now < MonotonicTime::default() + COLD_DURATION;
         match self {
-            Self::Slow => WORK_TIME * SLOW_FACTOR,
-            _ if is_cold => WORK_TIME * COLD_FACTOR * running,
-            _ => WORK_TIME,
+            Self::Slow => MEAN_SERVICE_TIME * SLOW_FACTOR,
+            _ if is_cold => MEAN_SERVICE_TIME * COLD_FACTOR * running,
+            _ => MEAN_SERVICE_TIME,
         }
     }
 }
@@ -117,26 +119,26 @@
 /// One point of a load curve.
 #[derive(Debug, Clone, Copy)]
 pub struct CurveSetting {
-    /// Requests that one host runs at once.
+    /// Maximum number of requests that one host runs concurrently.
     pub slots: u32,
-    /// Time that callers wait for an answer.
+    /// Time that callers wait for a response.
     pub deadline: Duration,
-    /// Arrivals as a multiple of the capacity of all hosts.
+    /// Arrival rate, as a multiple of the capacity of all hosts.
     pub rate: f64,
-    /// Whether refused callers come back after the time they are told.
-    pub comes_back: bool,
+    /// Whether refused callers retry after the delay that they are given.
+    pub callers_retry: bool,
     /// The policy in use.
     pub step: PolicyStep,
-    /// Seed of arrivals and work.
+    /// Seed of the arrivals and service times.
     pub seed: u64,
 }
 
 impl CurveSetting {
-    /// Returns the rules of each host.
+    /// Returns the admission rules of each host.
     pub fn admission_rules(&self) -> AdmissionRules {
         let queue = match self.step {
             PolicyStep::Slots => 0,
-            _ => QUEUE,
+            _ => QUEUE_LENGTH,
         };
         AdmissionRules {
             slots: self.slots,
@@ -144,10 +146,10 @@
         }
     }
 
-    /// Returns the mean rate of arrivals.
+    /// Returns the mean arrival rate, in requests per second.
     pub fn arrivals_per_second(&self) -> f64 {
         let speed: f64 = HostKind::ALL.iter().map(|kind| kind.speed()).sum();
-        let capacity = f64::from(self.slots) * speed / WORK_TIME.as_secs_f64();
+        let capacity = f64::from(self.slots) * speed / MEAN_SERVICE_TIME.as_secs_f64();
         self.rate * capacity
     }
 }
--- a/crates/requests/tests/fuzz.rs
+++ b/crates/requests/tests/fuzz.rs
@@ -1,9 +1,9 @@
-//! Stateful fuzz of the decisions about requests that must not run twice.
+//! Stateful fuzz test of the decisions about non-idempotent requests.
 //!
 //! Several hosts decide with the real [`TicketLedger`], [`RelayLog`] and
-//! [`AdmissionController`]. The oracle is the list of what each backend server ran,
-//! and what each caller was told. `HYSSOPSTAIR_FUZZ_CASES` gives the number of
-//! cases.
+//! [`AdmissionController`]. The oracle records which requests the backend servers
+//! ran and which verdicts the callers received. `HYSSOPSTAIR_FUZZ_CASES` sets the
+//! number of cases.
 
 mod model;
 
@@ -15,7 +15,7 @@
 
 use model::HostFleet;
 
-/// Cases where the environment gives no number.
+/// Number of cases if the environment sets none.
 const DEFAULT_CASES: u32 = 300;
 
 fn config() -> Config {
--- a/crates/requests/tests/model/mod.rs
+++ b/crates/requests/tests/model/mod.rs
@@ -1,4 +1,4 @@
-//! Hosts, callers and messages between them, with an oracle.
+//! A model of hosts, callers and the messages between them, with an oracle.
 
 use std::time::Duration;
 
@@ -35,113 +35,117 @@
     max_records: 6,
     max_reply_bytes: 256,
 };
-const PATIENCE: Duration = Duration::from_secs(5);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// One step of the world. Numbers choose among what there is.
+/// One step of the model. An index is taken modulo the number of existing items.
 #[derive(Debug, Clone)]
-pub enum WorldStep {
+pub enum FleetStep {
     /// A host issues a ticket.
     Issue { host: usize },
-    /// A caller shows a ticket to a host; another body when `other` is set.
-    Show {
+    /// A caller presents a ticket to a host, with a different body if `other_body`
+    /// is set.
+    Present {
         ticket: usize,
         host: usize,
-        other: bool,
+        other_body: bool,
     },
-    /// A claimed request is handed to the backend server of its host.
+    /// A claimed request is handed over to the backend server of its host.
     HandOver { request: usize },
-    /// A claimed request is relayed; the message may be doubled.
+    /// A claimed request is relayed to another host, in one or more copies.
     Relay {
         request: usize,
         host: usize,
-        copies: usize,
+        copy_count: usize,
+    },
+    /// A relay message is delivered, possibly late or as a duplicate.
+    Deliver {
+        message: usize,
+        is_response_lost: bool,
     },
-    /// A message of a relay arrives, late or again.
-    Deliver { message: usize, lost_answer: bool },
     /// A running request ends.
-    End { request: usize, end: WorldEnd },
-    /// A host starts anew at its address.
+    End { request: usize, end: RunEnd },
+    /// A host restarts at its address with a new incarnation.
     Restart { host: usize },
-    /// A host is told to leave.
+    /// A host starts to drain.
     Drain { host: usize },
-    /// Time passes; pauses past an expiry are among them.
+    /// Time passes, possibly beyond the expiry of tickets.
     Wait { millis: u64 },
 }
 
-/// How a run ends at the issuer.
+/// How a request ends at the backend server of the issuer.
 #[derive(Debug, Clone, Copy)]
-pub enum WorldEnd {
-    Whole,
-    Cut,
-    Refused,
+pub enum RunEnd {
+    Completed,
+    Interrupted,
+    Shed,
 }
 
-/// The steps need no knowledge of the state.
+/// Generates steps independently of the state of the model.
 #[derive(Debug, Clone, Default)]
-pub struct StepSource;
+pub struct StepGenerator;
 
-impl ReferenceStateMachine for StepSource {
+impl ReferenceStateMachine for StepGenerator {
     type State = ();
-    type Transition = WorldStep;
+    type Transition = FleetStep;
 
     fn init_state() -> BoxedStrategy<()> {
         Just(()).boxed()
     }
 
-    fn transitions((): &()) -> BoxedStrategy<WorldStep> {
+    fn transitions((): &()) -> BoxedStrategy<FleetStep> {
         let host = || 0..HOSTS;
-        let any = || 0..64_usize;
+        let any_index = || 0..64_usize;
         let end = prop_oneof![
-            3 => Just(WorldEnd::Whole),
-            1 => Just(WorldEnd::Cut),
-            1 => Just(WorldEnd::Refused),
+            3 => Just(RunEnd::Completed),
+            1 => Just(RunEnd::Interrupted),
+            1 => Just(RunEnd::Shed),
         ];
         prop_oneof![
-            4 => host().prop_map(|host| WorldStep::Issue { host }),
-            10 => (any(), host(), proptest::bool::weighted(0.1))
-                .prop_map(|(ticket, host, other)| WorldStep::Show { ticket, host, other }),
-            6 => any().prop_map(|request| WorldStep::HandOver { request }),
-            4 => (any(), host(), 1..3_usize)
-                .prop_map(|(request, host, copies)| WorldStep::Relay { request, host, copies }),
-            6 => (any(), proptest::bool::weighted(0.2))
-                .prop_map(|(message, lost_answer)| WorldStep::Deliver { message, lost_answer }),
-            6 => (any(), end).prop_map(|(request, end)| WorldStep::End { request, end }),
-            1 => host().prop_map(|host| WorldStep::Restart { host }),
-            1 => host().prop_map(|host| WorldStep::Drain { host }),
-            2 => (1..3_000_u64).prop_map(|millis| WorldStep::Wait { millis }),
-            1 => (100_000..300_000_u64).prop_map(|millis| WorldStep::Wait { millis }),
+            4 => host().prop_map(|host| FleetStep::Issue { host }),
+            10 => (any_index(), host(), proptest::bool::weighted(0.1))
+                .prop_map(|(ticket, host, other_body)| FleetStep::Present { ticket, host, other_body }),
+            6 => any_index().prop_map(|request| FleetStep::HandOver { request }),
+            4 => (any_index(), host(), 1..3_usize)
+                .prop_map(|(request, host, copy_count)| FleetStep::Relay { request, host, copy_count }),
+            6 => (any_index(), proptest::bool::weighted(0.2))
+                .prop_map(|(message, is_response_lost)| FleetStep::Deliver { message, is_response_lost }),
+            6 => (any_index(), end).prop_map(|(request, end)| FleetStep::End { request, end }),
+            1 => host().prop_map(|host| FleetStep::Restart { host }),
+            1 => host().prop_map(|host| FleetStep::Drain { host }),
+            2 => (1..3_000_u64).prop_map(|millis| FleetStep::Wait { millis }),
+            1 => (100_000..300_000_u64).prop_map(|millis| FleetStep::Wait { millis }),
         ]
         .boxed()
     }
 
-    fn apply((): (), _: &WorldStep) {}
+    fn apply((): (), _: &FleetStep) {}
 }
 
 #[derive(Debug)]
 struct ModelHost {
-    me: ProcessId,
+    self_id: ProcessId,
     ledger: TicketLedger,
     relays: RelayLog,
     admission: AdmissionController,
-    /// Slots that requests of the model hold.
-    held: u32,
-    next_relay: u64,
+    /// Number of slots that requests of the model hold.
+    held_slot_count: u32,
+    last_relay_number: u64,
 }
 
 impl ModelHost {
     fn new(host: usize, incarnation: u32) -> Self {
-        let me = ProcessId {
+        let self_id = ProcessId {
             address: std::net::SocketAddrV4::new([127, 1, 2, host as u8 + 1].into(), 7000),
             incarnation: HostIncarnation(incarnation),
         };
         let first = TicketNumber(u64::from(incarnation) * 1_000);
         Self {
-            me,
-            ledger: TicketLedger::new(me, LIMITS, first),
-            relays: RelayLog::new(me),
+            self_id,
+            ledger: TicketLedger::new(self_id, LIMITS, first),
+            relays: RelayLog::new(self_id),
             admission: AdmissionController::default(),
-            held: 0,
-            next_relay: 0,
+            held_slot_count: 0,
+            last_relay_number: 0,
         }
     }
 }
@@ -153,7 +157,7 @@
     Relayed,
 }
 
-/// A request that holds its ticket at the issuer.
+/// A request that holds a ticket at its issuer.
 #[derive(Debug)]
 struct ModelRequest {
     ticket: usize,
@@ -161,7 +165,7 @@
     host: usize,
     stage: Stage,
     deadline: MonotonicTime,
-    relay: u64,
+    relay_number: u64,
 }
 
 #[derive(Debug)]
@@ -173,16 +177,16 @@
     deadline: MonotonicTime,
 }
 
-/// What the oracle knows of a ticket.
+/// The oracle's record of a ticket.
 #[derive(Debug)]
 struct TicketRecord {
     ticket: RequestTicket,
-    runs: u32,
-    told_not_run: bool,
+    run_count: u32,
+    reported_not_run: bool,
     reply: Vec<u8>,
 }
 
-/// The hosts, the callers and the oracle.
+/// The hosts, the pending requests and messages, and the oracle.
 #[derive(Debug)]
 pub struct HostFleet {
     now: MonotonicTime,
@@ -197,53 +201,65 @@
     format!("reply {ticket}").into_bytes()
 }
 
-fn fingerprint(ticket: usize, other: bool) -> RequestFingerprint {
-    RequestFingerprint(2 * ticket as u128 + u128::from(other))
+fn fingerprint_of(ticket: usize, other_body: bool) -> RequestFingerprint {
+    RequestFingerprint(2 * ticket as u128 + u128::from(other_body))
 }
 
 impl HostFleet {
     fn run(&mut self, ticket: usize) {
         let record = &mut self.tickets[ticket];
-        record.runs += 1;
-        assert!(record.runs <= 1, "ticket {ticket} ran twice");
-        assert!(!record.told_not_run, "ticket {ticket} ran after not-run");
+        record.run_count += 1;
+        assert!(record.run_count <= 1, "ticket {ticket} ran twice");
+        assert!(
+            !record.reported_not_run,
+            "ticket {ticket} ran after the verdict not-run"
+        );
     }
 
-    fn tell_not_run(&mut self, ticket: usize) {
+    fn report_not_run(&mut self, ticket: usize) {
         let record = &mut self.tickets[ticket];
-        assert_eq!(record.runs, 0, "false not-run of ticket {ticket}");
-        record.told_not_run = true;
+        assert_eq!(
+            record.run_count, 0,
+            "false verdict not-run for ticket {ticket}"
+        );
+        record.reported_not_run = true;
     }
 
     fn check_reply(&self, ticket: usize, reply: Option<&[u8]>) {
-        assert_eq!(self.tickets[ticket].runs, 1, "done without a run");
+        assert_eq!(
+            self.tickets[ticket].run_count, 1,
+            "verdict done for a request that did not run"
+        );
         if let Some(reply) = reply {
-            assert_eq!(reply, self.tickets[ticket].reply, "swapped answer");
+            assert_eq!(
+                reply, self.tickets[ticket].reply,
+                "reply belongs to another request"
+            );
         }
     }
 
-    fn show(&mut self, ticket: usize, host: usize, other: bool) {
-        let shown = self.tickets[ticket].ticket;
-        let print = fingerprint(ticket, other);
+    fn present(&mut self, ticket: usize, host: usize, other_body: bool) {
+        let presented = self.tickets[ticket].ticket;
+        let fingerprint = fingerprint_of(ticket, other_body);
         let now = self.now;
-        let decision = self.hosts[host].ledger.claim(&shown, print, now);
+        let decision = self.hosts[host].ledger.claim(&presented, fingerprint, now);
         match decision {
-            TicketDecision::Run if other => {
-                // The caller's mistake: the ticket stands for the other body.
+            TicketDecision::Run if other_body => {
+                // Caller error: the ticket is now bound to the other body.
                 let ledger = &mut self.hosts[host].ledger;
-                ledger.record_outcome(shown.number, RunOutcome::NotRun);
+                ledger.record_outcome(presented.number, RunOutcome::NotRun);
             }
             TicketDecision::Run => self.requests.push(ModelRequest {
                 ticket,
-                issuer: shown.issuer,
+                issuer: presented.issuer,
                 host,
                 stage: Stage::Claimed,
-                deadline: now + PATIENCE,
-                relay: 0,
+                deadline: now + REQUEST_TIMEOUT,
+                relay_number: 0,
             }),
             TicketDecision::Replay(reply) => self.check_reply(ticket, reply.as_deref()),
-            TicketDecision::NotRun if !other => self.tell_not_run(ticket),
-            TicketDecision::AskIssuer => self.settle(ticket, print, other),
+            TicketDecision::NotRun if !other_body => self.report_not_run(ticket),
+            TicketDecision::AskIssuer => self.settle(ticket, fingerprint, other_body),
             TicketDecision::NotRun
             | TicketDecision::Wait
             | TicketDecision::MayHaveRun
@@ -251,73 +267,78 @@
         }
     }
 
-    fn settle(&mut self, ticket: usize, print: RequestFingerprint, other: bool) {
-        let shown = self.tickets[ticket].ticket;
+    fn settle(&mut self, ticket: usize, fingerprint: RequestFingerprint, other_body: bool) {
+        let presented = self.tickets[ticket].ticket;
         let now = self.now;
         let issuer = self
             .hosts
             .iter_mut()
-            .find(|host| host.me.address == shown.issuer.address);
-        let decision = issuer.unwrap().ledger.settle(&shown, print, now);
+            .find(|host| host.self_id.address == presented.issuer.address);
+        let decision = issuer.unwrap().ledger.settle(&presented, fingerprint, now);
         match decision {
             SettleDecision::Done(reply) => self.check_reply(ticket, reply.as_deref()),
-            SettleDecision::NotRun if !other => self.tell_not_run(ticket),
+            SettleDecision::NotRun if !other_body => self.report_not_run(ticket),
             _ => {}
         }
     }
 
-    fn slot(&mut self, host: usize, deadline: MonotonicTime) -> bool {
+    fn take_slot(&mut self, host: usize, deadline: MonotonicTime) -> bool {
         let request = SlotRequest {
             key: RequestKey(0),
             class: RequestClass::NonIdempotent,
             deadline,
         };
-        let place = &mut self.hosts[host];
-        let decision = place.admission.admit_relayed(request, &RULES, self.now);
+        let model_host = &mut self.hosts[host];
+        let decision = model_host
+            .admission
+            .admit_relayed(request, &RULES, self.now);
         if decision != SlotDecision::Run {
             return false;
         }
-        assert!(self.now < deadline, "admitted past its deadline");
-        place.held += 1;
+        assert!(
+            self.now < deadline,
+            "request was admitted after its deadline"
+        );
+        model_host.held_slot_count += 1;
         true
     }
 
-    fn release(&mut self, host: usize, end: SlotOutcome) {
-        let place = &mut self.hosts[host];
-        place.held -= 1;
-        place.admission.release(end, &RULES, self.now);
+    fn release(&mut self, host: usize, outcome: SlotOutcome) {
+        let model_host = &mut self.hosts[host];
+        model_host.held_slot_count -= 1;
+        model_host.admission.release(outcome, &RULES, self.now);
     }
 
-    /// Forgets a request and records its end at the issuer that still lives.
+    /// Removes a request and records its outcome if its issuer has not restarted.
     fn finish(&mut self, index: usize, outcome: RunOutcome) {
         let request = self.requests.remove(index);
         let number = self.tickets[request.ticket].ticket.number;
         let host = &mut self.hosts[request.host];
-        if host.me != request.issuer {
+        if host.self_id != request.issuer {
             return;
         }
         let is_not_run = outcome == RunOutcome::NotRun;
         host.ledger.record_outcome(number, outcome);
         if is_not_run {
-            self.tell_not_run(request.ticket);
+            self.report_not_run(request.ticket);
         }
     }
 
     fn hand_over(&mut self, index: usize) {
         let request = &self.requests[index];
         let (ticket, host, deadline) = (request.ticket, request.host, request.deadline);
-        if request.stage != Stage::Claimed || self.hosts[host].me != request.issuer {
+        if request.stage != Stage::Claimed || self.hosts[host].self_id != request.issuer {
             return;
         }
-        if !self.slot(host, deadline) {
+        if !self.take_slot(host, deadline) {
             self.finish(index, RunOutcome::NotRun);
             return;
         }
         let number = self.tickets[ticket].ticket.number;
-        let allowed = self.hosts[host]
+        let handed_over = self.hosts[host]
             .ledger
             .hand_over(number, deadline, self.now);
-        if allowed.is_err() {
+        if handed_over.is_err() {
             self.release(host, SlotOutcome::Unused);
             self.finish(index, RunOutcome::NotRun);
             return;
@@ -326,108 +347,113 @@
         self.run(ticket);
     }
 
-    fn relay(&mut self, index: usize, to: usize, copies: usize) {
+    fn relay(&mut self, index: usize, target_host: usize, copy_count: usize) {
         let request = &self.requests[index];
         let (ticket, host, deadline) = (request.ticket, request.host, request.deadline);
-        let is_here = self.hosts[host].me == request.issuer;
-        if request.stage != Stage::Claimed || !is_here || host == to {
+        let is_issuer_alive = self.hosts[host].self_id == request.issuer;
+        if request.stage != Stage::Claimed || !is_issuer_alive || host == target_host {
             return;
         }
         let number = self.tickets[ticket].ticket.number;
-        let allowed = self.hosts[host]
+        let handed_over = self.hosts[host]
             .ledger
             .hand_over(number, deadline, self.now);
-        if allowed.is_err() {
+        if handed_over.is_err() {
             self.finish(index, RunOutcome::NotRun);
             return;
         }
-        self.hosts[host].next_relay += 1;
-        let relay = self.hosts[host].next_relay;
+        self.hosts[host].last_relay_number += 1;
+        let relay_number = self.hosts[host].last_relay_number;
         self.requests[index].stage = Stage::Relayed;
-        self.requests[index].relay = relay;
-        for _ in 0..copies {
+        self.requests[index].relay_number = relay_number;
+        for _ in 0..copy_count {
             self.messages.push(ModelMessage {
                 ticket,
-                sender: self.hosts[host].me,
-                target: self.hosts[to].me,
-                number: relay,
+                sender: self.hosts[host].self_id,
+                target: self.hosts[target_host].self_id,
+                number: relay_number,
                 deadline,
             });
         }
     }
 
-    fn deliver(&mut self, index: usize, lost_answer: bool) {
+    fn deliver(&mut self, index: usize, is_response_lost: bool) {
         let message = self.messages.swap_remove(index);
         let now = self.now;
-        let to = self
+        let target_host = self
             .hosts
             .iter()
-            .position(|host| host.me.address == message.target.address)
+            .position(|host| host.self_id.address == message.target.address)
             .unwrap();
-        let relays = &mut self.hosts[to].relays;
-        let seen = relays.record_relay(message.sender, message.target, message.number, now);
-        let outcome = match seen {
+        let relays = &mut self.hosts[target_host].relays;
+        let relay_decision =
+            relays.record_relay(message.sender, message.target, message.number, now);
+        let outcome = match relay_decision {
             RelayDecision::Repeated => RunOutcome::MayHaveRun,
             RelayDecision::Refused => RunOutcome::NotRun,
-            RelayDecision::New if self.slot(to, message.deadline) => {
+            RelayDecision::New if self.take_slot(target_host, message.deadline) => {
                 self.run(message.ticket);
-                self.release(to, SlotOutcome::Completed(Duration::from_millis(20)));
+                self.release(
+                    target_host,
+                    SlotOutcome::Completed(Duration::from_millis(20)),
+                );
                 RunOutcome::Done(Some(reply_of(message.ticket).into()))
             }
             RelayDecision::New => RunOutcome::NotRun,
         };
-        let waiting = self.requests.iter().position(|request| {
+        let pending = self.requests.iter().position(|request| {
             request.issuer == message.sender
-                && request.relay == message.number
+                && request.relay_number == message.number
                 && request.stage == Stage::Relayed
         });
-        let Some(waiting) = waiting else { return };
-        // A lost answer leaves the sender without knowledge.
-        let outcome = if lost_answer {
+        let Some(pending) = pending else { return };
+        // If the response is lost, the sender does not know the outcome.
+        let outcome = if is_response_lost {
             RunOutcome::MayHaveRun
         } else {
             outcome
         };
         if outcome == RunOutcome::NotRun {
-            // No other copy of the message can run: its number is seen.
+            // No other copy of the message can run, because its number is recorded
+            // at the receiver.
             let number = self.tickets[message.ticket].ticket.number;
-            let host = self.requests[waiting].host;
-            if self.hosts[host].me == message.sender {
+            let host = self.requests[pending].host;
+            if self.hosts[host].self_id == message.sender {
                 self.hosts[host].ledger.undo_hand_over(number);
             }
-            self.requests[waiting].stage = Stage::Claimed;
+            self.requests[pending].stage = Stage::Claimed;
             return;
         }
-        self.finish(waiting, outcome);
+        self.finish(pending, outcome);
     }
 
-    fn end(&mut self, index: usize, end: WorldEnd) {
+    fn end(&mut self, index: usize, end: RunEnd) {
         let request = &self.requests[index];
         let (ticket, host) = (request.ticket, request.host);
-        let is_here = self.hosts[host].me == request.issuer;
-        if request.stage != Stage::Running || !is_here {
+        let is_issuer_alive = self.hosts[host].self_id == request.issuer;
+        if request.stage != Stage::Running || !is_issuer_alive {
             return;
         }
-        let (slot, outcome) = match end {
-            WorldEnd::Whole => (
+        let (slot_outcome, outcome) = match end {
+            RunEnd::Completed => (
                 SlotOutcome::Completed(Duration::from_millis(20)),
                 RunOutcome::Done(Some(reply_of(ticket).into())),
             ),
-            WorldEnd::Cut => (SlotOutcome::Failed, RunOutcome::MayHaveRun),
-            WorldEnd::Refused => {
-                // The backend server has shed it: nothing ran after all.
-                self.tickets[ticket].runs = 0;
+            RunEnd::Interrupted => (SlotOutcome::Failed, RunOutcome::MayHaveRun),
+            RunEnd::Shed => {
+                // The backend server shed the request, so it did not run.
+                self.tickets[ticket].run_count = 0;
                 (SlotOutcome::Shed, RunOutcome::NotRun)
             }
         };
-        self.release(host, slot);
+        self.release(host, slot_outcome);
         self.finish(index, outcome);
     }
 }
 
 impl StateMachineTest for HostFleet {
     type SystemUnderTest = Self;
-    type Reference = StepSource;
+    type Reference = StepGenerator;
 
     fn init_test((): &()) -> Self {
         Self {
@@ -440,60 +466,60 @@
         }
     }
 
-    fn apply(mut state: Self, (): &(), step: WorldStep) -> Self {
+    fn apply(mut state: Self, (): &(), step: FleetStep) -> Self {
         let now = state.now;
         match step {
-            WorldStep::Issue { host } => {
+            FleetStep::Issue { host } => {
                 let ticket = state.hosts[host].ledger.issue(now);
                 let reply = reply_of(state.tickets.len());
                 state.tickets.push(TicketRecord {
                     ticket,
-                    runs: 0,
-                    told_not_run: false,
+                    run_count: 0,
+                    reported_not_run: false,
                     reply,
                 });
             }
-            WorldStep::Show {
+            FleetStep::Present {
                 ticket,
                 host,
-                other,
+                other_body,
             } if !state.tickets.is_empty() => {
                 let ticket = ticket % state.tickets.len();
-                state.show(ticket, host, other);
+                state.present(ticket, host, other_body);
             }
-            WorldStep::HandOver { request } if !state.requests.is_empty() => {
+            FleetStep::HandOver { request } if !state.requests.is_empty() => {
                 let index = request % state.requests.len();
                 state.hand_over(index);
             }
-            WorldStep::Relay {
+            FleetStep::Relay {
                 request,
                 host,
-                copies,
+                copy_count,
             } if !state.requests.is_empty() => {
                 let index = request % state.requests.len();
-                state.relay(index, host, copies);
+                state.relay(index, host, copy_count);
             }
-            WorldStep::Deliver {
+            FleetStep::Deliver {
                 message,
-                lost_answer,
+                is_response_lost,
             } if !state.messages.is_empty() => {
                 let index = message % state.messages.len();
-                state.deliver(index, lost_answer);
+                state.deliver(index, is_response_lost);
             }
-            WorldStep::End { request, end } if !state.requests.is_empty() => {
+            FleetStep::End { request, end } if !state.requests.is_empty() => {
                 let index = request % state.requests.len();
                 state.end(index, end);
             }
-            WorldStep::Restart { host } => {
+            FleetStep::Restart { host } => {
                 state.incarnation += 1;
                 state.hosts[host] = ModelHost::new(host, state.incarnation);
-                let me = state.hosts[host].me.address;
+                let self_id = state.hosts[host].self_id.address;
                 state
                     .requests
-                    .retain(|request| request.issuer.address != me);
+                    .retain(|request| request.issuer.address != self_id);
             }
-            WorldStep::Drain { host } => state.hosts[host].ledger.revoke_unused(),
-            WorldStep::Wait { millis } => state.now = now + Duration::from_millis(millis),
+            FleetStep::Drain { host } => state.hosts[host].ledger.revoke_unused(),
+            FleetStep::Wait { millis } => state.now = now + Duration::from_millis(millis),
             _ => {}
         }
         state
@@ -503,8 +529,8 @@
         for host in &state.hosts {
             assert_eq!(
                 host.admission.running_count(),
-                host.held,
-                "a slot has leaked"
+                host.held_slot_count,
+                "slot was not released"
             );
             assert!(host.admission.running_count() <= RULES.slots);
             assert!(host.ledger.record_count() <= LIMITS.max_records);
--- a/crates/requests/tests/overload.rs
+++ b/crates/requests/tests/overload.rs
@@ -1,4 +1,5 @@
-//! Load curves of the decision code at the capacity and at three times it.
+//! Load curves of the admission control at the capacity and at three times the
+//! capacity.
 
 use std::time::Duration;
 
@@ -12,31 +13,32 @@
 
 mod curve;
 
-/// Seed of arrivals and work.
+/// Seed of the arrivals and service times.
 const SEED: u64 = 20_261_203;
 
-/// Least goodput at three times the capacity, as a share of that at one.
-const MIN_GOODPUT_SHARE: f64 = 0.95;
+/// Minimum goodput at three times the capacity, as a fraction of the goodput at the
+/// capacity.
+const MIN_GOODPUT_RATIO: f64 = 0.95;
 
-/// Longest time of a decision that refuses, at the 99th percentile.
+/// Maximum 99th percentile of the duration of a decision that refuses a request.
 const MAX_REFUSAL_TIME: Duration = Duration::from_millis(5);
 
-/// Slots of one host in the two deployments.
+/// Number of slots per host in the two deployments.
 const SLOTS: [u32; 2] = [3, 2];
 
-fn setting(slots: u32, deadline: Duration, comes_back: bool) -> CurveSetting {
+fn setting(slots: u32, deadline: Duration, callers_retry: bool) -> CurveSetting {
     CurveSetting {
         slots,
         deadline,
         rate: 1.0,
-        comes_back,
+        callers_retry,
         step: PolicyStep::Pause,
         seed: SEED,
     }
 }
 
-/// Runs a curve at once and at three times the capacity.
-fn run_both(setting: &CurveSetting) -> [CurveTally; 2] {
+/// Runs a point of the curve at the capacity and at three times the capacity.
+fn run_rates(setting: &CurveSetting) -> [CurveTally; 2] {
     [1.0, 3.0].map(|rate| run_curve(&CurveSetting { rate, ..*setting }))
 }
 
@@ -45,18 +47,21 @@
     assert!(percentile(&tally.refusal_times, 99) <= MAX_REFUSAL_TIME);
 }
 
-/// Asserts the targets and adds a line for each of the two rates.
-fn check_targets(setting: &CurveSetting, lines: &mut String) {
-    let [once, thrice] = run_both(setting);
-    for tally in [&once, &thrice] {
+/// Asserts the targets and appends one line for each of the two rates.
+fn assert_targets(setting: &CurveSetting, lines: &mut String) {
+    let [at_capacity, overloaded] = run_rates(setting);
+    for tally in [&at_capacity, &overloaded] {
         lines.push_str(&tally.row());
         lines.push('\n');
         assert_eq!(tally.late(), 0, "{setting:?}: {}", tally.row());
         assert_eq!(tally.false_not_run, 0, "{setting:?}");
         assert_refusals_fast(tally);
     }
-    let share = thrice.goodput() / once.goodput();
-    assert!(share >= MIN_GOODPUT_SHARE, "{setting:?}: {share}");
+    let goodput_ratio = overloaded.goodput() / at_capacity.goodput();
+    assert!(
+        goodput_ratio >= MIN_GOODPUT_RATIO,
+        "{setting:?}: {goodput_ratio}"
+    );
 }
 
 #[test]
@@ -64,8 +69,8 @@
     let mut lines = String::new();
     for slots in SLOTS {
         for deadline in [1, 5].map(Duration::from_secs) {
-            for comes_back in [false, true] {
-                check_targets(&setting(slots, deadline, comes_back), &mut lines);
+            for callers_retry in [false, true] {
+                assert_targets(&setting(slots, deadline, callers_retry), &mut lines);
             }
         }
     }
@@ -90,13 +95,13 @@
     .assert_eq(&lines);
 }
 
-/// A deadline of few times the work: a host cannot know before its first
-/// request that its backend server is cold, so that some are late.
+/// With a deadline of a few service times, some requests are late: before its first
+/// request completes, a host cannot know that its backend server is cold.
 #[test]
 fn short_deadlines_are_missed_by_few() {
     let mut lines = String::new();
     for slots in SLOTS {
-        for tally in run_both(&setting(slots, Duration::from_millis(100), false)) {
+        for tally in run_rates(&setting(slots, Duration::from_millis(100), false)) {
             assert_eq!(tally.false_not_run, 0);
             assert_refusals_fast(&tally);
             lines.push_str(&tally.row());
--- a/crates/requests/tests/tickets.rs
+++ b/crates/requests/tests/tickets.rs
@@ -1,4 +1,4 @@
-//! Tickets: their text form, and what their issuer remembers of them.
+//! Tests of the text form of tickets and of the ledger of their issuer.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -24,7 +24,7 @@
 const LATER: MonotonicTime = MonotonicTime::from_millis(5_000);
 const BODY: RequestFingerprint = RequestFingerprint(1);
 
-fn process(incarnation: u32) -> ProcessId {
+fn process_id(incarnation: u32) -> ProcessId {
     ProcessId {
         address: SocketAddrV4::new([127, 1, 2, 1].into(), 7000),
         incarnation: HostIncarnation(incarnation),
@@ -36,11 +36,11 @@
         max_records: 4,
         max_reply_bytes: 64,
     };
-    TicketLedger::new(process(7), limits, TicketNumber(100))
+    TicketLedger::new(process_id(7), limits, TicketNumber(100))
 }
 
 #[test]
-fn text_form_keeps_the_ticket() {
+fn ticket_round_trips_through_its_text_form() {
     let key = TicketKey::derive(&FleetSecret::new([3; 16]));
     let ticket = ledger().issue(START);
     let text = key.encode_ticket(&ticket);
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn second_copy_waits_and_gets_the_stored_reply() {
+fn second_copy_waits_and_receives_the_stored_reply() {
     let mut ledger = ledger();
     let ticket = ledger.issue(START);
     assert_eq!(ledger.claim(&ticket, BODY, START), TicketDecision::Run);
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn settled_ticket_never_runs() {
+fn settled_ticket_cannot_be_claimed() {
     let mut ledger = ledger();
     let ticket = ledger.issue(START);
     assert_eq!(ledger.settle(&ticket, BODY, START), SettleDecision::NotRun);
@@ -84,13 +84,13 @@
 }
 
 #[test]
-fn paused_process_does_not_hand_over_an_expired_ticket() {
+fn suspended_process_does_not_hand_over_an_expired_ticket() {
     let mut ledger = ledger();
     let ticket = ledger.issue(START);
-    let far = LATER + TICKET_LIFETIME * 2;
+    let deadline = LATER + TICKET_LIFETIME * 2;
     ledger.claim(&ticket, BODY, START);
     assert_eq!(
-        ledger.hand_over(ticket.number, far, START + TICKET_LIFETIME),
+        ledger.hand_over(ticket.number, deadline, START + TICKET_LIFETIME),
         Err(HandOverError::Expired)
     );
     assert_eq!(ledger.claim(&ticket, BODY, START), TicketDecision::NotRun);
@@ -108,34 +108,38 @@
 }
 
 #[test]
-fn earlier_incarnation_is_not_answered_for() {
-    let mut before = ledger();
-    let ticket = before.issue(START);
-    let mut after = TicketLedger::new(process(8), LedgerLimits::default(), TicketNumber(100));
-    after.issue(START);
+fn ticket_of_an_earlier_incarnation_may_have_run() {
+    let mut old_ledger = ledger();
+    let ticket = old_ledger.issue(START);
+    let mut new_ledger =
+        TicketLedger::new(process_id(8), LedgerLimits::default(), TicketNumber(100));
+    new_ledger.issue(START);
     assert_eq!(
-        after.claim(&ticket, BODY, START),
+        new_ledger.claim(&ticket, BODY, START),
         TicketDecision::MayHaveRun
     );
     assert_eq!(
-        after.settle(&ticket, BODY, START),
+        new_ledger.settle(&ticket, BODY, START),
         SettleDecision::MayHaveRun
     );
 }
 
 #[test]
-fn forgotten_outcome_is_never_called_not_run() {
+fn purged_outcome_is_never_reported_as_not_run() {
     let mut ledger = ledger();
-    let ran = ledger.issue(START);
+    let claimed = ledger.issue(START);
     let unused = ledger.issue(START + Duration::from_secs(1));
-    ledger.claim(&ran, BODY, START);
-    ledger.hand_over(ran.number, LATER, START).unwrap();
-    ledger.record_outcome(ran.number, RunOutcome::Done(None));
+    ledger.claim(&claimed, BODY, START);
+    ledger.hand_over(claimed.number, LATER, START).unwrap();
+    ledger.record_outcome(claimed.number, RunOutcome::Done(None));
     let late = START + TICKET_LIFETIME * 2;
-    let fresh = ledger.issue(late);
-    ledger.claim(&fresh, BODY, late);
+    let new_ticket = ledger.issue(late);
+    ledger.claim(&new_ticket, BODY, late);
     assert_eq!(ledger.record_count(), 1);
-    assert_eq!(ledger.claim(&ran, BODY, late), TicketDecision::MayHaveRun);
+    assert_eq!(
+        ledger.claim(&claimed, BODY, late),
+        TicketDecision::MayHaveRun
+    );
     assert_eq!(ledger.claim(&unused, BODY, late), TicketDecision::NotRun);
 }
 
@@ -151,9 +155,9 @@
     ledger.record_outcome(tickets[0].number, RunOutcome::MayHaveRun);
     let late = START + TICKET_LIFETIME;
     ledger.hand_over(tickets[1].number, late, START).unwrap();
-    // The records of tickets that still run outlast their expiry.
-    let fresh = ledger.issue(late);
-    assert_eq!(ledger.claim(&fresh, BODY, late), TicketDecision::Run);
+    // The record of a running request is kept after its ticket has expired.
+    let new_ticket = ledger.issue(late);
+    assert_eq!(ledger.claim(&new_ticket, BODY, late), TicketDecision::Run);
     assert_eq!(ledger.claim(&tickets[1], BODY, late), TicketDecision::Wait);
     assert_eq!(
         ledger.claim(&tickets[5], BODY, late),
