--- a/crates/telemetry/examples/telemetry_cost.rs
+++ b/crates/telemetry/examples/telemetry_cost.rs
@@ -1,5 +1,5 @@
-//! Measures what telemetry costs per event: a count, a label, a look for a
-//! trace, a request, and one reading of all metrics.
+//! Measures the cost of telemetry: of a counter, a labelled counter, a trace lookup
+//! and a request metric per event, and of one export of all metrics.
 
 use std::hint::black_box;
 use std::net::Ipv4Addr;
@@ -18,38 +18,38 @@
 use hyssopstair_wire::packet::TraceContext;
 use hyssopstair_wire::time::MonotonicTime;
 
-/// Events of each measurement.
+/// Number of events per thread in each measurement.
 const EVENTS: u32 = 2_000_000;
 
 fn main() {
-    let names = ProcessAttributes {
+    let attributes = ProcessAttributes {
         role: "balancer",
         instance: "cost",
         zone: "cost",
     };
-    let reader = MetricsExporter::start(names.resource(), Arc::new(GaugeValues::default))
-        .expect("metrics start");
+    let exporter = MetricsExporter::start(attributes.resource(), Arc::new(GaugeValues::default))
+        .expect("failed to start metrics");
     for threads in [1, 2, 4, 8] {
-        let name = format!("one count, {threads} threads");
+        let name = format!("one counter increment, {threads} threads");
         measure(&name, threads, || COUNTERS.packets_forwarded.increment());
     }
-    measure("one drop by reason", 1, || {
+    measure("one labelled counter increment", 1, || {
         COUNTERS.packets_dropped.increment(black_box("no_host"));
     });
     measure_traces();
-    measure("one request", 1, || {
+    measure("one request metric", 1, || {
         record_request("done", "GET", black_box(Duration::from_millis(3)));
     });
     let start = Instant::now();
-    let text = reader.render().expect("metrics are written");
-    println!("one reading: {:?}, {} bytes", start.elapsed(), text.len());
+    let text = exporter.render().expect("failed to render metrics");
+    println!("one export: {:?}, {} bytes", start.elapsed(), text.len());
 }
 
 fn measure_traces() {
     let caller = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 1);
     let now = MonotonicTime::default();
     let traces = CallerTraces::default();
-    measure("look for a trace, none sampled", 1, || {
+    measure("one trace lookup, none sampled", 1, || {
         black_box(traces.find_trace(black_box(caller), now));
     });
     let trace = TraceContext {
@@ -59,12 +59,12 @@
     for port in 1..=1_000 {
         traces.start_request(SocketAddrV4::new(Ipv4Addr::LOCALHOST, port), trace, now);
     }
-    measure("look for a trace, 1000 sampled", 1, || {
+    measure("one trace lookup, 1000 sampled", 1, || {
         black_box(traces.find_trace(black_box(caller), now));
     });
 }
 
-/// Prints the time that one event takes on each of `threads` threads.
+/// Prints the mean time of one event when `threads` threads run events in parallel.
 fn measure(name: &str, threads: usize, event: impl Fn() + Sync) {
     let start = Instant::now();
     thread::scope(|scope| {
--- a/crates/telemetry/src/callers.rs
+++ b/crates/telemetry/src/callers.rs
@@ -1,8 +1,8 @@
-//! The traces that packets to callers belong to, as a host knows them.
+//! Maps callers to the traces of their sampled requests, on a host.
 //!
-//! Packets are encrypted, so a balancer cannot read a request's headers. While
-//! a sampled request runs, the host names its trace in the header of each
-//! packet to the caller.
+//! Packets are encrypted, so a balancer cannot read the trace headers of a request.
+//! While a sampled request runs, the host therefore adds the trace context to the
+//! return header of each packet to the caller.
 
 use std::net::SocketAddrV4;
 use std::sync::Mutex;
@@ -15,26 +15,28 @@
 use hyssopstair_wire::packet::TraceContext;
 use hyssopstair_wire::time::MonotonicTime;
 
-/// How long packets belong to a trace after its request has ended: the end of
-/// an answer is sent, and sent again, after the request is done.
-pub const TRACE_LINGER: Duration = Duration::from_millis(300);
+/// Time during which packets still belong to a trace after its request has ended.
+/// The last packets of a response are sent, and possibly retransmitted, after the
+/// end of the request.
+pub const TRACE_RETENTION: Duration = Duration::from_millis(300);
 
-/// Callers with a sampled request at most; requests beyond have no balancer in
-/// their trace.
-pub const MAX_TRACED: usize = 1_024;
+/// Maximum number of callers with a sampled request. The traces of further requests
+/// lack the spans of the balancers.
+pub const MAX_TRACED_CALLERS: usize = 1_024;
 
 #[derive(Debug, Clone, Copy)]
 struct TracedCaller {
     caller: SocketAddrV4,
     trace: TraceContext,
-    ended: Option<MonotonicTime>,
+    ended_at: Option<MonotonicTime>,
 }
 
-/// Callers whose present request is sampled.
+/// The callers with a sampled request, and the trace context of that request.
 #[derive(Debug, Default)]
 pub struct CallerTraces {
-    // Read without the lock for each packet: most of the time there is none.
-    count: AtomicUsize,
+    // Read for each packet without taking the lock, since usually no request is
+    // sampled.
+    caller_count: AtomicUsize,
     callers: Mutex<Vec<TracedCaller>>,
 }
 
@@ -42,51 +44,53 @@
     /// Creates an empty table.
     pub const fn new() -> Self {
         Self {
-            count: AtomicUsize::new(0),
+            caller_count: AtomicUsize::new(0),
             callers: Mutex::new(Vec::new()),
         }
     }
 
-    /// Notes that a sampled request of a caller begins; a later one takes the
-    /// place of an earlier one.
+    /// Records the start of a sampled request. It replaces an earlier request of the
+    /// same caller.
     pub fn start_request(&self, caller: SocketAddrV4, trace: TraceContext, now: MonotonicTime) {
         let mut callers = self.lock();
-        callers.retain(|item| !item.is_over(now));
-        let item = TracedCaller {
+        callers.retain(|entry| !entry.is_expired(now));
+        let entry = TracedCaller {
             caller,
             trace,
-            ended: None,
+            ended_at: None,
         };
-        match callers.binary_search_by_key(&caller, |item| item.caller) {
-            Ok(index) => callers[index] = item,
-            Err(index) if callers.len() < MAX_TRACED => callers.insert(index, item),
+        match callers.binary_search_by_key(&caller, |entry| entry.caller) {
+            Ok(index) => callers[index] = entry,
+            Err(index) if callers.len() < MAX_TRACED_CALLERS => callers.insert(index, entry),
             Err(_) => {}
         }
-        self.count.store(callers.len(), Ordering::Relaxed);
+        self.caller_count.store(callers.len(), Ordering::Relaxed);
     }
 
-    /// Notes that a sampled request has ended.
+    /// Records the end of a sampled request. Does nothing if a later request of the
+    /// caller has replaced it.
     pub fn end_request(&self, caller: SocketAddrV4, trace: TraceContext, now: MonotonicTime) {
         let mut callers = self.lock();
-        if let Ok(index) = callers.binary_search_by_key(&caller, |item| item.caller)
+        if let Ok(index) = callers.binary_search_by_key(&caller, |entry| entry.caller)
             && callers[index].trace == trace
         {
-            callers[index].ended = Some(now);
+            callers[index].ended_at = Some(now);
         }
     }
 
-    /// Returns the trace that a packet to a caller belongs to.
+    /// Returns the trace context of a packet to a caller, or `None` if no sampled
+    /// request of the caller is running or has ended recently.
     pub fn find_trace(&self, caller: SocketAddrV4, now: MonotonicTime) -> Option<TraceContext> {
-        if self.count.load(Ordering::Relaxed) == 0 {
+        if self.caller_count.load(Ordering::Relaxed) == 0 {
             return None;
         }
         let mut callers = self.lock();
         let index = callers
-            .binary_search_by_key(&caller, |item| item.caller)
+            .binary_search_by_key(&caller, |entry| entry.caller)
             .ok()?;
-        if callers[index].is_over(now) {
+        if callers[index].is_expired(now) {
             callers.remove(index);
-            self.count.store(callers.len(), Ordering::Relaxed);
+            self.caller_count.store(callers.len(), Ordering::Relaxed);
             return None;
         }
         Some(callers[index].trace)
@@ -98,11 +102,11 @@
 }
 
 impl TracedCaller {
-    fn is_over(&self, now: MonotonicTime) -> bool {
-        self.ended
-            .is_some_and(|ended| now.since(ended) > TRACE_LINGER)
+    fn is_expired(&self, now: MonotonicTime) -> bool {
+        self.ended_at
+            .is_some_and(|ended_at| now.since(ended_at) > TRACE_RETENTION)
     }
 }
 
-/// The traced callers of this process.
+/// The callers with a sampled request at this process.
 pub static CALLER_TRACES: CallerTraces = CallerTraces::new();
--- a/crates/telemetry/src/counts.rs
+++ b/crates/telemetry/src/counts.rs
@@ -1,7 +1,8 @@
-//! Counters that the parts of a daemon add to.
+//! Counters and gauges that the parts of a daemon update.
 //!
-//! A counter is one atomic number; adding to it takes no lock and allocates
-//! nothing, so that it may stand on the path of a packet.
+//! An [`EventCounter`] or a [`LevelGauge`] is one atomic integer. Updating it takes
+//! no lock and allocates nothing, so it can be used on the packet path. A
+//! [`LabelCounter`] takes a lock and is meant for rare events.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -9,7 +10,7 @@
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
 
-/// A number that only grows.
+/// A monotonically increasing counter.
 #[derive(Debug, Default)]
 pub struct EventCounter {
     count: AtomicU64,
@@ -23,49 +24,49 @@
         }
     }
 
-    /// Adds `number`.
+    /// Adds `number` to the counter.
     pub fn add(&self, number: u64) {
         self.count.fetch_add(number, Ordering::Relaxed);
     }
 
-    /// Adds one.
+    /// Adds one to the counter.
     pub fn increment(&self) {
         self.add(1);
     }
 
-    /// Returns the count.
+    /// Returns the current count.
     pub fn get(&self) -> u64 {
         self.count.load(Ordering::Relaxed)
     }
 }
 
-/// A number that grows and shrinks.
+/// A gauge of the number of items that exist at a time, such as open flows.
 #[derive(Debug, Default)]
 pub struct LevelGauge {
-    level: AtomicU64,
+    value: AtomicU64,
 }
 
 impl LevelGauge {
     /// Creates a gauge at zero.
     pub const fn new() -> Self {
         Self {
-            level: AtomicU64::new(0),
+            value: AtomicU64::new(0),
         }
     }
 
-    /// Adds one until the returned guard is dropped.
+    /// Adds one to the gauge until the returned guard is dropped.
     pub fn enter(&self) -> LevelGuard<'_> {
-        self.level.fetch_add(1, Ordering::Relaxed);
+        self.value.fetch_add(1, Ordering::Relaxed);
         LevelGuard { gauge: self }
     }
 
-    /// Returns the level.
+    /// Returns the current value.
     pub fn get(&self) -> u64 {
-        self.level.load(Ordering::Relaxed)
+        self.value.load(Ordering::Relaxed)
     }
 }
 
-/// One unit of a [`LevelGauge`].
+/// Holds one unit of a [`LevelGauge`] until it is dropped.
 #[derive(Debug)]
 pub struct LevelGuard<'a> {
     gauge: &'a LevelGauge,
@@ -73,7 +74,7 @@
 
 impl Drop for LevelGuard<'_> {
     fn drop(&mut self) {
-        self.gauge.level.fetch_sub(1, Ordering::Relaxed);
+        self.gauge.value.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
@@ -86,30 +87,30 @@
     pub count: u64,
 }
 
-/// Counters of a small set of labels, for events that are not the rule.
+/// A counter for each label of a small set, for rare events.
 #[derive(Debug, Default)]
 pub struct LabelCounter {
     counts: Mutex<Vec<LabelCount>>,
 }
 
 impl LabelCounter {
-    /// Creates a counter without labels.
+    /// Creates a counter without any labels.
     pub const fn new() -> Self {
         Self {
             counts: Mutex::new(Vec::new()),
         }
     }
 
-    /// Adds one to the count of a label.
+    /// Adds one to the count of `label`.
     pub fn increment(&self, label: &'static str) {
         let mut counts = self.lock();
-        match counts.binary_search_by_key(&label, |item| item.label) {
+        match counts.binary_search_by_key(&label, |entry| entry.label) {
             Ok(index) => counts[index].count += 1,
             Err(index) => counts.insert(index, LabelCount { label, count: 1 }),
         }
     }
 
-    /// Returns all counts, by label.
+    /// Returns all counts, sorted by label.
     pub fn get(&self) -> Vec<LabelCount> {
         self.lock().clone()
     }
@@ -119,47 +120,47 @@
     }
 }
 
-/// The counters of a daemon.
+/// The counters and gauges of a daemon.
 #[derive(Debug, Default)]
 pub struct DaemonCounters {
-    /// Packets of callers that were sent on to a host.
+    /// Packets from callers that were forwarded to a host.
     pub packets_forwarded: EventCounter,
-    /// Packets to callers that were sent on.
+    /// Packets to callers that were forwarded.
     pub packets_returned: EventCounter,
-    /// Packets of callers that opened a flow.
+    /// Packets from callers that opened a flow.
     pub packets_opening: EventCounter,
-    /// Packets that one host passed on to another.
+    /// Packets that one host forwarded to another.
     pub packets_passed_on: EventCounter,
-    /// Packets that were dropped, by reason.
+    /// Dropped packets, by reason.
     pub packets_dropped: LabelCounter,
-    /// Resets that were sent to callers.
+    /// Stateless resets that were sent to callers.
     pub resets_sent: EventCounter,
     /// Flows that were opened.
     pub flows_opened: EventCounter,
-    /// Flows that are open.
+    /// Flows that are currently open.
     pub flows_open: LevelGauge,
-    /// Requests that were begun and have not ended.
+    /// Requests that have started and not ended.
     pub requests_open: LevelGauge,
-    /// Requests that wait for the backend server.
+    /// Requests that wait for a slot of the backend server.
     pub requests_queued: LevelGauge,
-    /// Requests that were tried again at another host.
+    /// Requests that were relayed to another host.
     pub requests_relayed: EventCounter,
-    /// Control bytes that were sent.
+    /// Bytes of control messages that were sent.
     pub control_bytes_sent: EventCounter,
-    /// Control bytes that were received.
+    /// Bytes of control messages that were received.
     pub control_bytes_received: EventCounter,
-    /// Calls to the platform.
+    /// All calls to the platform.
     pub platform_calls: EventCounter,
-    /// Calls to the platform that write; the others read.
+    /// Calls to the platform that write. All other calls read.
     pub platform_writes: EventCounter,
-    /// Calls to the platform that gave no answer.
+    /// Calls to the platform that received no response.
     pub platform_errors: EventCounter,
     /// Spans that could not be exported.
     pub spans_lost: EventCounter,
 }
 
 impl DaemonCounters {
-    /// Creates counters at zero.
+    /// Creates all counters and gauges at zero.
     pub const fn new() -> Self {
         Self {
             packets_forwarded: EventCounter::new(),
@@ -183,5 +184,5 @@
     }
 }
 
-/// The counters of this process.
+/// The counters and gauges of this process.
 pub static COUNTERS: DaemonCounters = DaemonCounters::new();
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,10 +1,11 @@
 //! Logs, metrics and traces of the daemons.
 //!
-//! [`logs`] writes sentences with fields, and [`limiter`] keeps a repeated
-//! warning from flooding them. [`counts`] holds the counters that the parts of
-//! a daemon add to; [`metrics`] shows them to operators. [`traces`] exports
-//! spans, [`requests`] makes those of a request, [`callers`] and [`relays`] those
-//! of the balancers that a request's packets passed through.
+//! [`logs`] configures structured logs, and [`limiter`] limits the rate of repeated
+//! warnings. [`counts`] holds the counters that the parts of a daemon update, and
+//! [`metrics`] exports them together with the resource usage from [`process`].
+//! [`traces`] exports spans to a collector. [`requests`] creates the spans of a
+//! request at a host; [`callers`] and [`relays`] create those of the balancers that
+//! forward its response packets.
 
 pub mod callers;
 pub mod counts;
--- a/crates/telemetry/src/limiter.rs
+++ b/crates/telemetry/src/limiter.rs
@@ -1,4 +1,4 @@
-//! Limits a warning that repeats.
+//! Rate limiting of repeated warnings.
 
 use std::sync::Mutex;
 use std::sync::PoisonError;
@@ -6,15 +6,15 @@
 
 use hyssopstair_wire::time::MonotonicTime;
 
-/// Time between two reports of a warning that goes on.
+/// Minimum interval between two reports of a repeated warning.
 pub const REPEAT_INTERVAL: Duration = Duration::from_secs(30);
 
-/// Lets the first of a run of equal warnings through, then one with a count
-/// every [`REPEAT_INTERVAL`].
+/// Reports the first of a series of equal warnings, and then at most one per
+/// [`REPEAT_INTERVAL`] with the number of suppressed warnings.
 #[derive(Debug)]
 pub struct WarningLimiter {
-    reported: Option<MonotonicTime>,
-    held_back: u64,
+    reported_at: Option<MonotonicTime>,
+    suppressed_count: u64,
 }
 
 impl Default for WarningLimiter {
@@ -24,54 +24,54 @@
 }
 
 impl WarningLimiter {
-    /// Creates a limiter that has seen no warning.
+    /// Creates a limiter without any recorded warning.
     pub const fn new() -> Self {
         Self {
-            reported: None,
-            held_back: 0,
+            reported_at: None,
+            suppressed_count: 0,
         }
     }
 
-    /// Notes a warning, and returns how many were held back since the last
-    /// report when it is to be reported.
+    /// Records a warning. If the caller must report it, returns the number of
+    /// warnings that were suppressed since the last report.
     pub fn record_warning(&mut self, now: MonotonicTime) -> Option<u64> {
-        let recent = self
-            .reported
-            .is_some_and(|reported| now.since(reported) < REPEAT_INTERVAL);
-        if recent {
-            self.held_back += 1;
+        let is_suppressed = self
+            .reported_at
+            .is_some_and(|reported_at| now.since(reported_at) < REPEAT_INTERVAL);
+        if is_suppressed {
+            self.suppressed_count += 1;
             return None;
         }
-        self.reported = Some(now);
-        Some(std::mem::take(&mut self.held_back))
+        self.reported_at = Some(now);
+        Some(std::mem::take(&mut self.suppressed_count))
     }
 
-    /// Notes that the cause has ended, and returns how many warnings there were
-    /// no report of; nothing when there was no warning.
+    /// Records that the cause of the warnings has ended. Returns the number of
+    /// suppressed warnings since the last report, or `None` if there was no warning.
     pub fn record_recovery(&mut self) -> Option<u64> {
-        self.reported.take()?;
-        Some(std::mem::take(&mut self.held_back))
+        self.reported_at.take()?;
+        Some(std::mem::take(&mut self.suppressed_count))
     }
 }
 
-/// A [`WarningLimiter`] that several tasks share.
+/// A [`WarningLimiter`] that can be shared between tasks.
 #[derive(Debug, Default)]
 pub struct SharedLimiter {
-    inner: Mutex<WarningLimiter>,
+    limiter: Mutex<WarningLimiter>,
 }
 
 impl SharedLimiter {
-    /// Creates a limiter that has seen no warning.
+    /// Creates a limiter without any recorded warning.
     pub const fn new() -> Self {
         Self {
-            inner: Mutex::new(WarningLimiter::new()),
+            limiter: Mutex::new(WarningLimiter::new()),
         }
     }
 
-    /// Notes a warning, and returns how many were held back since the last
-    /// report when it is to be reported.
+    /// Records a warning. If the caller must report it, returns the number of
+    /// warnings that were suppressed since the last report.
     pub fn record_warning(&self, now: MonotonicTime) -> Option<u64> {
-        let mut limiter = self.inner.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut limiter = self.limiter.lock().unwrap_or_else(PoisonError::into_inner);
         limiter.record_warning(now)
     }
 }
--- a/crates/telemetry/src/logs.rs
+++ b/crates/telemetry/src/logs.rs
@@ -1,8 +1,8 @@
-//! Logs: short sentences with a fixed prefix for each part, on standard error.
+//! Structured logs on standard error.
 //!
-//! A record has a sentence such as `daemon: started` and fields of its own. The
-//! level is taken from the variable `RUST_LOG`, the form from
-//! [`FORMAT_VARIABLE`].
+//! A record consists of a message with the prefix of its component, such as
+//! `daemon: started`, and key-value fields. The environment variable `RUST_LOG`
+//! sets the level, and [`FORMAT_VARIABLE`] the format.
 
 use std::env;
 
@@ -12,27 +12,27 @@
 use logforth::layout::JsonLayout;
 use logforth::layout::LogfmtLayout;
 
-/// Name of the variable that chooses the form of the logs.
+/// Environment variable that selects the log format.
 pub const FORMAT_VARIABLE: &str = "HYSSOPSTAIR_LOG_FORMAT";
 
-/// Level of the logs when the variable `RUST_LOG` names none.
+/// Log level if `RUST_LOG` is not set.
 const DEFAULT_LEVEL: &str = "info";
 
-/// The form of the logs.
+/// The log format.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LogFormat {
     /// `key=value` pairs.
     Logfmt,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
 impl LogFormat {
-    /// Reads the name of a form.
+    /// Parses the name of a format.
     ///
     /// # Errors
     ///
-    /// Returns a sentence that names the known forms.
+    /// Returns a message with the supported formats if the name is unknown.
     pub fn parse(name: &str) -> Result<Self, String> {
         match name {
             "logfmt" => Ok(Self::Logfmt),
@@ -43,11 +43,11 @@
         }
     }
 
-    /// Reads the form from the environment.
+    /// Reads the format from the environment; the default is logfmt.
     ///
     /// # Errors
     ///
-    /// Returns a sentence that names the known forms.
+    /// Returns a message with the supported formats if the name is unknown.
     pub fn from_environment() -> Result<Self, String> {
         match env::var(FORMAT_VARIABLE) {
             Ok(name) => Self::parse(&name),
@@ -56,7 +56,7 @@
     }
 }
 
-/// Starts to write logs; later calls change nothing.
+/// Installs the logger of the process. Later calls have no effect.
 pub fn start_logging(format: LogFormat) {
     let appender = match format {
         LogFormat::Logfmt => {
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -1,4 +1,5 @@
-//! Metrics for operators, by OpenTelemetry, in the text form of Prometheus.
+//! Metrics for operators, recorded with OpenTelemetry and exported in the Prometheus
+//! text format.
 
 use std::sync::Arc;
 use std::sync::OnceLock;
@@ -25,40 +26,40 @@
 /// Name of the instrumentation scope.
 const SCOPE: &str = "hyssopstair";
 
-/// Bounds of the buckets of request durations, in seconds.
-const DURATION_BOUNDS: [f64; 14] = [
+/// Bucket boundaries of the request duration histogram, in seconds.
+const DURATION_BUCKETS_SECONDS: [f64; 14] = [
     0.001, 0.002_5, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0,
 ];
 
-/// The members of one role and state.
+/// The number of members with one role and state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MemberCount {
     /// The role.
     pub role: &'static str,
     /// The state.
     pub state: &'static str,
-    /// How many.
+    /// The number of members.
     pub count: u64,
 }
 
-/// Values of one moment that a daemon is asked for.
+/// A snapshot of the values that a daemon provides for its gauges.
 #[derive(Debug, Clone, Default)]
 pub struct GaugeValues {
-    /// Members that are known.
+    /// The number of known members, by role and state.
     pub members: Vec<MemberCount>,
     /// The version of the configuration in force.
     pub config_version: u64,
 }
 
-/// Reads the gauges of a daemon.
+/// Returns the current values of the gauges of a daemon.
 pub type GaugeSource = Arc<dyn Fn() -> GaugeValues + Send + Sync>;
 
-/// Why metrics cannot be shown.
+/// A failure to export metrics.
 #[derive(Debug, thiserror::Error)]
 #[error("failed to {0} metrics")]
 pub struct MetricsError(&'static str);
 
-/// Shows the metrics of a daemon.
+/// Exports the metrics of a daemon.
 #[derive(Debug)]
 pub struct MetricsExporter {
     registry: Registry,
@@ -68,11 +69,12 @@
 static REQUEST_DURATION: OnceLock<Histogram<f64>> = OnceLock::new();
 
 impl MetricsExporter {
-    /// Registers all instruments; `gauges` is called at each reading.
+    /// Registers all instruments. `gauges` is called each time that the metrics are
+    /// rendered.
     ///
     /// # Errors
     ///
-    /// Returns an error when the exporter cannot be built.
+    /// Returns an error if the exporter cannot be built.
     pub fn start(resource: Resource, gauges: GaugeSource) -> Result<Self, Report<MetricsError>> {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
@@ -84,24 +86,24 @@
             .with_reader(exporter)
             .build();
         let meter = provider.meter(SCOPE);
-        register_packets(&meter);
-        register_control(&meter);
-        register_process(&meter);
-        register_levels(&meter);
-        register_version(&meter, &gauges);
-        register_members(&meter, &gauges);
-        let _ = REQUEST_DURATION.set(request_duration(&meter));
+        register_packet_metrics(&meter);
+        register_control_metrics(&meter);
+        register_process_metrics(&meter);
+        register_gauges(&meter);
+        register_version_gauge(&meter, &gauges);
+        register_member_gauge(&meter, &gauges);
+        let _ = REQUEST_DURATION.set(build_duration_histogram(&meter));
         Ok(Self {
             registry,
             _provider: provider,
         })
     }
 
-    /// Returns all metrics in the text form of Prometheus.
+    /// Returns all metrics in the Prometheus text format.
     ///
     /// # Errors
     ///
-    /// Returns an error when a metric cannot be written.
+    /// Returns an error if a metric cannot be encoded.
     pub fn render(&self) -> Result<String, Report<MetricsError>> {
         let mut text = Vec::new();
         TextEncoder::new()
@@ -111,7 +113,8 @@
     }
 }
 
-/// Counts a request that has ended, and how long it took.
+/// Records the verdict, method and duration of a request that has ended. Does
+/// nothing before [`MetricsExporter::start`].
 pub fn record_request(verdict: &'static str, method: &'static str, duration: Duration) {
     if let Some(histogram) = REQUEST_DURATION.get() {
         let labels = [
@@ -122,104 +125,109 @@
     }
 }
 
-fn request_duration(meter: &Meter) -> Histogram<f64> {
+fn build_duration_histogram(meter: &Meter) -> Histogram<f64> {
     meter
         .f64_histogram("hyssopstair.request.duration")
         .with_unit("s")
         .with_description("time from a request's head to the end of its answer")
-        .with_boundaries(DURATION_BOUNDS.to_vec())
+        .with_boundaries(DURATION_BUCKETS_SECONDS.to_vec())
         .build()
 }
 
-fn register_packets(meter: &Meter) {
-    let counts = &COUNTERS;
-    counter(
+fn register_packet_metrics(meter: &Meter) {
+    let counters = &COUNTERS;
+    register_counter(
         meter,
         "hyssopstair.packets.forwarded",
         "{packet}",
-        &counts.packets_forwarded,
+        &counters.packets_forwarded,
     );
-    counter(
+    register_counter(
         meter,
         "hyssopstair.packets.returned",
         "{packet}",
-        &counts.packets_returned,
+        &counters.packets_returned,
     );
-    counter(
+    register_counter(
         meter,
         "hyssopstair.packets.opening",
         "{packet}",
-        &counts.packets_opening,
+        &counters.packets_opening,
     );
-    counter(
+    register_counter(
         meter,
         "hyssopstair.packets.passed_on",
         "{packet}",
-        &counts.packets_passed_on,
+        &counters.packets_passed_on,
     );
-    counter(meter, "hyssopstair.resets", "{packet}", &counts.resets_sent);
-    counter(
+    register_counter(
+        meter,
+        "hyssopstair.resets",
+        "{packet}",
+        &counters.resets_sent,
+    );
+    register_counter(
         meter,
         "hyssopstair.flows.opened",
         "{flow}",
-        &counts.flows_opened,
+        &counters.flows_opened,
     );
-    counter(
+    register_counter(
         meter,
         "hyssopstair.requests.relayed",
         "{request}",
-        &counts.requests_relayed,
+        &counters.requests_relayed,
     );
-    label_counter(
+    register_label_counter(
         meter,
         "hyssopstair.packets.dropped",
         "{packet}",
         "reason",
-        &counts.packets_dropped,
+        &counters.packets_dropped,
     );
 }
 
-fn register_control(meter: &Meter) {
-    let counts = &COUNTERS;
-    counter(
+fn register_control_metrics(meter: &Meter) {
+    let counters = &COUNTERS;
+    register_counter(
         meter,
         "hyssopstair.control.sent",
         "By",
-        &counts.control_bytes_sent,
+        &counters.control_bytes_sent,
     );
-    counter(
+    register_counter(
         meter,
         "hyssopstair.control.received",
         "By",
-        &counts.control_bytes_received,
+        &counters.control_bytes_received,
     );
-    counter(
+    register_counter(
         meter,
         "hyssopstair.platform.calls",
         "{call}",
-        &counts.platform_calls,
+        &counters.platform_calls,
     );
-    counter(
+    register_counter(
         meter,
         "hyssopstair.platform.writes",
         "{call}",
-        &counts.platform_writes,
+        &counters.platform_writes,
     );
-    counter(
+    register_counter(
         meter,
         "hyssopstair.platform.errors",
         "{call}",
-        &counts.platform_errors,
+        &counters.platform_errors,
     );
-    counter(
+    register_counter(
         meter,
         "hyssopstair.spans.lost",
         "{span}",
-        &counts.spans_lost,
+        &counters.spans_lost,
     );
 }
 
-fn register_process(meter: &Meter) {
+fn register_process_metrics(meter: &Meter) {
     meter
         .f64_observable_counter("process.cpu.time")
         .with_unit("s")
@@ -240,29 +248,29 @@
         .build();
 }
 
-fn register_levels(meter: &Meter) {
-    let counts = &COUNTERS;
-    level(
+fn register_gauges(meter: &Meter) {
+    let counters = &COUNTERS;
+    register_gauge(
         meter,
         "hyssopstair.flows.open",
         "{flow}",
-        &counts.flows_open,
+        &counters.flows_open,
     );
-    level(
+    register_gauge(
         meter,
         "hyssopstair.requests.open",
         "{request}",
-        &counts.requests_open,
+        &counters.requests_open,
     );
-    level(
+    register_gauge(
         meter,
         "hyssopstair.requests.queued",
         "{request}",
-        &counts.requests_queued,
+        &counters.requests_queued,
     );
 }
 
-fn register_version(meter: &Meter, source: &GaugeSource) {
+fn register_version_gauge(meter: &Meter, source: &GaugeSource) {
     let source = source.clone();
     meter
         .u64_observable_gauge("hyssopstair.configuration.version")
@@ -270,50 +278,60 @@
         .build();
 }
 
-fn register_members(meter: &Meter, source: &GaugeSource) {
+fn register_member_gauge(meter: &Meter, source: &GaugeSource) {
     let source = source.clone();
     meter
         .u64_observable_gauge("hyssopstair.roster.members")
         .with_unit("{member}")
         .with_callback(move |observer| {
-            for item in source().members {
+            for entry in source().members {
                 let labels = [
-                    KeyValue::new("role", item.role),
-                    KeyValue::new("state", item.state),
+                    KeyValue::new("role", entry.role),
+                    KeyValue::new("state", entry.state),
                 ];
-                observer.observe(item.count, &labels);
+                observer.observe(entry.count, &labels);
             }
         })
         .build();
 }
 
-fn counter(meter: &Meter, name: &'static str, unit: &'static str, count: &'static EventCounter) {
+fn register_counter(
+    meter: &Meter,
+    name: &'static str,
+    unit: &'static str,
+    counter: &'static EventCounter,
+) {
     meter
         .u64_observable_counter(name)
         .with_unit(unit)
-        .with_callback(|observer| observer.observe(count.get(), &[]))
+        .with_callback(|observer| observer.observe(counter.get(), &[]))
         .build();
 }
 
-fn label_counter(
+fn register_label_counter(
     meter: &Meter,
     name: &'static str,
     unit: &'static str,
     label: &'static str,
-    counts: &'static LabelCounter,
+    counter: &'static LabelCounter,
 ) {
     meter
         .u64_observable_counter(name)
         .with_unit(unit)
         .with_callback(move |observer| {
-            for item in counts.get() {
-                observer.observe(item.count, &[KeyValue::new(label, item.label)]);
+            for entry in counter.get() {
+                observer.observe(entry.count, &[KeyValue::new(label, entry.label)]);
             }
         })
         .build();
 }
 
-fn level(meter: &Meter, name: &'static str, unit: &'static str, gauge: &'static LevelGauge) {
+fn register_gauge(
+    meter: &Meter,
+    name: &'static str,
+    unit: &'static str,
+    gauge: &'static LevelGauge,
+) {
     meter
         .u64_observable_gauge(name)
         .with_unit(unit)
--- a/crates/telemetry/src/process.rs
+++ b/crates/telemetry/src/process.rs
@@ -1,17 +1,18 @@
-//! What the process itself uses.
+//! Resource usage of the process.
 
 use procfs::process::Process;
 
-/// Processor time and memory of the process.
+/// CPU time and memory of the process.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ProcessUsage {
-    /// Processor time since the start, in seconds.
+    /// CPU time since the start of the process, in seconds.
     pub cpu_seconds: f64,
-    /// Resident memory in bytes.
+    /// Resident memory, in bytes.
     pub memory_bytes: u64,
 }
 
-/// Reads the usage of this process, or nothing where the system does not tell.
+/// Returns the resource usage of this process, or `None` if `/proc` is not
+/// available.
 pub fn read_usage() -> Option<ProcessUsage> {
     let stat = Process::myself().ok()?.stat().ok()?;
     let ticks = stat.utime + stat.stime;
--- a/crates/telemetry/src/relays.rs
+++ b/crates/telemetry/src/relays.rs
@@ -1,4 +1,7 @@
-//! The spans of a balancer: one for each trace that it returned packets of.
+//! Spans of a balancer: one for each trace whose packets it forwards to a caller.
+//!
+//! A span is exported when no packet of its trace has arrived for
+//! [`SPAN_IDLE_TIMEOUT`], or when it has reached [`MAX_SPAN_DURATION`].
 
 use std::sync::Mutex;
 use std::sync::PoisonError;
@@ -23,62 +26,62 @@
 
 use crate::traces::SCOPE;
 
-/// Name of the span of a balancer.
-pub const RELAY_SPAN: &str = "balancer";
+/// Name of the span that a balancer adds to a trace.
+pub const BALANCER_SPAN: &str = "balancer";
 
-/// A trace without packets for this long has its span.
-pub const RELAY_QUIET: Duration = Duration::from_secs(1);
+/// Time without packets after which the span of a trace is exported.
+pub const SPAN_IDLE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A trace that goes on for this long has a span, and gets another one later.
-pub const RELAY_LONGEST: Duration = Duration::from_secs(60);
+/// Maximum duration of a span. Later packets of the same trace start another span.
+pub const MAX_SPAN_DURATION: Duration = Duration::from_secs(60);
 
-/// Traces that are remembered at most; packets of others have no span.
-pub const MAX_RELAYS: usize = 512;
+/// Maximum number of traces that are tracked. Further traces get no span.
+pub const MAX_TRACES: usize = 512;
 
-/// The packets of one trace at a balancer.
+/// The packets of one trace that a balancer has forwarded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct RelayRecord {
-    /// The trace, and the host's span in it.
+pub struct TraceRecord {
+    /// The trace and the span of the host within it.
     pub trace: TraceContext,
-    /// When the first packet came.
-    pub first: MonotonicTime,
-    /// When the last packet came.
-    pub last: MonotonicTime,
-    /// How many packets came.
-    pub packets: u64,
+    /// When the first packet arrived.
+    pub first_at: MonotonicTime,
+    /// When the last packet arrived.
+    pub last_at: MonotonicTime,
+    /// The number of packets.
+    pub packet_count: u64,
 }
 
-/// The traces that a balancer returns packets of at present.
+/// The traces whose packets a balancer currently forwards.
 #[derive(Debug, Default)]
-pub struct RelayMemory {
-    records: Vec<RelayRecord>,
+pub struct TraceTable {
+    records: Vec<TraceRecord>,
 }
 
-impl RelayMemory {
-    /// Creates an empty memory.
+impl TraceTable {
+    /// Creates an empty table.
     pub const fn new() -> Self {
         Self {
             records: Vec::new(),
         }
     }
 
-    /// Notes a packet of a trace.
-    pub fn note(&mut self, trace: TraceContext, now: MonotonicTime) {
+    /// Records a packet of a trace.
+    pub fn record_packet(&mut self, trace: TraceContext, now: MonotonicTime) {
         let key = (trace.trace, trace.span);
         let found = self
             .records
             .binary_search_by_key(&key, |record| (record.trace.trace, record.trace.span));
         match found {
             Ok(index) => {
-                self.records[index].last = now;
-                self.records[index].packets += 1;
+                self.records[index].last_at = now;
+                self.records[index].packet_count += 1;
             }
-            Err(index) if self.records.len() < MAX_RELAYS => {
-                let record = RelayRecord {
+            Err(index) if self.records.len() < MAX_TRACES => {
+                let record = TraceRecord {
                     trace,
-                    first: now,
-                    last: now,
-                    packets: 1,
+                    first_at: now,
+                    last_at: now,
+                    packet_count: 1,
                 };
                 self.records.insert(index, record);
             }
@@ -86,60 +89,66 @@
         }
     }
 
-    /// Takes out the records whose span is due.
-    pub fn take_due(&mut self, now: MonotonicTime) -> Vec<RelayRecord> {
-        let is_due = |record: &mut RelayRecord| {
-            now.since(record.last) >= RELAY_QUIET || now.since(record.first) >= RELAY_LONGEST
+    /// Removes and returns the records whose span is due: the trace is idle or its
+    /// span has reached the maximum duration.
+    pub fn take_due_records(&mut self, now: MonotonicTime) -> Vec<TraceRecord> {
+        let is_due = |record: &mut TraceRecord| {
+            now.since(record.last_at) >= SPAN_IDLE_TIMEOUT
+                || now.since(record.first_at) >= MAX_SPAN_DURATION
         };
         self.records.extract_if(.., is_due).collect()
     }
 
-    /// Takes out all records.
-    pub fn take_all(&mut self) -> Vec<RelayRecord> {
+    /// Removes and returns all records.
+    pub fn take_all_records(&mut self) -> Vec<TraceRecord> {
         std::mem::take(&mut self.records)
     }
 }
 
-static MEMORY: Mutex<RelayMemory> = Mutex::new(RelayMemory::new());
+static TRACES: Mutex<TraceTable> = Mutex::new(TraceTable::new());
 
-/// Notes a packet that the balancer returned; does nothing without a trace.
+/// Records a packet that the balancer forwarded to a caller. Does nothing if the
+/// packet has no trace context.
 pub fn record_returned_packet(trace: Option<TraceContext>, now: MonotonicTime) {
     if let Some(trace) = trace {
-        let mut memory = MEMORY.lock().unwrap_or_else(PoisonError::into_inner);
-        memory.note(trace, now);
+        let mut traces = TRACES.lock().unwrap_or_else(PoisonError::into_inner);
+        traces.record_packet(trace, now);
     }
 }
 
-/// Makes the spans that are due.
+/// Exports the spans that are due.
 pub fn export_due_spans(now: MonotonicTime) {
-    let mut memory = MEMORY.lock().unwrap_or_else(PoisonError::into_inner);
-    let records = memory.take_due(now);
-    drop(memory);
-    export(&records, now);
+    let mut traces = TRACES.lock().unwrap_or_else(PoisonError::into_inner);
+    let records = traces.take_due_records(now);
+    drop(traces);
+    export_spans(&records, now);
 }
 
-/// Makes the spans of all traces, for a process that stops.
+/// Exports the spans of all traces, before the process stops.
 pub fn export_all_spans(now: MonotonicTime) {
-    let mut memory = MEMORY.lock().unwrap_or_else(PoisonError::into_inner);
-    let records = memory.take_all();
-    drop(memory);
-    export(&records, now);
+    let mut traces = TRACES.lock().unwrap_or_else(PoisonError::into_inner);
+    let records = traces.take_all_records();
+    drop(traces);
+    export_spans(&records, now);
 }
 
-fn export(records: &[RelayRecord], now: MonotonicTime) {
-    let clock = SystemTime::now();
+fn export_spans(records: &[TraceRecord], now: MonotonicTime) {
+    let wall_clock_now = SystemTime::now();
     for record in records {
-        let parent = Context::new().with_remote_span_context(remote_context(&record.trace));
-        let builder = SpanBuilder::from_name(RELAY_SPAN)
+        let parent = Context::new().with_remote_span_context(remote_span_context(&record.trace));
+        let builder = SpanBuilder::from_name(BALANCER_SPAN)
             .with_kind(SpanKind::Internal)
-            .with_start_time(clock - now.since(record.first))
-            .with_attributes([KeyValue::new("hyssopstair.packets", record.packets as i64)]);
+            .with_start_time(wall_clock_now - now.since(record.first_at))
+            .with_attributes([KeyValue::new(
+                "hyssopstair.packets",
+                record.packet_count as i64,
+            )]);
         let mut span = global::tracer(SCOPE).build_with_context(builder, &parent);
-        span.end_with_timestamp(clock - now.since(record.last));
+        span.end_with_timestamp(wall_clock_now - now.since(record.last_at));
     }
 }
 
-fn remote_context(trace: &TraceContext) -> SpanContext {
+fn remote_span_context(trace: &TraceContext) -> SpanContext {
     SpanContext::new(
         TraceId::from_bytes(trace.trace),
         SpanId::from_bytes(trace.span),
--- a/crates/telemetry/src/requests.rs
+++ b/crates/telemetry/src/requests.rs
@@ -1,4 +1,4 @@
-//! The spans and the metrics of a request at a host.
+//! Spans and metrics of a request at a host.
 
 use std::future::Future;
 use std::sync::Mutex;
@@ -29,38 +29,39 @@
 /// Name of the span of a request at a host.
 pub const REQUEST_SPAN: &str = "request";
 
-/// Name of the span of the wait for the backend server.
+/// Name of the span of the wait for a slot of the backend server.
 pub const ADMISSION_SPAN: &str = "admission wait";
 
-/// Name of the span of a request that is sent to another host.
+/// Name of the span of a request that is relayed to another host.
 pub const PEER_SPAN: &str = "peer relay";
 
 /// Name of the span of the call to the backend server.
 pub const BACKEND_SPAN: &str = "backend server call";
 
-/// Name of the span of a request that another host has sent.
+/// Name of the span of a request that another host has relayed.
 pub const RELAYED_SPAN: &str = "relayed request";
 
-/// Name of the header of the W3C trace context.
+/// Name of the W3C trace context header.
 pub const TRACE_HEADER: &str = "traceparent";
 
-/// The verdict of a request whose caller went away before there was one.
-const NO_VERDICT: &str = "abandoned";
+/// Verdict of a request whose caller disconnected before a verdict was known.
+const ABANDONED: &str = "abandoned";
 
-/// A request that is served.
+/// The span and the metrics of a request that is being served.
 #[derive(Debug)]
 pub struct RequestScope {
     context: Context,
     method: &'static str,
-    begun: Instant,
+    started_at: Instant,
 }
 
-/// The verdict of the request that a context belongs to.
+/// The verdict of a request, stored in its context.
 #[derive(Debug)]
 struct VerdictCell(Mutex<&'static str>);
 
 impl RequestScope {
-    /// Begins a request; it belongs to the trace that its headers name.
+    /// Starts the span of a request. Its parent is the span in the trace headers of
+    /// the request.
     pub fn start(request: &Request<()>) -> Self {
         let parent = propagator().extract(&HeaderExtractor(request.headers()));
         let method = method_name(request.method());
@@ -70,15 +71,15 @@
         let span = global::tracer(SCOPE).build_with_context(builder, &parent);
         let context = parent
             .with_span(span)
-            .with_value(VerdictCell(Mutex::new(NO_VERDICT)));
+            .with_value(VerdictCell(Mutex::new(ABANDONED)));
         Self {
             context,
             method,
-            begun: Instant::now(),
+            started_at: Instant::now(),
         }
     }
 
-    /// Returns where in its trace the request is, when it is sampled.
+    /// Returns the trace context of the request, or `None` if it is not sampled.
     pub fn trace_context(&self) -> Option<TraceContext> {
         let span = self.context.span();
         let context = span.span_context();
@@ -88,12 +89,13 @@
         })
     }
 
-    /// Serves the request by `future` and counts how it ends.
+    /// Runs `future`, which serves the request, in the context of the span. Then
+    /// ends the span and records the verdict and duration of the request.
     pub async fn run<F: Future>(self, future: F) -> F::Output {
-        let _open = COUNTERS.requests_open.enter();
+        let _open_guard = COUNTERS.requests_open.enter();
         let output = future.with_context(self.context.clone()).await;
         let verdict = read_verdict(&self.context);
-        record_request(verdict, self.method, self.begun.elapsed());
+        record_request(verdict, self.method, self.started_at.elapsed());
         let span = self.context.span();
         span.set_attribute(KeyValue::new("hyssopstair.verdict", verdict));
         span.end();
@@ -101,7 +103,7 @@
     }
 }
 
-/// Notes the verdict that the caller of the present request is given.
+/// Stores the verdict of the current request for its span and metrics.
 pub fn record_verdict(verdict: &'static str) {
     Context::map_current(|context| {
         if let Some(VerdictCell(cell)) = context.get::<VerdictCell>() {
@@ -110,10 +112,11 @@
     });
 }
 
-/// Runs a step of the present request, with a span of its own.
+/// Runs `future` in a new child span of the current request. Creates no span if the
+/// request is not sampled.
 pub async fn run_in_span<F: Future>(name: &'static str, future: F) -> F::Output {
-    let sampled = Context::map_current(|context| context.span().span_context().is_sampled());
-    if !sampled {
+    let is_sampled = Context::map_current(|context| context.span().span_context().is_sampled());
+    if !is_sampled {
         return future.await;
     }
     let builder = SpanBuilder::from_name(name).with_kind(SpanKind::Client);
@@ -121,14 +124,15 @@
     future.with_context(Context::current_with_span(span)).await
 }
 
-/// Waits until the present request may run.
+/// Runs `future`, which waits for a slot, in a span, and counts the request as queued
+/// in the meantime.
 pub async fn wait_for_admission<F: Future>(future: F) -> F::Output {
-    let _queued = COUNTERS.requests_queued.enter();
+    let _queued_guard = COUNTERS.requests_queued.enter();
     run_in_span(ADMISSION_SPAN, future).await
 }
 
-/// Puts the present span into the headers of a request that is sent on; the
-/// caller's own header stays when the request is not sampled.
+/// Sets the trace headers of a forwarded request to the current span. If the request
+/// is not sampled, the headers of the caller are left unchanged.
 pub fn inject_trace_context(headers: &mut HeaderMap) {
     let context = Context::current();
     if context.span().span_context().is_sampled() {
@@ -136,15 +140,16 @@
     }
 }
 
-/// Returns the trace header that names the present span, when it is sampled.
+/// Returns the value of the trace context header for the current span, or `None` if
+/// it is not sampled.
 pub fn traceparent_value() -> Option<String> {
     let mut headers = HeaderMap::new();
     inject_trace_context(&mut headers);
     headers.get(TRACE_HEADER)?.to_str().ok().map(str::to_owned)
 }
 
-/// Runs a request that another host has sent, with a span of its own below the
-/// one that `header` names.
+/// Runs `future`, which serves a request that another host has relayed, in a new
+/// span. `header` is the trace context header of the request.
 pub async fn serve_relayed_request<F: Future>(header: Option<&str>, future: F) -> F::Output {
     let mut headers = HeaderMap::new();
     if let Some(value) = header.and_then(|text| text.parse().ok()) {
@@ -159,15 +164,16 @@
 fn read_verdict(context: &Context) -> &'static str {
     match context.get::<VerdictCell>() {
         Some(VerdictCell(cell)) => *cell.lock().unwrap_or_else(PoisonError::into_inner),
-        None => NO_VERDICT,
+        None => ABANDONED,
     }
 }
 
-/// Returns the method as OpenTelemetry has it: a label takes only known values.
+/// Returns the method under the semantic conventions of OpenTelemetry, which limit
+/// the label to known methods and `_OTHER`.
 fn method_name(method: &Method) -> &'static str {
-    const KNOWN: [&str; 7] = ["DELETE", "GET", "HEAD", "OPTIONS", "PATCH", "POST", "PUT"];
-    match KNOWN.binary_search(&method.as_str()) {
-        Ok(index) => KNOWN[index],
+    const KNOWN_METHODS: [&str; 7] = ["DELETE", "GET", "HEAD", "OPTIONS", "PATCH", "POST", "PUT"];
+    match KNOWN_METHODS.binary_search(&method.as_str()) {
+        Ok(index) => KNOWN_METHODS[index],
         Err(_) => "_OTHER",
     }
 }
--- a/crates/telemetry/src/traces.rs
+++ b/crates/telemetry/src/traces.rs
@@ -1,7 +1,7 @@
-//! Exports spans to a collector, by OTLP over HTTP, in the background.
+//! Exports spans to a collector in the background, with OTLP over HTTP.
 //!
-//! Only requests whose caller sampled them have spans. A collector that cannot
-//! be reached costs the spans that wait for it and nothing else.
+//! Spans are created only for requests that their caller has sampled. If the
+//! collector is unreachable, queued spans are lost; requests are not affected.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -31,25 +31,25 @@
 /// Name of the instrumentation scope.
 pub(crate) const SCOPE: &str = "hyssopstair";
 
-/// Path of a collector that takes spans.
+/// Path of the collector endpoint for spans.
 const COLLECTOR_PATH: &str = "/v1/traces";
 
-/// Longest wait for a collector.
+/// Timeout of one export.
 const EXPORT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Time between two exports.
+/// Interval between two exports.
 const EXPORT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Spans that wait for an export at most.
-const MAX_WAITING: usize = 2_048;
+/// Maximum number of spans that are queued for export.
+const MAX_QUEUED_SPANS: usize = 2_048;
 
-/// Longest wait for the last export of a process that stops.
-const STOP_TIMEOUT: Duration = Duration::from_secs(1);
+/// Timeout of the last export before the process stops.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What is known of a process, for its metrics and spans.
+/// Attributes of a process that are attached to its metrics and spans.
 #[derive(Debug, Clone, Copy)]
 pub struct ProcessAttributes<'a> {
-    /// The role.
+    /// The role of the process.
     pub role: &'a str,
     /// The name of the process.
     pub instance: &'a str,
@@ -58,7 +58,7 @@
 }
 
 impl ProcessAttributes<'_> {
-    /// Returns the names as OpenTelemetry has them.
+    /// Returns the attributes as an OpenTelemetry resource.
     pub fn resource(&self) -> Resource {
         Resource::builder_empty()
             .with_service_name("hyssopstaird")
@@ -75,23 +75,24 @@
     }
 }
 
-/// Why spans cannot be exported.
+/// A failure to set up the export to a trace collector.
 #[derive(Debug, thiserror::Error)]
-#[error("failed to use trace collector {0}")]
+#[error("failed to set up the export to trace collector {0}")]
 pub struct TraceError(String);
 
-/// Exports spans until it is stopped.
+/// Exports spans in the background until it is stopped.
 #[derive(Debug)]
 pub struct TraceExporter {
     provider: SdkTracerProvider,
 }
 
 impl TraceExporter {
-    /// Starts to export to the collector at `url`.
+    /// Starts the export to the collector at `url`.
     ///
     /// # Errors
     ///
-    /// Returns an error when the URL cannot be used.
+    /// Returns an error if the exporter cannot be built, for example because the URL
+    /// is invalid.
     pub fn start(url: &str, resource: Resource) -> Result<Self, Report<TraceError>> {
         let context = || TraceError(url.to_owned());
         let exporter = SpanExporter::builder()
@@ -102,10 +103,10 @@
             .build()
             .change_context_lazy(context)?;
         let config = BatchConfigBuilder::default()
-            .with_max_queue_size(MAX_WAITING)
+            .with_max_queue_size(MAX_QUEUED_SPANS)
             .with_scheduled_delay(EXPORT_INTERVAL)
             .build();
-        let processor = BatchSpanProcessor::builder(CountedExporter::new(exporter, url))
+        let processor = BatchSpanProcessor::builder(CountingExporter::new(exporter, url))
             .with_batch_config(config)
             .build();
         let provider = SdkTracerProvider::builder()
@@ -117,19 +118,19 @@
         Ok(Self { provider })
     }
 
-    /// Exports what waits and stops; waits for a second at most.
+    /// Exports the queued spans and stops. Blocks for at most [`SHUTDOWN_TIMEOUT`].
     pub fn stop(&self) {
-        let _ = self.provider.shutdown_with_timeout(STOP_TIMEOUT);
+        let _ = self.provider.shutdown_with_timeout(SHUTDOWN_TIMEOUT);
     }
 
-    /// Returns a tracer of the export.
+    /// Returns a tracer whose spans are exported.
     pub fn tracer(&self) -> impl opentelemetry::trace::Tracer + use<> {
         self.provider.tracer(SCOPE)
     }
 }
 
-/// Returns the URL that takes spans, for the base URL of a collector or for
-/// the whole URL.
+/// Returns the URL of the endpoint for spans. `url` is either the base URL of a
+/// collector or the URL of the endpoint itself.
 fn collector_url(url: &str) -> String {
     let base = url.trim_end_matches('/');
     if base.ends_with(COLLECTOR_PATH) {
@@ -143,28 +144,29 @@
     TraceContextPropagator::new()
 }
 
-/// Counts the spans that a collector did not take.
+/// An exporter that counts the spans that could not be exported.
 #[derive(Debug)]
-struct CountedExporter {
+struct CountingExporter {
     exporter: SpanExporter,
     url: String,
-    origin: Instant,
+    created_at: Instant,
     limiter: SharedLimiter,
 }
 
-impl CountedExporter {
+impl CountingExporter {
     fn new(exporter: SpanExporter, url: &str) -> Self {
         Self {
             exporter,
             url: url.to_owned(),
-            origin: Instant::now(),
+            created_at: Instant::now(),
             limiter: SharedLimiter::new(),
         }
     }
 
-    fn warn(&self, spans: u64) {
+    /// Counts lost spans and logs a warning, at a limited rate.
+    fn record_lost_spans(&self, spans: u64) {
         COUNTERS.spans_lost.add(spans);
-        let now = MonotonicTime(self.origin.elapsed().as_micros() as u64);
+        let now = MonotonicTime(self.created_at.elapsed().as_micros() as u64);
         if let Some(held_back) = self.limiter.record_warning(now) {
             log::warn!(collector = self.url.as_str(), spans, held_back;
                 "traces: the collector took no spans");
@@ -172,12 +174,12 @@
     }
 }
 
-impl opentelemetry_sdk::trace::SpanExporter for CountedExporter {
+impl opentelemetry_sdk::trace::SpanExporter for CountingExporter {
     async fn export(&self, batch: Vec<SpanData>) -> OTelSdkResult {
         let spans = batch.len() as u64;
         let result = self.exporter.export(batch).await;
         if result.is_err() {
-            self.warn(spans);
+            self.record_lost_spans(spans);
         }
         result
     }
--- a/crates/telemetry/tests/logs.rs
+++ b/crates/telemetry/tests/logs.rs
@@ -1,10 +1,10 @@
-//! The form of the logs.
+//! Tests of the log format.
 
 use expect_test::expect;
 use hyssopstair_telemetry::logs::LogFormat;
 
 #[test]
-fn an_unknown_format_is_refused_with_the_known_ones() {
+fn unknown_format_is_rejected_with_the_supported_formats() {
     let results = ["logfmt", "json", "yaml"].map(LogFormat::parse);
     expect![[r#"
         [
--- a/crates/telemetry/tests/metrics.rs
+++ b/crates/telemetry/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics in the text form of Prometheus.
+//! Test of the metrics in the Prometheus text format.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 use hyssopstair_telemetry::metrics::record_request;
 use hyssopstair_telemetry::traces::ProcessAttributes;
 
-fn reading() -> GaugeValues {
+fn gauge_values() -> GaugeValues {
     let members = vec![MemberCount {
         role: "host",
         state: "alive",
@@ -23,7 +23,8 @@
     }
 }
 
-/// The lines that do not depend on the machine, without the scope's label.
+/// Returns the lines that do not depend on the machine, without the label of the
+/// instrumentation scope.
 fn stable_lines(text: &str) -> String {
     text.lines()
         .filter(|line| !line.starts_with('#') && !line.starts_with("process_"))
@@ -35,22 +36,22 @@
 }
 
 #[test]
-fn counters_have_names_and_units_by_convention() {
-    let names = ProcessAttributes {
+fn metric_names_and_units_follow_the_conventions() {
+    let attributes = ProcessAttributes {
         role: "balancer",
         instance: "127.0.0.1:7000",
         zone: "utr-a",
     };
-    let reader = MetricsExporter::start(names.resource(), Arc::new(reading)).unwrap();
+    let exporter = MetricsExporter::start(attributes.resource(), Arc::new(gauge_values)).unwrap();
     COUNTERS.packets_forwarded.add(3);
     COUNTERS.packets_dropped.increment("no_host");
     COUNTERS.packets_dropped.increment("malformed");
     COUNTERS.packets_dropped.increment("no_host");
     COUNTERS.control_bytes_sent.add(120);
-    let _open = COUNTERS.flows_open.enter();
+    let _open_flow = COUNTERS.flows_open.enter();
     drop(COUNTERS.flows_open.enter());
     record_request("done", "POST", Duration::from_millis(20));
-    let text = reader.render().unwrap();
+    let text = exporter.render().unwrap();
     expect![[r#"
         hyssopstair_configuration_version 7
         hyssopstair_control_received_bytes_total 0
