--- a/crates/requests/src/admission.rs
+++ b/crates/requests/src/admission.rs
@@ -52,8 +52,8 @@
 pub enum RequestClass {
     /// May run again; evicted from a full queue first.
     Idempotent,
-    /// Must not run twice. It has twice the weight of an idempotent request and
-    /// evicts one from a full queue.
+    /// Must not run twice. Counts double in the goodput and evicts an idempotent
+    /// request from a full queue.
     NonIdempotent,
 }
 
--- a/crates/requests/tests/curve/relaying.rs
+++ b/crates/requests/tests/curve/relaying.rs
@@ -100,13 +100,16 @@
     /// the caller does not retry.
     pub(super) fn retry_or_refuse(&mut self, request: usize) {
         let refused = &self.requests[request];
-        let wait = refused.retry_after;
+        let delay = refused.retry_after;
         let callers_retry = self.setting.callers_retry
             && refused.attempt_count < MAX_ATTEMPTS
-            && self.now + wait < refused.deadline;
+            && self.now + delay < refused.deadline;
         if callers_retry {
-            let late = self.rng.random_range(1.0..1.5);
-            return self.schedule(wait.mul_f64(late), SimulationEvent::Arrive { request });
+            let delay_factor = self.rng.random_range(1.0..1.5);
+            return self.schedule(
+                delay.mul_f64(delay_factor),
+                SimulationEvent::Arrive { request },
+            );
         }
         self.tally.refuse(refused.has_run);
     }
