--- a/crates/telemetry/src/traces.rs
+++ b/crates/telemetry/src/traces.rs
@@ -118,7 +118,7 @@
         Ok(Self { provider })
     }
 
-    /// Exports the queued spans and stops. Blocks for at most [`SHUTDOWN_TIMEOUT`].
+    /// Exports the queued spans and stops. Blocks for at most one second.
     pub fn stop(&self) {
         let _ = self.provider.shutdown_with_timeout(SHUTDOWN_TIMEOUT);
     }
