--- a/crates/telemetry/tests/metrics.rs
+++ b/crates/telemetry/tests/metrics.rs
@@ -1,29 +1,30 @@
-//! Metrics in the text form of Prometheus.
+//! Test of the metrics in the Prometheus text format.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use expect_test::expect;
-use hyssopstair_telemetry::counts::COUNTS;
-use hyssopstair_telemetry::metrics::GaugeReading;
+use hyssopstair_telemetry::counts::COUNTERS;
+use hyssopstair_telemetry::metrics::GaugeValues;
 use hyssopstair_telemetry::metrics::MemberCount;
-use hyssopstair_telemetry::metrics::MetricsReader;
-use hyssopstair_telemetry::metrics::count_request;
-use hyssopstair_telemetry::traces::ProcessNames;
+use hyssopstair_telemetry::metrics::MetricsExporter;
+use hyssopstair_telemetry::metrics::record_request;
+use hyssopstair_telemetry::traces::ProcessAttributes;
 
-fn reading() -> GaugeReading {
+fn gauge_values() -> GaugeValues {
     let members = vec![MemberCount {
         role: "host",
         state: "alive",
         count: 10,
     }];
-    GaugeReading {
+    GaugeValues {
         members,
         config_version: 7,
     }
 }
 
-/// The lines that do not depend on the machine, without the scope's label.
+/// Returns the lines that do not depend on the machine, without the label of the
+/// instrumentation scope.
 fn stable_lines(text: &str) -> String {
     text.lines()
         .filter(|line| !line.starts_with('#') && !line.starts_with("process_"))
@@ -35,22 +36,22 @@
 }
 
 #[test]
-fn counters_have_names_and_units_by_convention() {
-    let names = ProcessNames {
+fn metric_names_and_units_follow_the_conventions() {
+    let attributes = ProcessAttributes {
         role: "balancer",
         instance: "127.0.0.1:7000",
         zone: "utr-a",
     };
-    let reader = MetricsReader::start(names.resource(), Arc::new(reading)).unwrap();
-    COUNTS.packets_forwarded.add(3);
-    COUNTS.packets_dropped.increment("no_host");
-    COUNTS.packets_dropped.increment("malformed");
-    COUNTS.packets_dropped.increment("no_host");
-    COUNTS.control_sent.add(120);
-    let _open = COUNTS.flows_open.enter();
-    drop(COUNTS.flows_open.enter());
-    count_request("done", "POST", Duration::from_millis(20));
-    let text = reader.render().unwrap();
+    let exporter = MetricsExporter::start(attributes.resource(), Arc::new(gauge_values)).unwrap();
+    COUNTERS.packets_forwarded.add(3);
+    COUNTERS.packets_dropped.increment("no_host");
+    COUNTERS.packets_dropped.increment("malformed");
+    COUNTERS.packets_dropped.increment("no_host");
+    COUNTERS.control_bytes_sent.add(120);
+    let _open_flow = COUNTERS.flows_open.enter();
+    drop(COUNTERS.flows_open.enter());
+    record_request("done", "POST", Duration::from_millis(20));
+    let text = exporter.render().unwrap();
     expect![[r#"
         hyssopstair_configuration_version 7
         hyssopstair_control_received_bytes_total 0
