--- a/crates/hyssopstair/src/commands/check.rs
+++ b/crates/hyssopstair/src/commands/check.rs
@@ -32,7 +32,7 @@
         "{}: {} services, {} drained hosts, {} keys",
         args.file.display(),
         rules.services.len(),
-        rules.drained.len(),
+        rules.drained_hosts.len(),
         rules.keys.len()
     ));
     Ok(())
--- a/crates/hyssopstair/src/ops/apply.rs
+++ b/crates/hyssopstair/src/ops/apply.rs
@@ -2,7 +2,7 @@
 
 use error_stack::Report;
 use hyssopstair_platform::change::ChangeIntent;
-use hyssopstair_rules::drain::normalize;
+use hyssopstair_rules::drain::normalize_line_breaks;
 
 use crate::error::CommandError;
 use crate::error::FailureKind;
@@ -56,7 +56,7 @@
     edited: EditedText,
     base: Option<u64>,
 ) -> Result<ChangeIntent, Report<CommandError>> {
-    let text = normalize(&edited.text);
+    let text = normalize_line_breaks(&edited.text);
     let base = match base.or(edited.base) {
         Some(0) => String::new(),
         Some(version) => read_version(platform, version).await?.text,
@@ -69,7 +69,7 @@
 async fn base_of_unmarked(platform: &[String], text: &str) -> Result<String, Report<CommandError>> {
     match read_record(platform).await? {
         None => Ok(String::new()),
-        Some(found) if normalize(&found.record.text) == text => Ok(text.to_owned()),
+        Some(found) if normalize_line_breaks(&found.record.text) == text => Ok(text.to_owned()),
         Some(found) => Err(Report::new(CommandError::new(
             FailureKind::Input,
             format!(
--- a/crates/hyssopstair/src/ops/change.rs
+++ b/crates/hyssopstair/src/ops/change.rs
@@ -10,7 +10,7 @@
 use hyssopstair_platform::change::ChangeOutcome;
 use hyssopstair_platform::change::ChangeState;
 use hyssopstair_platform::change::ChangeStep;
-use hyssopstair_platform::change::FoundRecord;
+use hyssopstair_platform::change::StoredRecord;
 use hyssopstair_platform::client::KeyWrite;
 use hyssopstair_platform::client::PlatformClient;
 use hyssopstair_platform::record::CONFIGURATION_KEY;
@@ -101,11 +101,11 @@
     let now = || MonotonicTime(origin.elapsed().as_micros() as u64);
     let id = ChangeId(rand::random());
     let mut change = ChangeState::new(id, intent, floor, now() + wait);
-    let mut step = change.start();
+    let mut step = change.first_step();
     loop {
         let event = match step {
-            ChangeStep::Read { after } => {
-                tokio::time::sleep(after).await;
+            ChangeStep::Read { delay } => {
+                tokio::time::sleep(delay).await;
                 read_event(client).await?
             }
             ChangeStep::Write { revision, record } => {
@@ -113,16 +113,16 @@
             }
             ChangeStep::Done(outcome) => return Ok(outcome),
         };
-        step = change.next(event, now());
+        step = change.handle_event(event, now());
     }
 }
 
 async fn read_event(client: &PlatformClient) -> Result<ChangeEvent, Report<CommandError>> {
     let Ok(stored) = client.get(CONFIGURATION_KEY).await else {
-        return Ok(ChangeEvent::ReadLost);
+        return Ok(ChangeEvent::ReadFailed);
     };
     let found = read_found(stored)?;
-    Ok(ChangeEvent::Read(found.unwrap_or(FoundRecord {
+    Ok(ChangeEvent::Read(found.unwrap_or(StoredRecord {
         record: ConfigurationRecord::empty(),
         revision: 0,
     })))
@@ -155,8 +155,8 @@
         .await;
     Ok(match written {
         Ok(true) => ChangeEvent::Written,
-        Ok(false) => ChangeEvent::Refused,
-        Err(_) => ChangeEvent::WriteLost,
+        Ok(false) => ChangeEvent::WriteRejected,
+        Err(_) => ChangeEvent::WriteResultUnknown,
     })
 }
 
--- a/crates/hyssopstair/src/ops/change_report.rs
+++ b/crates/hyssopstair/src/ops/change_report.rs
@@ -21,12 +21,12 @@
         ChangeOutcome::Invalid {
             version,
             text,
-            mistakes,
+            errors,
         } => CommandError::new(
             FailureKind::Finding,
             format!(
                 "nothing is written: merged with version {version}, the rules have mistakes\n{}",
-                mistake_list(text, mistakes)
+                mistake_list(text, errors)
             ),
         ),
         ChangeOutcome::NotWritten => CommandError::new(
@@ -68,10 +68,10 @@
     lines.join("\n          ")
 }
 
-fn mistake_list(text: &str, mistakes: &[RuleError]) -> String {
+fn mistake_list(text: &str, errors: &[RuleError]) -> String {
     let describe = |mistake: &RuleError| {
         let line = text.lines().nth(mistake.line - 1).unwrap_or_default();
         format!("{mistake}\n  {line}")
     };
-    mistakes.iter().map(describe).collect::<Vec<_>>().join("\n")
+    errors.iter().map(describe).collect::<Vec<_>>().join("\n")
 }
--- a/crates/hyssopstair/src/ops/explain.rs
+++ b/crates/hyssopstair/src/ops/explain.rs
@@ -49,7 +49,7 @@
     version: u64,
     address: SocketAddrV4,
 ) -> Result<Vec<String>, CommandError> {
-    let Some(service) = rules.service_at(address) else {
+    let Some(service) = rules.find_service_by_address(address) else {
         let known: Vec<String> = rules
             .services
             .iter()
@@ -101,7 +101,7 @@
         if id != service.id {
             return None;
         }
-        let zone_weight = service.weight(zone);
+        let zone_weight = service.weight_in_zone(zone);
         let reason = exclusion(rules, service, entry, zone_weight);
         let weight = match reason {
             Some(_) => 0,
@@ -142,7 +142,7 @@
         MemberState::Suspect => return Some("it does not answer"),
         MemberState::Alive => {}
     }
-    if service.withdrawn {
+    if service.is_withdrawn {
         return Some("a rule withdraws the service");
     }
     if rules.is_drained(entry.process.address) {
--- a/crates/hyssopstair/src/ops/record.rs
+++ b/crates/hyssopstair/src/ops/record.rs
@@ -4,7 +4,7 @@
 
 use error_stack::Report;
 use error_stack::ResultExt;
-use hyssopstair_platform::change::FoundRecord;
+use hyssopstair_platform::change::StoredRecord;
 use hyssopstair_platform::client::PlatformClient;
 use hyssopstair_platform::client::StoredValue;
 use hyssopstair_platform::record::CONFIGURATION_KEY;
@@ -20,7 +20,9 @@
 /// # Errors
 ///
 /// Returns an error when the platform does not answer or holds no record.
-pub async fn read_record(platform: &[String]) -> Result<Option<FoundRecord>, Report<CommandError>> {
+pub async fn read_record(
+    platform: &[String],
+) -> Result<Option<StoredRecord>, Report<CommandError>> {
     let stored = PlatformClient::new(platform)
         .get(CONFIGURATION_KEY)
         .await
@@ -80,7 +82,7 @@
 /// Returns an error when the value is no record.
 pub fn read_found(
     stored: Option<StoredValue>,
-) -> Result<Option<FoundRecord>, Report<CommandError>> {
+) -> Result<Option<StoredRecord>, Report<CommandError>> {
     let Some(stored) = stored else {
         return Ok(None);
     };
@@ -90,7 +92,7 @@
             "the platform holds something else under the configuration's key",
         )
     })?;
-    Ok(Some(FoundRecord {
+    Ok(Some(StoredRecord {
         record,
         revision: stored.revision,
     }))
--- a/crates/hyssopstaird/src/carry/process.rs
+++ b/crates/hyssopstaird/src/carry/process.rs
@@ -104,7 +104,7 @@
     ) -> Result<Self, Report<DaemonError>> {
         let clock = ProcessClock::start();
         let status = ProcessStatus::default();
-        let inner = DatagramSocket::bind(settings.inner())?;
+        let inner = DatagramSocket::bind(settings.inner_address())?;
         let outer = DatagramSocket::bind(outer_address(&settings))?;
         let metrics = CarryMetrics::new()
             .change_context_lazy(|| DaemonError::new("failed to create the metrics"))?;
--- a/crates/hyssopstaird/src/control/configuration.rs
+++ b/crates/hyssopstaird/src/control/configuration.rs
@@ -20,9 +20,9 @@
 use hyssopstair_platform::record::ConfigurationRecord;
 use hyssopstair_platform::record::VERSION_KEY;
 use hyssopstair_platform::schedule::poll_interval;
-use hyssopstair_platform::update::UpdateContent;
-use hyssopstair_platform::update::VersionText;
-use hyssopstair_platform::update::read_answer;
+use hyssopstair_platform::update::PeerUpdate;
+use hyssopstair_platform::update::VersionedText;
+use hyssopstair_platform::update::apply_answer;
 use hyssopstair_telemetry::limiter::RepeatLimiter;
 use hyssopstair_wire::control::MemberRole;
 use hyssopstair_wire::control::MemberState;
@@ -99,14 +99,14 @@
     if version <= node.view().version {
         return;
     }
-    if lock(&node.fetch).hear(from, version) {
+    if lock(&node.fetch).record_version(from, version) {
         node.version_heard.notify_one();
     }
 }
 
 async fn ask_peers(node: &ControlNode) {
     loop {
-        let step = lock(&node.fetch).next(node.view().version, node.clock.now());
+        let step = lock(&node.fetch).next_step(node.view().version, node.clock.now());
         match step {
             FetchStep::Idle | FetchStep::Wait => node.version_heard.notified().await,
             FetchStep::WaitUntil(time) => {
@@ -114,9 +114,9 @@
                 // A version that is newer still may be heard meanwhile.
                 let _ = tokio::time::timeout(pause, node.version_heard.notified()).await;
             }
-            FetchStep::Ask(peer) => {
+            FetchStep::Request(peer) => {
                 let fetched = ask_peer(node, peer).await;
-                lock(&node.fetch).finish(fetched, node.clock.now());
+                lock(&node.fetch).finish_request(fetched, node.clock.now());
             }
         }
     }
@@ -126,39 +126,35 @@
     let above = node.view().version;
     let content = ask_content(node, peer, PeerRequest::Configuration { above }).await;
     let content = match content {
-        UpdateContent::Mismatch => {
+        PeerUpdate::Mismatch => {
             log::warn!(above; "config: the edits of {peer} do not fit; asking for the whole text");
             ask_content(node, peer, PeerRequest::WholeConfiguration { above }).await
         }
-        UpdateContent::Nothing | UpdateContent::Newer { .. } => content,
+        PeerUpdate::Nothing | PeerUpdate::Newer { .. } => content,
     };
     match content {
-        UpdateContent::Newer {
+        PeerUpdate::Newer {
             version,
             text,
             steps,
         } => node.offer_config(version, &text, steps),
-        UpdateContent::Nothing | UpdateContent::Mismatch => false,
+        PeerUpdate::Nothing | PeerUpdate::Mismatch => false,
     }
 }
 
-async fn ask_content(
-    node: &ControlNode,
-    peer: SocketAddrV4,
-    request: PeerRequest,
-) -> UpdateContent {
+async fn ask_content(node: &ControlNode, peer: SocketAddrV4, request: PeerRequest) -> PeerUpdate {
     match peer::ask(peer, request).await {
         Ok(answer) => {
             let config = node.config();
-            let old = VersionText {
+            let old = VersionedText {
                 version: config.version(),
                 text: config.text(),
             };
-            read_answer(old, answer)
+            apply_answer(old, answer)
         }
         Err(error) => {
             log::debug!(error:% = error; "config: a peer does not answer");
-            UpdateContent::Nothing
+            PeerUpdate::Nothing
         }
     }
 }
--- a/crates/hyssopstaird/src/control/entries.rs
+++ b/crates/hyssopstaird/src/control/entries.rs
@@ -9,7 +9,7 @@
 
 use hyssopstair_platform::client::PlatformClient;
 use hyssopstair_platform::client::PlatformError;
-use hyssopstair_platform::client::StoredKey;
+use hyssopstair_platform::client::StoredEntry;
 use hyssopstair_platform::record::ENTRY_PREFIX;
 use hyssopstair_platform::record::ENTRY_SLOTS;
 use hyssopstair_platform::record::entry_key;
@@ -62,11 +62,11 @@
     Ok(())
 }
 
-fn entry_address(entry: &StoredKey) -> Option<SocketAddrV4> {
+fn entry_address(entry: &StoredEntry) -> Option<SocketAddrV4> {
     std::str::from_utf8(&entry.stored.value).ok()?.parse().ok()
 }
 
-fn is_live(node: &ControlNode, entry: &StoredKey) -> bool {
+fn is_live(node: &ControlNode, entry: &StoredEntry) -> bool {
     let Some(address) = entry_address(entry) else {
         return false;
     };
--- a/crates/hyssopstaird/src/control/node.rs
+++ b/crates/hyssopstaird/src/control/node.rs
@@ -15,8 +15,8 @@
 use error_stack::ResultExt;
 use hyssopstair_platform::fetch::FetchState;
 use hyssopstair_platform::update::UpdateLog;
-use hyssopstair_platform::update::VersionText;
-use hyssopstair_platform::update::step_between;
+use hyssopstair_platform::update::VersionedText;
+use hyssopstair_platform::update::build_step;
 use hyssopstair_roster::state::RosterAction;
 use hyssopstair_roster::state::RosterState;
 use hyssopstair_roster::versions::ApplyResult;
@@ -192,7 +192,7 @@
                 log::info!(version, steps = steps.len(); "config: a new version is in force");
                 self.announce_role();
                 self.rebuild_view();
-                self.keep_steps(&before, VersionText { version, text }, steps);
+                self.keep_steps(&before, VersionedText { version, text }, steps);
                 true
             }
             ApplyResult::Rejected => {
@@ -239,7 +239,7 @@
     fn keep_steps(
         &self,
         before: &ConfigState,
-        new: VersionText<'_>,
+        new: VersionedText<'_>,
         steps: Vec<ConfigurationStep>,
     ) {
         // The first configuration shares no line with the empty one.
@@ -247,18 +247,18 @@
             return;
         }
         let steps = if steps.is_empty() {
-            let old = VersionText {
+            let old = VersionedText {
                 version: before.version(),
                 text: before.text(),
             };
             let deadline = Instant::now() + DIFF_LIMIT;
-            Vec::from_iter(step_between(old, new, Some(deadline)))
+            Vec::from_iter(build_step(old, new, Some(deadline)))
         } else {
             steps
         };
         let mut updates = lock(&self.updates);
         for step in steps {
-            updates.add(step);
+            updates.add_step(step);
         }
     }
 
@@ -267,12 +267,12 @@
             return;
         };
         let rules = lock(&self.config).rules().clone();
-        let Some(service) = rules.service_named(name) else {
+        let Some(service) = rules.find_service_by_name(name) else {
             return;
         };
         let role = MemberRole::Host {
             service: service.id,
-            zone: rules.zone(&self.zone_name).unwrap_or(0),
+            zone: rules.find_zone_id(&self.zone_name).unwrap_or(0),
             weight: 1,
         };
         self.change_roster(|roster, node| roster.set_role(role, node.clock.now()));
--- a/crates/hyssopstaird/src/host/state.rs
+++ b/crates/hyssopstaird/src/host/state.rs
@@ -94,7 +94,7 @@
     pub fn service(&self) -> Option<ServiceRule> {
         let view = self.node.view();
         let own = view.own_rule?;
-        view.rules.service(own.service).cloned()
+        view.rules.find_service(own.service).cloned()
     }
 
     /// Returns the number of the service, when a configuration names it.
--- a/crates/hyssopstaird/src/peer/server.rs
+++ b/crates/hyssopstaird/src/peer/server.rs
@@ -72,7 +72,7 @@
             return PeerAnswer::UpToDate;
         }
         // The lock must be free again before the whole text is packed.
-        let steps = lock(&self.node.updates).steps(above, version);
+        let steps = lock(&self.node.updates).find_steps(above, version);
         match steps {
             Some(steps) => PeerAnswer::ConfigurationSteps(steps),
             None => self.whole_configuration(above),
@@ -99,12 +99,12 @@
 
     fn packed_text(&self, config: &ConfigState) -> std::io::Result<Arc<[u8]>> {
         let version = config.version();
-        if let Some(packed) = lock(&self.node.updates).packed(version) {
+        if let Some(packed) = lock(&self.node.updates).find_deflated_text(version) {
             return Ok(packed);
         }
         // The lock is not held meanwhile; at worst two questions do it twice.
         let packed: Arc<[u8]> = deflate_text(config.text())?.into();
-        lock(&self.node.updates).keep_packed(version, Arc::clone(&packed));
+        lock(&self.node.updates).store_deflated_text(version, Arc::clone(&packed));
         Ok(packed)
     }
 }
--- a/crates/hyssopstaird/tests/updates.rs
+++ b/crates/hyssopstaird/tests/updates.rs
@@ -96,7 +96,7 @@
 
 /// Checks the versions of the steps that a process can pass on to others.
 fn check_steps(node: &ControlNode, from: u64, expected: &Expect) {
-    let steps = lock(&node.updates).steps(from, 3);
+    let steps = lock(&node.updates).find_steps(from, 3);
     let versions: Option<Vec<(u64, u64)>> =
         steps.map(|steps| steps.iter().map(|step| (step.from, step.to)).collect());
     expected.assert_eq(&format!("{versions:?} {:?}", node.config().text()));
--- a/crates/platform/examples/rule_cost.rs
+++ b/crates/platform/examples/rule_cost.rs
@@ -24,7 +24,7 @@
         let read = median(|| {
             black_box(RuleSet::parse(black_box(&text)).is_ok());
         });
-        let record = ConfigurationRecord::empty().followed_by(ChangeId(1), 1, text.clone());
+        let record = ConfigurationRecord::empty().with_change(ChangeId(1), 1, text.clone());
         let bytes = record.encode().unwrap_or_default();
         let store = median(|| {
             black_box(record.encode().is_ok());
--- a/crates/platform/examples/update_cost.rs
+++ b/crates/platform/examples/update_cost.rs
@@ -7,9 +7,9 @@
 use std::hint::black_box;
 
 use hyssopstair_platform::record::deflate_text;
-use hyssopstair_platform::update::VersionText;
-use hyssopstair_platform::update::read_answer;
-use hyssopstair_platform::update::step_between;
+use hyssopstair_platform::update::VersionedText;
+use hyssopstair_platform::update::apply_answer;
+use hyssopstair_platform::update::build_step;
 use hyssopstair_rules::rule_set::RuleSet;
 use hyssopstair_wire::peer::PeerAnswer;
 use hyssopstair_wire::peer::PeerRequest;
@@ -52,24 +52,24 @@
 fn print_cost(services: u32, change: ChangeSize) {
     let old_text = rule_text(services);
     let new_text = changed(&old_text, services, change);
-    let old = VersionText {
+    let old = VersionedText {
         version: 1,
         text: &old_text,
     };
-    let new = VersionText {
+    let new = VersionedText {
         version: 2,
         text: &new_text,
     };
-    let Some(step) = step_between(old, new, None) else {
+    let Some(step) = build_step(old, new, None) else {
         println!("{services:>8}  no edits");
         return;
     };
     let find = median(|| {
-        black_box(step_between(old, new, None));
+        black_box(build_step(old, new, None));
     });
     let answer = PeerAnswer::ConfigurationSteps(vec![step]);
     let make = median(|| {
-        black_box(read_answer(old, answer.clone()));
+        black_box(apply_answer(old, answer.clone()));
     });
     let read = median(|| {
         black_box(RuleSet::parse(black_box(&new_text)).is_ok());
--- a/crates/platform/src/change.rs
+++ b/crates/platform/src/change.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 use hyssopstair_rules::drain::add_drain;
-use hyssopstair_rules::drain::normalize;
+use hyssopstair_rules::drain::normalize_line_breaks;
 use hyssopstair_rules::drain::remove_drain;
 use hyssopstair_rules::edit::LineConflict;
 use hyssopstair_rules::edit::merge_lines;
@@ -57,7 +57,7 @@
 
 /// A configuration and the platform's revision of it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct FoundRecord {
+pub struct StoredRecord {
     /// The configuration; empty when the platform holds none.
     pub record: ConfigurationRecord,
     /// The revision of its last change, 0 when there is none.
@@ -68,15 +68,15 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ChangeEvent {
     /// The configuration was read.
-    Read(FoundRecord),
+    Read(StoredRecord),
     /// The read gave no answer.
-    ReadLost,
+    ReadFailed,
     /// The platform says that the write took effect.
     Written,
     /// The platform says that the compared revision is no longer the present one.
-    Refused,
+    WriteRejected,
     /// The write gave no answer; it may have taken effect, or may yet.
-    WriteLost,
+    WriteResultUnknown,
 }
 
 /// What to do next.
@@ -85,7 +85,7 @@
     /// Read the configuration after a pause.
     Read {
         /// The pause.
-        after: Duration,
+        delay: Duration,
     },
     /// Write a record if the configuration is still at a revision.
     Write {
@@ -126,7 +126,7 @@
         /// The text with the mistakes.
         text: String,
         /// The mistakes.
-        mistakes: Vec<RuleError>,
+        errors: Vec<RuleError>,
     },
     /// The platform did not answer in time; nothing was written.
     NotWritten,
@@ -172,21 +172,21 @@
     }
 
     /// Returns the first step.
-    pub fn start(&self) -> ChangeStep {
+    pub fn first_step(&self) -> ChangeStep {
         ChangeStep::Read {
-            after: Duration::ZERO,
+            delay: Duration::ZERO,
         }
     }
 
     /// Returns the step that follows from an event.
-    pub fn next(&mut self, event: ChangeEvent, now: MonotonicTime) -> ChangeStep {
+    pub fn handle_event(&mut self, event: ChangeEvent, now: MonotonicTime) -> ChangeStep {
         match event {
             ChangeEvent::Read(found) if found.revision < self.seen_revision => self.retry(now),
             ChangeEvent::Read(found) => self.decide(&found, now),
-            ChangeEvent::ReadLost | ChangeEvent::WriteLost => self.retry(now),
+            ChangeEvent::ReadFailed | ChangeEvent::WriteResultUnknown => self.retry(now),
             // The client may have tried twice, and the first attempt may be the
             // very change that the second one was refused for.
-            ChangeEvent::Refused => self.read_again(now),
+            ChangeEvent::WriteRejected => self.read_again(now),
             ChangeEvent::Written => ChangeStep::Done(self.written()),
         }
     }
@@ -200,18 +200,18 @@
     }
 
     fn retry(&mut self, now: MonotonicTime) -> ChangeStep {
-        let after = self.backoff;
+        let delay = self.backoff;
         self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
-        self.read_after(after, now)
+        self.read_after(delay, now)
     }
 
     fn read_again(&mut self, now: MonotonicTime) -> ChangeStep {
         self.read_after(Duration::ZERO, now)
     }
 
-    fn read_after(&self, after: Duration, now: MonotonicTime) -> ChangeStep {
-        if now + after < self.deadline {
-            return ChangeStep::Read { after };
+    fn read_after(&self, delay: Duration, now: MonotonicTime) -> ChangeStep {
+        if now + delay < self.deadline {
+            return ChangeStep::Read { delay };
         }
         self.give_up()
     }
@@ -227,10 +227,10 @@
         })
     }
 
-    fn decide(&mut self, found: &FoundRecord, now: MonotonicTime) -> ChangeStep {
+    fn decide(&mut self, found: &StoredRecord, now: MonotonicTime) -> ChangeStep {
         self.backoff = MIN_BACKOFF;
         self.seen_revision = found.revision;
-        if let Some(version) = found.record.version_of(self.id) {
+        if let Some(version) = found.record.find_change_version(self.id) {
             return ChangeStep::Done(ChangeOutcome::Written { version });
         }
         if let Some(write) = &self.pending {
@@ -238,7 +238,7 @@
             if write.revision == found.revision {
                 return self.write(write.clone(), now);
             }
-            if !found.record.reaches_back_to(version) {
+            if !found.record.covers_version(version) {
                 return ChangeStep::Done(ChangeOutcome::MayBeWritten { version });
             }
             self.pending = None;
@@ -249,7 +249,7 @@
         }
     }
 
-    fn new_text(&self, found: &FoundRecord) -> Result<String, ChangeOutcome> {
+    fn new_text(&self, found: &StoredRecord) -> Result<String, ChangeOutcome> {
         let old = &found.record.text;
         let version = found.record.version;
         let text = match &self.intent {
@@ -258,24 +258,24 @@
             ChangeIntent::Drain { host, asked_by } => add_drain(old, *host, asked_by),
             ChangeIntent::Undrain { host } => remove_drain(old, *host),
         };
-        if version > 0 && text == normalize(old) {
+        if version > 0 && text == normalize_line_breaks(old) {
             return Err(ChangeOutcome::Unchanged { version });
         }
         match RuleSet::parse(&text) {
             Ok(_) => Ok(text),
-            Err(mistakes) => Err(ChangeOutcome::Invalid {
+            Err(errors) => Err(ChangeOutcome::Invalid {
                 version,
                 text,
-                mistakes,
+                errors,
             }),
         }
     }
 
-    fn write_text(&mut self, found: &FoundRecord, text: String, now: MonotonicTime) -> ChangeStep {
+    fn write_text(&mut self, found: &StoredRecord, text: String, now: MonotonicTime) -> ChangeStep {
         let version = found.record.version.max(self.floor) + 1;
         let write = PendingWrite {
             revision: found.revision,
-            record: found.record.followed_by(self.id, version, text),
+            record: found.record.with_change(self.id, version, text),
         };
         self.write(write, now)
     }
--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -51,7 +51,7 @@
 
 /// A key and its value.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct StoredKey {
+pub struct StoredEntry {
     /// The key.
     pub key: String,
     /// The value.
@@ -117,7 +117,7 @@
     /// # Errors
     ///
     /// Returns an error when no address answers.
-    pub async fn get_prefix(&self, prefix: &str) -> Result<Vec<StoredKey>, PlatformError> {
+    pub async fn get_prefix(&self, prefix: &str) -> Result<Vec<StoredEntry>, PlatformError> {
         let request = RangeRequest {
             key: encode_bytes(prefix.as_bytes()),
             range_end: Some(encode_bytes(&prefix_end(prefix))),
@@ -244,8 +244,8 @@
     }
 }
 
-fn stored_key(item: &KeyValue) -> StoredKey {
-    StoredKey {
+fn stored_key(item: &KeyValue) -> StoredEntry {
+    StoredEntry {
         key: String::from_utf8_lossy(&decode_bytes(&item.key)).into_owned(),
         stored: stored_value(item),
     }
--- a/crates/platform/src/fetch.rs
+++ b/crates/platform/src/fetch.rs
@@ -25,7 +25,7 @@
     /// Look again at this time.
     WaitUntil(MonotonicTime),
     /// Ask this peer.
-    Ask(SocketAddrV4),
+    Request(SocketAddrV4),
 }
 
 /// The newest version that was heard of, and the question about it.
@@ -41,7 +41,7 @@
 impl FetchState {
     /// Notes that a peer has a version, and returns whether it is the newest
     /// that was heard of.
-    pub fn hear(&mut self, from: SocketAddrV4, version: u64) -> bool {
+    pub fn record_version(&mut self, from: SocketAddrV4, version: u64) -> bool {
         if version < self.heard {
             return false;
         }
@@ -56,7 +56,7 @@
     }
 
     /// Returns the next step of a process that acts on `version`.
-    pub fn next(&mut self, version: u64, now: MonotonicTime) -> FetchStep {
+    pub fn next_step(&mut self, version: u64, now: MonotonicTime) -> FetchStep {
         if self.asking {
             return FetchStep::Wait;
         }
@@ -67,11 +67,11 @@
             return FetchStep::WaitUntil(self.not_before);
         }
         self.asking = true;
-        FetchStep::Ask(peer)
+        FetchStep::Request(peer)
     }
 
     /// Notes the end of a question; `fetched` when it brought a newer version.
-    pub fn finish(&mut self, fetched: bool, now: MonotonicTime) {
+    pub fn finish_request(&mut self, fetched: bool, now: MonotonicTime) {
         self.asking = false;
         if fetched {
             self.pause = Duration::ZERO;
--- a/crates/platform/src/record.rs
+++ b/crates/platform/src/record.rs
@@ -33,7 +33,7 @@
 
 /// Changes that a record names. A writer whose answer was lost finds its change
 /// among them, unless this many others followed.
-pub const NAMED_CHANGES: usize = 64;
+pub const MAX_RECORDED_CHANGES: usize = 64;
 
 /// Longest text of a record, in bytes.
 const MAX_TEXT_BYTES: u64 = 64 * 1024 * 1024;
@@ -54,7 +54,7 @@
 
 /// A change that took effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct NamedChange {
+pub struct RecordedChange {
     /// The change.
     pub id: ChangeId,
     /// The version that it made.
@@ -67,7 +67,7 @@
     /// Grows with each change.
     pub version: u64,
     /// The latest changes, the last one at the end.
-    pub changes: Vec<NamedChange>,
+    pub changes: Vec<RecordedChange>,
     /// The text of the rule file.
     pub text: String,
 }
@@ -86,7 +86,7 @@
 #[derive(Debug, Serialize, Deserialize)]
 struct PackedRecord {
     version: u64,
-    changes: Vec<NamedChange>,
+    changes: Vec<RecordedChange>,
     deflated_text: Vec<u8>,
 }
 
@@ -120,22 +120,22 @@
     }
 
     /// Returns the version that a change made, if the record names it.
-    pub fn version_of(&self, id: ChangeId) -> Option<u64> {
+    pub fn find_change_version(&self, id: ChangeId) -> Option<u64> {
         let change = self.changes.iter().find(|change| change.id == id)?;
         Some(change.version)
     }
 
     /// Returns whether a change that made `version` would still be named here.
-    pub fn reaches_back_to(&self, version: u64) -> bool {
+    pub fn covers_version(&self, version: u64) -> bool {
         let oldest = self.changes.first().map_or(0, |change| change.version);
-        self.changes.len() < NAMED_CHANGES || oldest <= version
+        self.changes.len() < MAX_RECORDED_CHANGES || oldest <= version
     }
 
     /// Returns the record that follows this one.
-    pub fn followed_by(&self, id: ChangeId, version: u64, text: String) -> Self {
-        let surplus = (self.changes.len() + 1).saturating_sub(NAMED_CHANGES);
+    pub fn with_change(&self, id: ChangeId, version: u64, text: String) -> Self {
+        let surplus = (self.changes.len() + 1).saturating_sub(MAX_RECORDED_CHANGES);
         let mut changes = self.changes[surplus..].to_vec();
-        changes.push(NamedChange { id, version });
+        changes.push(RecordedChange { id, version });
         Self {
             version,
             changes,
--- a/crates/platform/src/update.rs
+++ b/crates/platform/src/update.rs
@@ -21,10 +21,10 @@
 use crate::record::inflate_text;
 
 /// Steps that a process keeps.
-pub const KEPT_STEPS: usize = 64;
+pub const MAX_KEPT_STEPS: usize = 64;
 
 /// Bytes of edits that a process keeps.
-pub const KEPT_BYTES: usize = 64 * 1024;
+pub const MAX_EDIT_BYTES: usize = 64 * 1024;
 
 /// Returns the checksum of a version and its text.
 pub fn text_checksum(version: u64, text: &str) -> u64 {
@@ -36,7 +36,7 @@
 
 /// A version and its text.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct VersionText<'a> {
+pub struct VersionedText<'a> {
     /// The version.
     pub version: u64,
     /// The text of the rule file.
@@ -46,14 +46,14 @@
 /// Returns the step between two texts, or nothing when line edits cannot make
 /// the later of the earlier, or would be longer than what is kept. The search
 /// for short edits ends at the deadline.
-pub fn step_between(
-    old: VersionText<'_>,
-    new: VersionText<'_>,
+pub fn build_step(
+    old: VersionedText<'_>,
+    new: VersionedText<'_>,
     deadline: Option<Instant>,
 ) -> Option<ConfigurationStep> {
     let edits = diff_lines_until(old.text, new.text, deadline);
     let encoded = postcard::to_stdvec(&edits).ok()?;
-    if encoded.len() > KEPT_BYTES {
+    if encoded.len() > MAX_EDIT_BYTES {
         return None;
     }
     // Line ends other than "\n" are lost.
@@ -78,10 +78,10 @@
 
 impl UpdateLog {
     /// Keeps a step; the oldest are dropped when there are too many.
-    pub fn add(&mut self, step: ConfigurationStep) {
+    pub fn add_step(&mut self, step: ConfigurationStep) {
         self.bytes += step.edits.len();
         self.steps.push_back(step);
-        while self.steps.len() > KEPT_STEPS || self.bytes > KEPT_BYTES {
+        while self.steps.len() > MAX_KEPT_STEPS || self.bytes > MAX_EDIT_BYTES {
             let Some(oldest) = self.steps.pop_front() else {
                 return;
             };
@@ -90,7 +90,7 @@
     }
 
     /// Returns the steps from one version to a later one, if all are kept.
-    pub fn steps(&self, from: u64, to: u64) -> Option<Vec<ConfigurationStep>> {
+    pub fn find_steps(&self, from: u64, to: u64) -> Option<Vec<ConfigurationStep>> {
         let mut found = Vec::new();
         let mut version = from;
         while version < to {
@@ -106,18 +106,18 @@
     }
 
     /// Returns the bytes of edits that are kept.
-    pub fn bytes(&self) -> usize {
+    pub fn edit_bytes(&self) -> usize {
         self.bytes
     }
 
     /// Returns the packed text of a version, if it was kept.
-    pub fn packed(&self, version: u64) -> Option<Arc<[u8]>> {
+    pub fn find_deflated_text(&self, version: u64) -> Option<Arc<[u8]>> {
         let (kept, packed) = self.packed.as_ref()?;
         (*kept == version).then(|| Arc::clone(packed))
     }
 
     /// Keeps the packed text of a version, unless that of a later one is kept.
-    pub fn keep_packed(&mut self, version: u64, packed: Arc<[u8]>) {
+    pub fn store_deflated_text(&mut self, version: u64, packed: Arc<[u8]>) {
         let kept = self.packed.as_ref().map_or(0, |(kept, _)| *kept);
         if version >= kept {
             self.packed = Some((version, packed));
@@ -127,7 +127,7 @@
 
 /// What a peer's answer to a question for the configuration holds.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum UpdateContent {
+pub enum PeerUpdate {
     /// Nothing that is newer.
     Nothing,
     /// Edits that do not fit the text here; the whole text is needed.
@@ -144,40 +144,40 @@
 }
 
 /// Reads a peer's answer at a process that acts on `old`.
-pub fn read_answer(old: VersionText<'_>, answer: PeerAnswer) -> UpdateContent {
+pub fn apply_answer(old: VersionedText<'_>, answer: PeerAnswer) -> PeerUpdate {
     match answer {
         PeerAnswer::Configuration {
             version,
             deflated_text,
         } if version > old.version => match inflate_text(&deflated_text) {
-            Ok(text) => UpdateContent::Newer {
+            Ok(text) => PeerUpdate::Newer {
                 version,
                 text,
                 steps: Vec::new(),
             },
-            Err(_) => UpdateContent::Nothing,
+            Err(_) => PeerUpdate::Nothing,
         },
         PeerAnswer::ConfigurationSteps(steps) => read_steps(old, steps),
-        _ => UpdateContent::Nothing,
+        _ => PeerUpdate::Nothing,
     }
 }
 
-fn read_steps(old: VersionText<'_>, steps: Vec<ConfigurationStep>) -> UpdateContent {
+fn read_steps(old: VersionedText<'_>, steps: Vec<ConfigurationStep>) -> PeerUpdate {
     let Some(last) = steps.last() else {
-        return UpdateContent::Nothing;
+        return PeerUpdate::Nothing;
     };
     let version = last.to;
     match make_steps(old, &steps) {
-        Some(text) => UpdateContent::Newer {
+        Some(text) => PeerUpdate::Newer {
             version,
             text,
             steps,
         },
-        None => UpdateContent::Mismatch,
+        None => PeerUpdate::Mismatch,
     }
 }
 
-fn make_steps(old: VersionText<'_>, steps: &[ConfigurationStep]) -> Option<String> {
+fn make_steps(old: VersionedText<'_>, steps: &[ConfigurationStep]) -> Option<String> {
     let mut version = old.version;
     let mut text = old.text.to_owned();
     for step in steps {
--- a/crates/platform/tests/calls.rs
+++ b/crates/platform/tests/calls.rs
@@ -58,27 +58,27 @@
     let peer = |number: u8| format!("127.1.1.{number}:7000").parse().expect("address");
     let at = MonotonicTime::from_millis;
     let mut fetch = FetchState::default();
-    let mut steps = vec![fetch.next(3, at(0))];
-    fetch.hear(peer(1), 4);
-    fetch.hear(peer(2), 4);
-    steps.push(fetch.next(3, at(0)));
+    let mut steps = vec![fetch.next_step(3, at(0))];
+    fetch.record_version(peer(1), 4);
+    fetch.record_version(peer(2), 4);
+    steps.push(fetch.next_step(3, at(0)));
     // Packets that come meanwhile start no second question.
-    fetch.hear(peer(3), 4);
-    steps.push(fetch.next(3, at(1)));
-    fetch.finish(false, at(1_000));
-    steps.push(fetch.next(3, at(1_000)));
-    steps.push(fetch.next(3, at(1_100)));
-    fetch.finish(false, at(2_100));
-    steps.push(fetch.next(3, at(2_150)));
+    fetch.record_version(peer(3), 4);
+    steps.push(fetch.next_step(3, at(1)));
+    fetch.finish_request(false, at(1_000));
+    steps.push(fetch.next_step(3, at(1_000)));
+    steps.push(fetch.next_step(3, at(1_100)));
+    fetch.finish_request(false, at(2_100));
+    steps.push(fetch.next_step(3, at(2_150)));
     // A newer version ends the pause.
-    fetch.hear(peer(1), 5);
-    steps.push(fetch.next(3, at(2_150)));
-    fetch.finish(true, at(2_200));
-    steps.push(fetch.next(5, at(2_200)));
+    fetch.record_version(peer(1), 5);
+    steps.push(fetch.next_step(3, at(2_150)));
+    fetch.finish_request(true, at(2_200));
+    steps.push(fetch.next_step(5, at(2_200)));
     expect![[r#"
         [
             Idle,
-            Ask(
+            Request(
                 127.1.1.2:7000,
             ),
             Wait,
@@ -87,7 +87,7 @@
                     1100000,
                 ),
             ),
-            Ask(
+            Request(
                 127.1.1.3:7000,
             ),
             WaitUntil(
@@ -95,7 +95,7 @@
                     2300000,
                 ),
             ),
-            Ask(
+            Request(
                 127.1.1.1:7000,
             ),
             Idle,
--- a/crates/platform/tests/record.rs
+++ b/crates/platform/tests/record.rs
@@ -3,11 +3,11 @@
 use expect_test::expect;
 use hyssopstair_platform::record::ChangeId;
 use hyssopstair_platform::record::ConfigurationRecord;
-use hyssopstair_platform::record::NAMED_CHANGES;
+use hyssopstair_platform::record::MAX_RECORDED_CHANGES;
 
 #[test]
 fn a_record_is_read_as_it_was_written() {
-    let record = ConfigurationRecord::empty().followed_by(ChangeId(7), 3, "drain\n".repeat(999));
+    let record = ConfigurationRecord::empty().with_change(ChangeId(7), 3, "drain\n".repeat(999));
     let bytes = record.encode().expect("packed");
     assert_eq!(ConfigurationRecord::decode(&bytes).ok(), Some(record));
     expect!["39"].assert_eq(&bytes.len().to_string());
@@ -16,7 +16,7 @@
 #[test]
 fn bytes_that_are_no_record_are_refused() {
     let whole = ConfigurationRecord::empty()
-        .followed_by(ChangeId(7), 3, "drain\n".to_owned())
+        .with_change(ChangeId(7), 3, "drain\n".to_owned())
         .encode()
         .expect("packed");
     for length in 0..whole.len() {
@@ -42,14 +42,14 @@
 
 #[test]
 fn a_change_is_named_until_many_others_have_followed() {
-    let mut record = ConfigurationRecord::empty().followed_by(ChangeId(1), 1, String::new());
-    for number in 2..=NAMED_CHANGES as u64 {
-        record = record.followed_by(ChangeId(number.into()), number, String::new());
+    let mut record = ConfigurationRecord::empty().with_change(ChangeId(1), 1, String::new());
+    for number in 2..=MAX_RECORDED_CHANGES as u64 {
+        record = record.with_change(ChangeId(number.into()), number, String::new());
     }
-    assert_eq!(record.version_of(ChangeId(1)), Some(1));
-    assert!(record.reaches_back_to(1));
-    record = record.followed_by(ChangeId(900), 65, String::new());
-    assert_eq!(record.version_of(ChangeId(1)), None);
-    assert!(!record.reaches_back_to(1));
-    assert!(record.reaches_back_to(2));
+    assert_eq!(record.find_change_version(ChangeId(1)), Some(1));
+    assert!(record.covers_version(1));
+    record = record.with_change(ChangeId(900), 65, String::new());
+    assert_eq!(record.find_change_version(ChangeId(1)), None);
+    assert!(!record.covers_version(1));
+    assert!(record.covers_version(2));
 }
--- a/crates/platform/tests/support/mod.rs
+++ b/crates/platform/tests/support/mod.rs
@@ -7,7 +7,7 @@
 use hyssopstair_platform::change::ChangeOutcome;
 use hyssopstair_platform::change::ChangeState;
 use hyssopstair_platform::change::ChangeStep;
-use hyssopstair_platform::change::FoundRecord;
+use hyssopstair_platform::change::StoredRecord;
 use hyssopstair_platform::record::ChangeId;
 use hyssopstair_platform::record::ConfigurationRecord;
 use hyssopstair_rules::edit::diff_lines;
@@ -73,8 +73,8 @@
 }
 
 impl FakeStore {
-    fn found(&self) -> FoundRecord {
-        FoundRecord {
+    fn found(&self) -> StoredRecord {
+        StoredRecord {
             record: self
                 .log
                 .last()
@@ -133,7 +133,7 @@
 impl OperatorFleet {
     /// Creates `count` operators and a store with a first configuration.
     pub fn new(count: usize) -> Self {
-        let first = ConfigurationRecord::empty().followed_by(ChangeId(0), 1, FIRST_TEXT.to_owned());
+        let first = ConfigurationRecord::empty().with_change(ChangeId(0), 1, FIRST_TEXT.to_owned());
         Self {
             store: FakeStore { log: vec![first] },
             intents: Vec::new(),
@@ -156,7 +156,7 @@
         let intent = intent(kind, number, &self.store.log[position].text);
         self.intents.push((id, intent.clone()));
         let state = ChangeState::new(id, intent, 0, self.now + PATIENCE);
-        let step = state.start();
+        let step = state.first_step();
         self.running[operator] = Some(RunningChange { id, state, step });
     }
 
@@ -166,8 +166,8 @@
             return;
         };
         let event = match &change.step {
-            ChangeStep::Read { after } => {
-                self.now = self.now + *after;
+            ChangeStep::Read { delay } => {
+                self.now = self.now + *delay;
                 self.read(fate)
             }
             ChangeStep::Write { revision, record } => {
@@ -179,7 +179,7 @@
             }
             ChangeStep::Done(_) => return,
         };
-        change.step = change.state.next(event, self.now);
+        change.step = change.state.handle_event(event, self.now);
         if let ChangeStep::Done(outcome) = change.step {
             self.outcomes.push((change.id, outcome));
             return;
@@ -190,20 +190,20 @@
     fn read(&self, fate: CallFate) -> ChangeEvent {
         match fate {
             CallFate::Answered | CallFate::TriedTwice => ChangeEvent::Read(self.store.found()),
-            CallFate::LostBefore | CallFate::LostAfter | CallFate::Late => ChangeEvent::ReadLost,
+            CallFate::LostBefore | CallFate::LostAfter | CallFate::Late => ChangeEvent::ReadFailed,
         }
     }
 
     fn write(&mut self, write: StoreWrite, fate: CallFate) -> ChangeEvent {
         match fate {
-            CallFate::LostBefore => return ChangeEvent::WriteLost,
+            CallFate::LostBefore => return ChangeEvent::WriteResultUnknown,
             CallFate::Late => {
                 self.late.push(write);
-                return ChangeEvent::WriteLost;
+                return ChangeEvent::WriteResultUnknown;
             }
             CallFate::LostAfter => {
                 self.store.write(&write);
-                return ChangeEvent::WriteLost;
+                return ChangeEvent::WriteResultUnknown;
             }
             CallFate::TriedTwice => {
                 self.store.write(&write);
@@ -212,7 +212,7 @@
         }
         match self.store.write(&write) {
             true => ChangeEvent::Written,
-            false => ChangeEvent::Refused,
+            false => ChangeEvent::WriteRejected,
         }
     }
 
--- a/crates/platform/tests/update.rs
+++ b/crates/platform/tests/update.rs
@@ -2,13 +2,13 @@
 
 use expect_test::expect;
 use hyssopstair_platform::record::deflate_text;
-use hyssopstair_platform::update::KEPT_BYTES;
-use hyssopstair_platform::update::KEPT_STEPS;
-use hyssopstair_platform::update::UpdateContent;
+use hyssopstair_platform::update::MAX_EDIT_BYTES;
+use hyssopstair_platform::update::MAX_KEPT_STEPS;
+use hyssopstair_platform::update::PeerUpdate;
 use hyssopstair_platform::update::UpdateLog;
-use hyssopstair_platform::update::VersionText;
-use hyssopstair_platform::update::read_answer;
-use hyssopstair_platform::update::step_between;
+use hyssopstair_platform::update::VersionedText;
+use hyssopstair_platform::update::apply_answer;
+use hyssopstair_platform::update::build_step;
 use hyssopstair_rules::edit::LineEdit;
 use hyssopstair_wire::peer::ConfigurationStep;
 use hyssopstair_wire::peer::PeerAnswer;
@@ -23,12 +23,12 @@
 const SECOND: &str = "zone utr-a id 1\nservice a id 1\nservice b id 3\n";
 const THIRD: &str = "service a id 1\nservice b id 3\ndrain 10.0.0.1:7000\n";
 
-fn at(version: u64, text: &str) -> VersionText<'_> {
-    VersionText { version, text }
+fn at(version: u64, text: &str) -> VersionedText<'_> {
+    VersionedText { version, text }
 }
 
-fn step(old: VersionText<'_>, new: VersionText<'_>) -> ConfigurationStep {
-    step_between(old, new, None).expect("a step")
+fn step(old: VersionedText<'_>, new: VersionedText<'_>) -> ConfigurationStep {
+    build_step(old, new, None).expect("a step")
 }
 
 fn two_steps() -> Vec<ConfigurationStep> {
@@ -41,7 +41,7 @@
 fn log_of(steps: &[ConfigurationStep]) -> UpdateLog {
     let mut log = UpdateLog::default();
     for step in steps {
-        log.add(step.clone());
+        log.add_step(step.clone());
     }
     log
 }
@@ -84,9 +84,9 @@
 
 #[test]
 fn steps_make_the_text_in_force() {
-    let steps = log_of(&two_steps()).steps(4, 7).expect("both steps");
-    let content = read_answer(at(4, FIRST), PeerAnswer::ConfigurationSteps(steps.clone()));
-    let expected = UpdateContent::Newer {
+    let steps = log_of(&two_steps()).find_steps(4, 7).expect("both steps");
+    let content = apply_answer(at(4, FIRST), PeerAnswer::ConfigurationSteps(steps.clone()));
+    let expected = PeerUpdate::Newer {
         version: 7,
         text: THIRD.to_owned(),
         steps,
@@ -99,7 +99,7 @@
     let log = log_of(&two_steps());
     let found: Vec<Option<usize>> = [(4, 7), (5, 7), (4, 5), (3, 7), (6, 7), (4, 6), (4, 8)]
         .into_iter()
-        .map(|(from, to)| log.steps(from, to).map(|steps| steps.len()))
+        .map(|(from, to)| log.find_steps(from, to).map(|steps| steps.len()))
         .collect();
     expect![[r#"
         [
@@ -126,9 +126,9 @@
     let answer = |change: fn(&mut Vec<ConfigurationStep>)| {
         let mut steps = two_steps();
         change(&mut steps);
-        read_answer(at(4, FIRST), PeerAnswer::ConfigurationSteps(steps))
+        apply_answer(at(4, FIRST), PeerAnswer::ConfigurationSteps(steps))
     };
-    let wrong: [(&str, UpdateContent); 6] = [
+    let wrong: [(&str, PeerUpdate); 6] = [
         ("first checksum", answer(|steps| steps[0].checksum ^= 1)),
         ("last checksum", answer(|steps| steps[1].checksum ^= 1)),
         ("other version", answer(|steps| steps[1].to += 1)),
@@ -137,14 +137,14 @@
         ("no edits", answer(|steps| steps[0].edits.clear())),
     ];
     for (name, content) in wrong {
-        assert_eq!(content, UpdateContent::Mismatch, "{name}");
+        assert_eq!(content, PeerUpdate::Mismatch, "{name}");
     }
     let other_text = FIRST.replace("utr-a", "utr-b");
-    let content = read_answer(
+    let content = apply_answer(
         at(4, &other_text),
         PeerAnswer::ConfigurationSteps(two_steps()),
     );
-    assert_eq!(content, UpdateContent::Mismatch);
+    assert_eq!(content, PeerUpdate::Mismatch);
 }
 
 #[test]
@@ -153,54 +153,54 @@
         version,
         deflated_text: deflate_text(THIRD).expect("packed"),
     };
-    let newer = UpdateContent::Newer {
+    let newer = PeerUpdate::Newer {
         version: 7,
         text: THIRD.to_owned(),
         steps: Vec::new(),
     };
-    assert_eq!(read_answer(at(4, FIRST), answer(7)), newer);
-    assert_eq!(read_answer(at(7, THIRD), answer(7)), UpdateContent::Nothing);
-    assert_eq!(read_answer(at(8, THIRD), answer(7)), UpdateContent::Nothing);
+    assert_eq!(apply_answer(at(4, FIRST), answer(7)), newer);
+    assert_eq!(apply_answer(at(7, THIRD), answer(7)), PeerUpdate::Nothing);
+    assert_eq!(apply_answer(at(8, THIRD), answer(7)), PeerUpdate::Nothing);
 }
 
 #[test]
 fn steps_that_were_made_meanwhile_change_nothing() {
     let answer = PeerAnswer::ConfigurationSteps(two_steps());
-    let content = read_answer(at(7, THIRD), answer);
-    assert_eq!(content, UpdateContent::Mismatch);
+    let content = apply_answer(at(7, THIRD), answer);
+    assert_eq!(content, PeerUpdate::Mismatch);
 }
 
 #[test]
 fn texts_that_line_edits_cannot_make_have_no_step() {
     let cases = ["a\r\nb\n", "a\nb", "\n\n\r\n"];
     for text in cases {
-        assert_eq!(step_between(at(1, FIRST), at(2, text), None), None);
+        assert_eq!(build_step(at(1, FIRST), at(2, text), None), None);
     }
-    let long = "x\n".repeat(KEPT_BYTES);
-    assert_eq!(step_between(at(1, FIRST), at(2, &long), None), None);
+    let long = "x\n".repeat(MAX_EDIT_BYTES);
+    assert_eq!(build_step(at(1, FIRST), at(2, &long), None), None);
 }
 
 #[test]
 fn kept_steps_are_bounded_in_number_and_bytes() {
     let mut log = UpdateLog::default();
     for version in 1..=100 {
-        log.add(ConfigurationStep {
+        log.add_step(ConfigurationStep {
             edits: vec![0; 10],
             ..step(at(version, FIRST), at(version + 1, SECOND))
         });
     }
-    assert_eq!(log.bytes(), KEPT_STEPS * 10);
-    assert!(log.steps(101 - KEPT_STEPS as u64, 101).is_some());
-    assert!(log.steps(100 - KEPT_STEPS as u64, 101).is_none());
+    assert_eq!(log.edit_bytes(), MAX_KEPT_STEPS * 10);
+    assert!(log.find_steps(101 - MAX_KEPT_STEPS as u64, 101).is_some());
+    assert!(log.find_steps(100 - MAX_KEPT_STEPS as u64, 101).is_none());
     for version in 101..=104 {
-        log.add(ConfigurationStep {
-            edits: vec![0; KEPT_BYTES / 3],
+        log.add_step(ConfigurationStep {
+            edits: vec![0; MAX_EDIT_BYTES / 3],
             ..step(at(version, FIRST), at(version + 1, SECOND))
         });
-        assert!(log.bytes() <= KEPT_BYTES);
+        assert!(log.edit_bytes() <= MAX_EDIT_BYTES);
     }
-    assert!(log.steps(102, 105).is_some());
-    assert!(log.steps(101, 105).is_none());
+    assert!(log.find_steps(102, 105).is_some());
+    assert!(log.find_steps(101, 105).is_none());
 }
 
 proptest! {
@@ -222,26 +222,26 @@
             .collect();
         let mut log = UpdateLog::default();
         for (version, pair) in (1..).zip(texts.windows(2)) {
-            log.add(step(at(version, &pair[0]), at(version + 1, &pair[1])));
+            log.add_step(step(at(version, &pair[0]), at(version + 1, &pair[1])));
         }
         let last = texts.len() as u64;
         for (version, text) in (1..last).zip(&texts) {
-            let steps = log.steps(version, last).expect("kept");
+            let steps = log.find_steps(version, last).expect("kept");
             let answer = PeerAnswer::ConfigurationSteps(steps);
             let other = format!("{text}other\n");
-            match read_answer(at(version, text), answer.clone()) {
-                UpdateContent::Newer { version, text, .. } => {
+            match apply_answer(at(version, text), answer.clone()) {
+                PeerUpdate::Newer { version, text, .. } => {
                     prop_assert_eq!(version, last);
                     prop_assert_eq!(&text, texts.last().expect("last"));
                 }
                 content => prop_assert!(false, "{:?}", content),
             }
             // Edits of another text give the right text or none.
-            match read_answer(at(version, &other), answer) {
-                UpdateContent::Newer { text, .. } => {
+            match apply_answer(at(version, &other), answer) {
+                PeerUpdate::Newer { text, .. } => {
                     prop_assert_eq!(&text, texts.last().expect("last"));
                 }
-                content => prop_assert_eq!(content, UpdateContent::Mismatch),
+                content => prop_assert_eq!(content, PeerUpdate::Mismatch),
             }
         }
     }
--- a/crates/routing/src/view.rs
+++ b/crates/routing/src/view.rs
@@ -56,11 +56,11 @@
     /// Returns the rules for the host at address `host` of the named service, or
     /// `None` if the rules do not define the service.
     pub fn find(rules: &RuleSet, service_name: &str, host: SocketAddrV4) -> Option<Self> {
-        let service = rules.service_named(service_name)?;
+        let service = rules.find_service_by_name(service_name)?;
         Some(Self {
             service: service.id,
             connections: service.connections,
-            accepts_new_flows: rules.takes_new(service.id, host),
+            accepts_new_flows: rules.accepts_new_flows(service.id, host),
         })
     }
 }
@@ -233,10 +233,11 @@
     };
     // A suspect did not answer its probes, so it gets no new flows. Its open flows
     // stay assigned to it until it answers or is declared gone.
-    if entry.state != MemberState::Alive || !rules.takes_new(service, entry.process.address) {
+    if entry.state != MemberState::Alive || !rules.accepts_new_flows(service, entry.process.address)
+    {
         return None;
     }
-    let zone_weight = rules.service(service)?.weight(zone);
+    let zone_weight = rules.find_service(service)?.weight_in_zone(zone);
     let weight = zone_weight.saturating_mul(weight.max(1));
     let candidate = PlacementCandidate::new(entry.process, weight, secret);
     Some((service, candidate))
--- a/crates/rules/src/builder.rs
+++ b/crates/rules/src/builder.rs
@@ -43,7 +43,7 @@
     // Sorted by name once all declarations are read.
     services: Vec<DeclaredService<'a>>,
     zones: Vec<ZoneRule>,
-    drained: Vec<SocketAddrV4>,
+    drained_hosts: Vec<SocketAddrV4>,
     keys: Vec<KeyNumber>,
     errors: Vec<RuleError>,
 }
@@ -166,13 +166,15 @@
                 prefix,
             } => {
                 let pattern = IdempotentPattern { method, prefix };
-                self.service(line, &service)?.idempotent.push(pattern);
+                self.service(line, &service)?
+                    .idempotent_patterns
+                    .push(pattern);
             }
             Rule::Stream { service, prefix } => {
-                self.service(line, &service)?.streams.push(prefix);
+                self.service(line, &service)?.stream_prefixes.push(prefix);
             }
-            Rule::Withdraw { service } => self.service(line, &service)?.withdrawn = true,
-            Rule::Drain { host } => self.drained.push(host),
+            Rule::Withdraw { service } => self.service(line, &service)?.is_withdrawn = true,
+            Rule::Drain { host } => self.drained_hosts.push(host),
             Rule::Key { number } => self.keys.push(number),
         }
         Ok(())
@@ -191,7 +193,7 @@
         };
         let zone = found.id;
         let service = self.once(line, service, OnceKind::Weight(zone))?;
-        service.weights.push(ZoneWeight { zone, weight });
+        service.zone_weights.push(ZoneWeight { zone, weight });
         Ok(())
     }
 
@@ -230,7 +232,11 @@
     fn check_weights(&mut self) {
         for service in &self.services {
             let rule = &service.rule;
-            let zeros = rule.weights.iter().filter(|item| item.weight == 0).count();
+            let zeros = rule
+                .zone_weights
+                .iter()
+                .filter(|item| item.weight == 0)
+                .count();
             if zeros == 0 || zeros < self.zones.len() {
                 continue;
             }
@@ -251,12 +257,12 @@
         let mut services: Vec<ServiceRule> =
             self.services.into_iter().map(|item| item.rule).collect();
         for service in &mut services {
-            service.weights.sort_by_key(|item| item.zone);
+            service.zone_weights.sort_by_key(|item| item.zone);
         }
         Ok(RuleSet::order(
             services,
             self.zones,
-            self.drained,
+            self.drained_hosts,
             self.keys,
         ))
     }
--- a/crates/rules/src/carry_settings.rs
+++ b/crates/rules/src/carry_settings.rs
@@ -91,7 +91,7 @@
     }
 
     /// Returns the address for messages between processes.
-    pub fn inner(&self) -> SocketAddrV4 {
+    pub fn inner_address(&self) -> SocketAddrV4 {
         let port = self.inner_bind.unwrap_or(self.inner_ports.0);
         SocketAddrV4::new(*self.packets.ip(), port)
     }
--- a/crates/rules/src/drain.rs
+++ b/crates/rules/src/drain.rs
@@ -7,7 +7,7 @@
 
 /// Returns the text with a drain rule for `host`, unless it has one already.
 pub fn add_drain(text: &str, host: SocketAddrV4, asked_by: &str) -> String {
-    let mut new = normalize(text);
+    let mut new = normalize_line_breaks(text);
     if !text.lines().any(|line| is_drain(line, host)) {
         new.push_str(&format!("drain {host}  # {asked_by}\n"));
     }
@@ -21,7 +21,7 @@
 }
 
 /// Returns the text with a line break after each line, the last included.
-pub fn normalize(text: &str) -> String {
+pub fn normalize_line_breaks(text: &str) -> String {
     text.lines().flat_map(|line| [line, "\n"]).collect()
 }
 
--- a/crates/rules/src/rule_set.rs
+++ b/crates/rules/src/rule_set.rs
@@ -33,7 +33,7 @@
     /// The availability zones, sorted by name.
     pub zones: Vec<ZoneRule>,
     /// Hosts that take nothing new, sorted.
-    pub drained: Vec<SocketAddrV4>,
+    pub drained_hosts: Vec<SocketAddrV4>,
     /// Route keys that are honoured, sorted; the last one seals.
     pub keys: Vec<KeyNumber>,
     by_name: Vec<IndexEntry<String>>,
@@ -54,13 +54,13 @@
     pub(crate) fn order(
         mut services: Vec<ServiceRule>,
         mut zones: Vec<ZoneRule>,
-        mut drained: Vec<SocketAddrV4>,
+        mut drained_hosts: Vec<SocketAddrV4>,
         mut keys: Vec<KeyNumber>,
     ) -> Self {
         services.sort_by_key(|service| service.id);
         zones.sort_by(|left, right| left.name.cmp(&right.name));
-        drained.sort_unstable();
-        drained.dedup();
+        drained_hosts.sort_unstable();
+        drained_hosts.dedup();
         keys.sort_unstable();
         keys.dedup();
         Self {
@@ -68,13 +68,13 @@
             by_address: index_by(&services, |service| service.address),
             services,
             zones,
-            drained,
+            drained_hosts,
             keys,
         }
     }
 
     /// Returns the rules of a service by its number.
-    pub fn service(&self, id: ServiceId) -> Option<&ServiceRule> {
+    pub fn find_service(&self, id: ServiceId) -> Option<&ServiceRule> {
         let index = self
             .services
             .binary_search_by_key(&id, |service| service.id)
@@ -83,7 +83,7 @@
     }
 
     /// Returns the rules of a service by the address that callers send to.
-    pub fn service_at(&self, address: SocketAddrV4) -> Option<&ServiceRule> {
+    pub fn find_service_by_address(&self, address: SocketAddrV4) -> Option<&ServiceRule> {
         let index = self
             .by_address
             .binary_search_by_key(&address, |entry| entry.key)
@@ -92,7 +92,7 @@
     }
 
     /// Returns the rules of a service by its name.
-    pub fn service_named(&self, name: &str) -> Option<&ServiceRule> {
+    pub fn find_service_by_name(&self, name: &str) -> Option<&ServiceRule> {
         let index = self
             .by_name
             .binary_search_by(|entry| entry.key.as_str().cmp(name))
@@ -101,7 +101,7 @@
     }
 
     /// Returns the number of a zone by its name.
-    pub fn zone(&self, name: &str) -> Option<u8> {
+    pub fn find_zone_id(&self, name: &str) -> Option<u8> {
         let index = self
             .zones
             .binary_search_by(|zone| zone.name.as_str().cmp(name))
@@ -111,13 +111,15 @@
 
     /// Returns whether a host is to take nothing new.
     pub fn is_drained(&self, host: SocketAddrV4) -> bool {
-        self.drained.binary_search(&host).is_ok()
+        self.drained_hosts.binary_search(&host).is_ok()
     }
 
     /// Returns whether a host of a service may take new work by the rules.
-    pub fn takes_new(&self, service: ServiceId, host: SocketAddrV4) -> bool {
-        let withdrawn = self.service(service).is_some_and(|rule| rule.withdrawn);
-        !withdrawn && !self.is_drained(host)
+    pub fn accepts_new_flows(&self, service: ServiceId, host: SocketAddrV4) -> bool {
+        let is_withdrawn = self
+            .find_service(service)
+            .is_some_and(|rule| rule.is_withdrawn);
+        !is_withdrawn && !self.is_drained(host)
     }
 
     /// Returns the number of the key that seals.
--- a/crates/rules/src/service_rule.rs
+++ b/crates/rules/src/service_rule.rs
@@ -46,13 +46,13 @@
     /// Longest time of a request, in milliseconds.
     pub deadline_millis: u32,
     /// Requests that may be run more than once.
-    pub idempotent: Vec<IdempotentPattern>,
+    pub idempotent_patterns: Vec<IdempotentPattern>,
     /// Starts of the paths whose answers last for hours.
-    pub streams: Vec<String>,
+    pub stream_prefixes: Vec<String>,
     /// Weights by zone, sorted by zone.
-    pub weights: Vec<ZoneWeight>,
+    pub zone_weights: Vec<ZoneWeight>,
     /// Whether no host takes new flows of the service.
-    pub withdrawn: bool,
+    pub is_withdrawn: bool,
 }
 
 impl ServiceRule {
@@ -65,29 +65,34 @@
             connections: 2_000,
             queue: 2,
             deadline_millis: DEFAULT_DEADLINE_MILLIS,
-            idempotent: Vec::new(),
-            streams: Vec::new(),
-            weights: Vec::new(),
-            withdrawn: false,
+            idempotent_patterns: Vec::new(),
+            stream_prefixes: Vec::new(),
+            zone_weights: Vec::new(),
+            is_withdrawn: false,
         }
     }
 
     /// Returns whether a request may be run more than once.
     pub fn is_idempotent(&self, method: &str, path: &str) -> bool {
-        self.idempotent
+        self.idempotent_patterns
             .iter()
             .any(|pattern| pattern.method == method && path.starts_with(&pattern.prefix))
     }
 
     /// Returns whether the answer to a request lasts for hours.
     pub fn is_stream(&self, path: &str) -> bool {
-        self.streams.iter().any(|prefix| path.starts_with(prefix))
+        self.stream_prefixes
+            .iter()
+            .any(|prefix| path.starts_with(prefix))
     }
 
     /// Returns the weight of a host in a zone.
-    pub fn weight(&self, zone: u8) -> u16 {
-        match self.weights.binary_search_by_key(&zone, |item| item.zone) {
-            Ok(index) => self.weights[index].weight,
+    pub fn weight_in_zone(&self, zone: u8) -> u16 {
+        match self
+            .zone_weights
+            .binary_search_by_key(&zone, |item| item.zone)
+        {
+            Ok(index) => self.zone_weights[index].weight,
             Err(_) => DEFAULT_WEIGHT,
         }
     }
--- a/crates/rules/tests/rule_lookup.rs
+++ b/crates/rules/tests/rule_lookup.rs
@@ -12,10 +12,10 @@
 fn a_service_is_found_by_number_name_and_address() {
     let rules = RuleSet::parse(&with_lines("")).expect("valid rules");
     let found = [
-        rules.service(ServiceId(2)),
-        rules.service_named("leerplein"),
-        rules.service_at("127.1.0.11:4433".parse().expect("address")),
-        rules.service_named("specdesk"),
+        rules.find_service(ServiceId(2)),
+        rules.find_service_by_name("leerplein"),
+        rules.find_service_by_address("127.1.0.11:4433".parse().expect("address")),
+        rules.find_service_by_name("specdesk"),
     ]
     .map(|service| service.map(|service| service.name.as_str()));
     expect![[r#"
@@ -43,9 +43,9 @@
     .expect("valid rules");
     let host = |text: &str| text.parse().expect("address");
     let found = [
-        rules.takes_new(ServiceId(1), host("127.1.2.1:7000")),
-        rules.takes_new(ServiceId(2), host("127.1.3.1:7000")),
-        rules.takes_new(ServiceId(2), host("127.1.3.2:7000")),
+        rules.accepts_new_flows(ServiceId(1), host("127.1.2.1:7000")),
+        rules.accepts_new_flows(ServiceId(2), host("127.1.3.1:7000")),
+        rules.accepts_new_flows(ServiceId(2), host("127.1.3.2:7000")),
     ];
     expect![[r#"
         [
