--- a/crates/rules/src/builder.rs
+++ b/crates/rules/src/builder.rs
@@ -1,11 +1,15 @@
-//! Builds the rules of a file from its lines.
+//! Builds a [`RuleSet`] from the lines of a rule file.
+//!
+//! Services and zones may be declared after the rules that refer to them. All
+//! declarations are therefore collected first, and the other rules are added to
+//! them in a second pass.
 
 use std::net::SocketAddrV4;
 
 use hyssopstair_wire::token::KeyNumber;
 
 use crate::error::RuleError;
-use crate::hint::nearest_word;
+use crate::hint::find_nearest_word;
 use crate::line::RuleLine;
 use crate::rule::Rule;
 use crate::rule_set::RuleSet;
@@ -14,33 +18,35 @@
 use crate::service_rule::ServiceRule;
 use crate::service_rule::ZoneWeight;
 
-/// What a file may say only once for each service.
+/// A kind of rule that a file may contain only once for each service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum OnceKind {
+enum UniqueRule {
     Limit,
     Deadline,
+    /// The weight in the zone with this number.
     Weight(u8),
 }
 
-/// A line that was read, with its rule.
+/// A line and the rule on it.
 #[derive(Debug)]
-struct ReadLine<'a> {
+struct ParsedLine<'a> {
     line: RuleLine<'a>,
     rule: Rule,
 }
 
-/// A declared service and the line that declares it.
+/// A service and the line that declares it.
 #[derive(Debug)]
 struct DeclaredService<'a> {
     line: RuleLine<'a>,
     rule: ServiceRule,
-    given: Vec<OnceKind>,
+    /// The unique rules that were found so far.
+    unique_rules: Vec<UniqueRule>,
 }
 
-/// Collects the rules of a file.
+/// Collects the rules and errors of a file.
 #[derive(Debug, Default)]
 pub(crate) struct RuleBuilder<'a> {
-    // Sorted by name once all declarations are read.
+    /// Sorted by name once all declarations are read.
     services: Vec<DeclaredService<'a>>,
     zones: Vec<ZoneRule>,
     drained_hosts: Vec<SocketAddrV4>,
@@ -49,35 +55,39 @@
 }
 
 impl<'a> RuleBuilder<'a> {
-    /// Reads a rule file; of mistakes, returns all, by line.
-    pub(crate) fn read(text: &'a str) -> Result<RuleSet, Vec<RuleError>> {
+    /// Parses a rule file.
+    ///
+    /// # Errors
+    ///
+    /// Returns all errors in the file, sorted by line.
+    pub(crate) fn parse(text: &'a str) -> Result<RuleSet, Vec<RuleError>> {
         let mut builder = Self::default();
-        let uses = builder.read_declarations(text);
-        builder.check_services();
-        for used in uses {
-            if let Err(error) = builder.add_use(&used.line, used.rule) {
+        let other_rules = builder.parse_declarations(text);
+        builder.check_duplicate_services();
+        for parsed in other_rules {
+            if let Err(error) = builder.add_rule(&parsed.line, parsed.rule) {
                 builder.errors.push(error);
             }
         }
-        builder.check_weights();
-        builder.finish()
+        builder.check_zero_weights();
+        builder.build()
     }
 
-    /// Reads all lines, keeps declarations, and returns the other rules.
-    fn read_declarations(&mut self, text: &'a str) -> Vec<ReadLine<'a>> {
-        let mut uses = Vec::new();
+    /// Parses all lines, stores the declarations, and returns the other rules.
+    fn parse_declarations(&mut self, text: &'a str) -> Vec<ParsedLine<'a>> {
+        let mut other_rules = Vec::new();
         for (index, text) in text.lines().enumerate() {
             let mut line = RuleLine::split(index + 1, text);
             if line.is_blank() {
                 continue;
             }
-            match read_line(&mut line) {
+            match parse_line(&mut line) {
                 Ok(Rule::Service { name, id, address }) => {
                     let rule = ServiceRule::new(id, name, address);
                     self.services.push(DeclaredService {
                         line,
                         rule,
-                        given: Vec::new(),
+                        unique_rules: Vec::new(),
                     });
                 }
                 Ok(Rule::Zone { name, id }) => {
@@ -85,25 +95,26 @@
                         self.errors.push(error);
                     }
                 }
-                Ok(rule) => uses.push(ReadLine { line, rule }),
+                Ok(rule) => other_rules.push(ParsedLine { line, rule }),
                 Err(error) => self.errors.push(error),
             }
         }
-        uses
+        other_rules
     }
 
-    /// Finds services that share a name, number or address, and leaves the
-    /// services sorted by name.
-    fn check_services(&mut self) {
-        self.find_clash("address", |service| service.address);
-        self.find_clash("id", |service| service.id);
-        self.find_clash("name", |service| service.name.clone());
+    /// Adds errors for services with the same name, number or address, and leaves
+    /// the services sorted by name.
+    fn check_duplicate_services(&mut self) {
+        self.check_duplicates("address", |service| service.address);
+        self.check_duplicates("id", |service| service.id);
+        self.check_duplicates("name", |service| service.name.clone());
         self.services
             .dedup_by(|left, right| left.rule.name == right.rule.name);
     }
 
-    fn find_clash<K: Ord>(&mut self, what: &str, key: impl Fn(&ServiceRule) -> K) {
-        // The sort is stable, so the later line of two is the one that errs.
+    fn check_duplicates<K: Ord>(&mut self, property: &str, key: impl Fn(&ServiceRule) -> K) {
+        // Services with equal keys are sorted by line, so that the error is reported
+        // on the later line.
         self.services.sort_by(|left, right| {
             let order = key(&left.rule).cmp(&key(&right.rule));
             order.then(left.line.number().cmp(&right.line.number()))
@@ -114,30 +125,35 @@
                 continue;
             }
             let message = format!(
-                "service \"{}\" has the {what} of service \"{}\" on line {}",
+                "service \"{}\" has the same {property} as service \"{}\" on line {}",
                 second.rule.name,
                 first.rule.name,
                 first.line.number()
             );
-            let hint = format!("choose another {what}");
-            self.errors.push(second.line.error_at(1, message, &hint));
+            let hint = format!("choose another {property}");
+            self.errors
+                .push(second.line.error_at_column(1, message, &hint));
         }
     }
 
     fn add_zone(&mut self, line: &RuleLine<'_>, name: String, id: u8) -> Result<(), RuleError> {
-        let clash = self
+        let duplicate = self
             .zones
             .iter()
             .find(|other| other.name == name || other.id == id);
-        if let Some(other) = clash {
-            let message = format!("zone \"{name}\" clashes with zone \"{}\"", other.name);
-            return Err(line.error_at(1, message, "give it a name and id of its own"));
+        if let Some(other) = duplicate {
+            let message = format!(
+                "zone \"{name}\" has the same name or id as zone \"{}\"",
+                other.name
+            );
+            return Err(line.error_at_column(1, message, "use a unique name and a unique id"));
         }
         self.zones.push(ZoneRule { name, id });
         Ok(())
     }
 
-    fn add_use(&mut self, line: &RuleLine<'_>, rule: Rule) -> Result<(), RuleError> {
+    /// Adds a rule that is not a declaration.
+    fn add_rule(&mut self, line: &RuleLine<'_>, rule: Rule) -> Result<(), RuleError> {
         match rule {
             Rule::Service { .. } | Rule::Zone { .. } => {}
             Rule::Weight {
@@ -151,13 +167,13 @@
                 connections,
                 queue,
             } => {
-                let service = self.once(line, &service, OnceKind::Limit)?;
+                let service = self.add_unique_rule(line, &service, UniqueRule::Limit)?;
                 service.slots = slots;
                 service.connections = connections;
                 service.queue = queue;
             }
             Rule::Deadline { service, millis } => {
-                self.once(line, &service, OnceKind::Deadline)?
+                self.add_unique_rule(line, &service, UniqueRule::Deadline)?
                     .deadline_millis = millis;
             }
             Rule::Idempotent {
@@ -166,14 +182,16 @@
                 prefix,
             } => {
                 let pattern = IdempotentPattern { method, prefix };
-                self.service(line, &service)?
+                self.find_service(line, &service)?
                     .idempotent_patterns
                     .push(pattern);
             }
             Rule::Stream { service, prefix } => {
-                self.service(line, &service)?.stream_prefixes.push(prefix);
+                self.find_service(line, &service)?
+                    .stream_prefixes
+                    .push(prefix);
             }
-            Rule::Withdraw { service } => self.service(line, &service)?.is_withdrawn = true,
+            Rule::Withdraw { service } => self.find_service(line, &service)?.is_withdrawn = true,
             Rule::Drain { host } => self.drained_hosts.push(host),
             Rule::Key { number } => self.keys.push(number),
         }
@@ -187,79 +205,95 @@
         zone: &str,
         weight: u16,
     ) -> Result<(), RuleError> {
-        let Some(found) = self.zones.iter().find(|other| other.name == zone) else {
+        let Some(zone_rule) = self.zones.iter().find(|other| other.name == zone) else {
             let names = self.zones.iter().map(|other| other.name.as_str());
-            return Err(undeclared(line, "zone", zone, names, 2));
+            return Err(undeclared_error(line, "zone", zone, names, 2));
         };
-        let zone = found.id;
-        let service = self.once(line, service, OnceKind::Weight(zone))?;
+        let zone = zone_rule.id;
+        let service = self.add_unique_rule(line, service, UniqueRule::Weight(zone))?;
         service.zone_weights.push(ZoneWeight { zone, weight });
         Ok(())
     }
 
-    fn service_index(&self, line: &RuleLine<'_>, name: &str) -> Result<usize, RuleError> {
+    fn find_service_index(&self, line: &RuleLine<'_>, name: &str) -> Result<usize, RuleError> {
         self.services
             .binary_search_by(|service| service.rule.name.as_str().cmp(name))
             .map_err(|_| {
                 let names = self.services.iter().map(|other| other.rule.name.as_str());
-                undeclared(line, "service", name, names, 1)
+                undeclared_error(line, "service", name, names, 1)
             })
     }
 
-    fn service(&mut self, line: &RuleLine<'_>, name: &str) -> Result<&mut ServiceRule, RuleError> {
-        let index = self.service_index(line, name)?;
+    fn find_service(
+        &mut self,
+        line: &RuleLine<'_>,
+        name: &str,
+    ) -> Result<&mut ServiceRule, RuleError> {
+        let index = self.find_service_index(line, name)?;
         Ok(&mut self.services[index].rule)
     }
 
-    /// Returns a service for a rule that may be given once. Of two such rules
-    /// one would be lost without a word, when two operators add one each.
-    fn once(
+    /// Records a rule that a file may contain only once for each service, and returns
+    /// the service. If two operators each add such a rule, one of the two would
+    /// silently override the other.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the service is not declared or already has such a rule.
+    fn add_unique_rule(
         &mut self,
         line: &RuleLine<'_>,
         name: &str,
-        kind: OnceKind,
+        unique_rule: UniqueRule,
     ) -> Result<&mut ServiceRule, RuleError> {
-        let index = self.service_index(line, name)?;
+        let index = self.find_service_index(line, name)?;
         let service = &mut self.services[index];
-        if service.given.contains(&kind) {
-            let message = format!("this rule is given twice for service \"{name}\"");
-            return Err(line.error_at(1, message, "keep one of the two lines"));
+        if service.unique_rules.contains(&unique_rule) {
+            let message = format!("duplicate rule for service \"{name}\"");
+            return Err(line.error_at_column(1, message, "keep only one of the two lines"));
         }
-        service.given.push(kind);
+        service.unique_rules.push(unique_rule);
         Ok(&mut service.rule)
     }
 
-    fn check_weights(&mut self) {
+    /// Adds errors for services that have weight 0 in all zones.
+    fn check_zero_weights(&mut self) {
         for service in &self.services {
             let rule = &service.rule;
-            let zeros = rule
+            let zero_count = rule
                 .zone_weights
                 .iter()
-                .filter(|item| item.weight == 0)
+                .filter(|zone_weight| zone_weight.weight == 0)
                 .count();
-            if zeros == 0 || zeros < self.zones.len() {
+            if zero_count == 0 || zero_count < self.zones.len() {
                 continue;
             }
             let message = format!("service \"{}\" has weight 0 in every zone", rule.name);
             let hint = format!(
-                "write \"withdraw {}\" if it is to take nothing new",
+                "write \"withdraw {}\" if the service must not receive new flows",
                 rule.name
             );
-            self.errors.push(service.line.error_at(1, message, &hint));
+            self.errors
+                .push(service.line.error_at_column(1, message, &hint));
         }
     }
 
-    fn finish(mut self) -> Result<RuleSet, Vec<RuleError>> {
+    fn build(mut self) -> Result<RuleSet, Vec<RuleError>> {
         if !self.errors.is_empty() {
             self.errors.sort_by_key(|error| (error.line, error.column));
             return Err(self.errors);
         }
-        let mut services: Vec<ServiceRule> =
-            self.services.into_iter().map(|item| item.rule).collect();
+        let mut services: Vec<ServiceRule> = self
+            .services
+            .into_iter()
+            .map(|service| service.rule)
+            .collect();
         for service in &mut services {
-            service.zone_weights.sort_by_key(|item| item.zone);
+            service
+                .zone_weights
+                .sort_by_key(|zone_weight| zone_weight.zone);
         }
-        Ok(RuleSet::order(
+        Ok(RuleSet::from_valid_rules(
             services,
             self.zones,
             self.drained_hosts,
@@ -268,27 +302,28 @@
     }
 }
 
-fn read_line(line: &mut RuleLine<'_>) -> Result<Rule, RuleError> {
+fn parse_line(line: &mut RuleLine<'_>) -> Result<Rule, RuleError> {
     let rule = Rule::parse(line)?;
     if line.comment.is_none_or(str::is_empty) {
-        let message = "the comment that names who asked is missing";
+        let message = "missing comment that names who asked for the rule";
         return Err(line.error_at_end(message, "end the line with # and a name"));
     }
     Ok(rule)
 }
 
-/// Returns the error of a name, the word at `position`, that nothing declares.
-fn undeclared<'n>(
+/// Creates the error for a name that is not declared. `index` is the position of
+/// the name among the words of the line.
+fn undeclared_error<'n>(
     line: &RuleLine<'_>,
-    what: &str,
+    kind: &str,
     name: &str,
     names: impl Iterator<Item = &'n str>,
-    position: usize,
+    index: usize,
 ) -> RuleError {
-    let message = format!("{what} \"{name}\" is not declared");
-    let hint = match nearest_word(name, names) {
-        Some(near) => format!("did you mean \"{near}\"? Otherwise add a {what} rule"),
-        None => format!("add a {what} rule"),
+    let message = format!("{kind} \"{name}\" is not declared");
+    let hint = match find_nearest_word(name, names) {
+        Some(nearest) => format!("did you mean \"{nearest}\"? Otherwise add a {kind} rule"),
+        None => format!("add a {kind} rule"),
     };
-    line.error_at(line.column(position), message, &hint)
+    line.error_at_column(line.word_column(index), message, &hint)
 }
--- a/crates/rules/src/carry_settings.rs
+++ b/crates/rules/src/carry_settings.rs
@@ -1,102 +1,112 @@
-//! The settings of a process that carries flows without ending them, in YAML.
+//! The YAML settings of a process that forwards flows without terminating them.
 //!
-//! Unlike [`DaemonSettings`](crate::settings::DaemonSettings), unknown fields are
-//! passed over: the platform fills in a template, and its newer versions may know
-//! more.
+//! Unlike in [`DaemonSettings`](crate::settings::DaemonSettings), unknown fields are
+//! ignored: the platform generates the file from a template, and a newer version of
+//! the platform may add fields.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
 use serde::Deserialize;
 
-/// What a process does.
+/// The role of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CarryRole {
-    /// Callers' packets arrive at it.
+    /// Receives packets from callers and forwards them to hosts.
     Balancer,
-    /// It runs beside a backend server.
+    /// Runs beside a backend server.
     Host,
 }
 
-/// The settings of one process.
+/// The settings of a process.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct CarrySettings {
-    /// Name of the instance, for logs.
+    /// Name of the instance, used in logs.
     pub name: String,
-    /// What the process does.
+    /// The role of the process.
     pub role: CarryRole,
     /// Availability zone of the instance.
     pub zone: String,
-    /// Where packets arrive over UDP: those of callers at a balancer. The port is
-    /// also the one that callers get their packets at.
+    /// UDP address on which the process receives packets; on a balancer, those of
+    /// callers. Callers also receive their packets on this port.
     pub packets: SocketAddrV4,
-    /// Where readiness is asked for over HTTP.
+    /// HTTP address of the readiness check.
     pub readiness: SocketAddrV4,
-    /// Where metrics are served over HTTP, at `/metrics`; nowhere if left out.
+    /// HTTP address on which metrics are served, at `/metrics`; if missing, they are
+    /// not served.
     #[serde(default)]
     pub metrics: Option<SocketAddrV4>,
     /// First and last port for messages between processes.
     pub inner_ports: (u16, u16),
-    /// Port for messages between processes at this one, if it is not the first of
-    /// `inner_ports`, as something in between passes them on.
+    /// Port on which this process receives messages from other processes. Needed only
+    /// if a relay forwards them from the first port of `inner_ports`, which is the
+    /// default.
     #[serde(default)]
     pub inner_bind: Option<u16>,
-    /// Addresses of some balancers; they may be old.
+    /// Addresses of some balancers, which may be outdated.
     #[serde(default)]
     pub contacts: Vec<SocketAddrV4>,
     /// Address of the platform's key-value store.
     pub store: SocketAddrV4,
-    /// Age after which a flow may be forgotten, in seconds.
+    /// Time without packets after which a flow may be removed, in seconds.
     pub max_flow_seconds: f64,
-    /// Time between the signal to stop and the end of the process, in seconds.
+    /// Time from the stop signal to the end of the process, in seconds.
     pub grace_seconds: f64,
-    /// What only a host has.
+    /// The backend server; required for a host.
     #[serde(default)]
     pub server: Option<ServerSettings>,
 }
 
-/// The server beside a host.
+/// The backend server of a host.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct ServerSettings {
-    /// Name of its service.
+    /// Name of the service that the server provides.
     pub service: String,
-    /// Where it takes packets over UDP, and health checks over HTTP.
+    /// Address on which the server receives packets over UDP and health checks over
+    /// HTTP.
     pub address: SocketAddrV4,
-    /// Where it sends its own packets to, over UDP.
+    /// UDP address to which the server sends its packets.
     pub outbound: SocketAddrV4,
-    /// Where it sends its heartbeats to, over HTTP.
+    /// HTTP address to which the server sends its heartbeats.
     pub heartbeats: SocketAddrV4,
 }
 
 impl CarrySettings {
-    /// Reads settings and checks them.
+    /// Parses and validates settings.
     ///
     /// # Errors
     ///
-    /// Returns a text that names the mistake.
+    /// Returns a message that describes the first error.
     pub fn parse(text: &str) -> Result<Self, String> {
         let settings: Self = serde_saphyr::from_str(text).map_err(|error| error.to_string())?;
         if settings.inner_ports.0 > settings.inner_ports.1 {
-            return Err("inner_ports: the first port is above the last".to_owned());
+            return Err("inner_ports: the first port is greater than the last port".to_owned());
         }
-        let times = [settings.max_flow_seconds, settings.grace_seconds];
-        if times.iter().any(|seconds| !(0.0..1e6).contains(seconds)) {
-            return Err("max_flow_seconds, grace_seconds: not a time".to_owned());
+        let durations = [settings.max_flow_seconds, settings.grace_seconds];
+        if durations
+            .iter()
+            .any(|seconds| !(0.0..1e6).contains(seconds))
+        {
+            return Err(
+                "max_flow_seconds, grace_seconds: must be at least 0 and less than 1000000"
+                    .to_owned(),
+            );
         }
         if settings.role == CarryRole::Host && settings.server.is_none() {
-            return Err("server: a host needs the settings of its server".to_owned());
+            return Err("server: missing field, required for the role host".to_owned());
         }
         Ok(settings)
     }
 
-    /// Returns the address for messages between processes.
+    /// Returns the address on which the process receives messages from other
+    /// processes.
     pub fn inner_address(&self) -> SocketAddrV4 {
         let port = self.inner_bind.unwrap_or(self.inner_ports.0);
         SocketAddrV4::new(*self.packets.ip(), port)
     }
 
-    /// Returns the age after which a flow may be forgotten.
+    /// Returns the time without packets after which a flow may be removed.
     pub fn max_flow_age(&self) -> Duration {
         Duration::from_secs_f64(self.max_flow_seconds)
     }
--- a/crates/rules/src/edit.rs
+++ b/crates/rules/src/edit.rs
@@ -1,8 +1,8 @@
-//! Differences between two rule files, line by line, and their merge.
+//! Line differences between two rule files, and three-way merges.
 //!
-//! The order of rules has no meaning, and each line is a rule of its own. So two
-//! edits clash only where both touch the same line of the text that they
-//! started from; lines that both add at one place are all kept.
+//! Each line is a rule of its own, and the order of the rules has no meaning. Two
+//! edits therefore conflict only if both change the same line of their common base.
+//! If both add lines at the same position, all of these lines are kept.
 
 use std::time::Instant;
 
@@ -11,48 +11,49 @@
 use similar::Algorithm;
 use similar::DiffOp;
 
-/// Replaces some lines of a text by others.
+/// Replaces consecutive lines of a text.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LineEdit {
-    /// Lines of the old text before the edit.
+    /// Index of the first replaced line in the old text, starting at 0.
     pub start: usize,
-    /// Lines that are removed.
+    /// Number of lines that are removed.
     pub removed: usize,
-    /// Lines that are put in their place.
+    /// Lines that are added in their place.
     pub added: Vec<String>,
 }
 
 /// A line that two edits change differently.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LineConflict {
-    /// The number of the line in the text that both started from, from 1.
+    /// The line number in the common base, starting at 1.
     pub line: usize,
-    /// The line in that text.
+    /// The line in the common base.
     pub base: String,
-    /// What the first edit makes of it; nothing when it is removed.
+    /// Its replacement in the first edit; empty if the line is removed.
     pub ours: Vec<String>,
-    /// What the second edit makes of it.
+    /// Its replacement in the second edit; empty if the line is removed.
     pub theirs: Vec<String>,
 }
 
-/// Returns the edits that make `new` of `old`.
+/// Returns the edits that turn `old` into `new`.
 pub fn diff_lines(old: &str, new: &str) -> Vec<LineEdit> {
     diff_lines_until(old, new, None)
 }
 
-/// Returns the edits that make `new` of `old`. They are right but may be longer
-/// than needed when the deadline passes before the shortest are found.
+/// Returns the edits that turn `old` into `new`. If the deadline passes before the
+/// search for the shortest edits ends, they are correct but may be longer than
+/// necessary.
 pub fn diff_lines_until(old: &str, new: &str, deadline: Option<Instant>) -> Vec<LineEdit> {
     let old: Vec<&str> = old.lines().collect();
     let new: Vec<&str> = new.lines().collect();
-    // Rules are mostly unique lines, which this algorithm finds first.
+    // The patience algorithm matches unique lines first, and most rules are unique.
     similar::capture_diff_slices_deadline(Algorithm::Patience, &old, &new, deadline)
         .iter()
-        .filter_map(|operation| line_edit(operation, &new))
+        .filter_map(|operation| to_line_edit(operation, &new))
         .collect()
 }
 
-fn line_edit(operation: &DiffOp, new: &[&str]) -> Option<LineEdit> {
+fn to_line_edit(operation: &DiffOp, new: &[&str]) -> Option<LineEdit> {
     if let DiffOp::Equal { .. } = operation {
         return None;
     }
@@ -67,26 +68,28 @@
     })
 }
 
-/// Carries out edits, which are in order; returns nothing when they do not fit
-/// the text.
+/// Applies edits, sorted by position, and returns the new text. Returns `None` if
+/// an edit lies outside the text or overlaps the previous one.
 pub fn apply_edits(old: &str, edits: &[LineEdit]) -> Option<String> {
     let old: Vec<&str> = old.lines().collect();
     let mut new: Vec<&str> = Vec::with_capacity(old.len());
-    let mut next = 0;
+    let mut next_line = 0;
     for edit in edits {
-        new.extend(old.get(next..edit.start)?);
+        new.extend(old.get(next_line..edit.start)?);
         new.extend(edit.added.iter().map(String::as_str));
-        next = edit.start.checked_add(edit.removed)?;
+        next_line = edit.start.checked_add(edit.removed)?;
     }
-    new.extend(old.get(next..)?);
+    new.extend(old.get(next_line..)?);
     Some(join_lines(&new))
 }
 
-/// Merges two texts that were both made of `base`.
+/// Merges two texts that were both edited from `base`. Lines that both add at the
+/// same position appear once if they are equal; otherwise those of `theirs` come
+/// first.
 ///
 /// # Errors
 ///
-/// Returns the lines that both changed differently.
+/// Returns the lines of `base` that both texts change differently.
 pub fn merge_lines(base: &str, ours: &str, theirs: &str) -> Result<String, Vec<LineConflict>> {
     let base_lines: Vec<&str> = base.lines().collect();
     let ours = LineChanges::between(base, ours);
@@ -94,7 +97,7 @@
     let mut merged: Vec<&str> = Vec::new();
     let mut conflicts = Vec::new();
     for (index, line) in base_lines.iter().enumerate() {
-        merge_inserts(&mut merged, &theirs.inserted[index], &ours.inserted[index]);
+        merge_insertions(&mut merged, &theirs.inserted[index], &ours.inserted[index]);
         match (&ours.replaced[index], &theirs.replaced[index]) {
             (None, None) => merged.push(line),
             (Some(lines), None) | (None, Some(lines)) => merged.extend(as_strs(lines)),
@@ -108,36 +111,37 @@
         }
     }
     let end = base_lines.len();
-    merge_inserts(&mut merged, &theirs.inserted[end], &ours.inserted[end]);
+    merge_insertions(&mut merged, &theirs.inserted[end], &ours.inserted[end]);
     if conflicts.is_empty() {
         return Ok(join_lines(&merged));
     }
     Err(conflicts)
 }
 
-/// What an edit does to each line of the old text.
+/// The changes of an edit, indexed by the lines of the old text.
 #[derive(Debug)]
 struct LineChanges {
-    /// For each line, what stands in its place.
+    /// The replacement of each line; `None` if the line is unchanged.
     replaced: Vec<Option<Vec<String>>>,
-    /// For each line and the end, the lines that are added before it.
+    /// The lines that are inserted before each line; the last item has those that
+    /// are appended to the text.
     inserted: Vec<Vec<String>>,
 }
 
 impl LineChanges {
     fn between(old: &str, new: &str) -> Self {
-        let count = old.lines().count();
+        let line_count = old.lines().count();
         let mut changes = Self {
-            replaced: vec![None; count],
-            inserted: vec![Vec::new(); count + 1],
+            replaced: vec![None; line_count],
+            inserted: vec![Vec::new(); line_count + 1],
         };
         for edit in diff_lines(old, new) {
-            changes.note(edit);
+            changes.add_edit(edit);
         }
         changes
     }
 
-    fn note(&mut self, edit: LineEdit) {
+    fn add_edit(&mut self, edit: LineEdit) {
         if edit.removed == 0 {
             self.inserted[edit.start] = edit.added;
             return;
@@ -146,16 +150,17 @@
         for line in &mut self.replaced[edit.start..edit.start + edit.removed] {
             *line = Some(added.next().into_iter().collect());
         }
-        // More new lines than old ones: the rest stands behind the last.
+        // If more lines are added than removed, the last removed line is replaced by
+        // all remaining ones.
         if let Some(Some(last)) = self.replaced.get_mut(edit.start + edit.removed - 1) {
             last.extend(added);
         }
     }
 }
 
-fn merge_inserts<'a>(merged: &mut Vec<&'a str>, theirs: &'a [String], ours: &'a [String]) {
+fn merge_insertions<'a>(merged: &mut Vec<&'a str>, theirs: &'a [String], ours: &'a [String]) {
     merged.extend(as_strs(theirs));
-    // A line that both add is one rule.
+    // A line that both edits insert is the same rule, so it is added only once.
     merged.extend(as_strs(ours).filter(|line| theirs.iter().all(|other| other != line)));
 }
 
@@ -165,7 +170,7 @@
 
 fn join_lines(lines: &[&str]) -> String {
     let mut text = lines.join("\n");
-    // One empty line is a text too.
+    // A text of one empty line is "\n", which differs from an empty text.
     if !lines.is_empty() {
         text.push('\n');
     }
--- a/crates/rules/src/error.rs
+++ b/crates/rules/src/error.rs
@@ -1,15 +1,15 @@
-//! What can be wrong in a rule file.
+//! Errors in a rule file.
 
-/// One mistake in a rule file.
+/// An error in a rule file, with its position.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("line {line}, column {column}: {message}; {hint}")]
 pub struct RuleError {
-    /// The line, from 1.
+    /// The line number, starting at 1.
     pub line: usize,
-    /// The column, from 1.
+    /// The column in characters, starting at 1.
     pub column: usize,
     /// What is wrong.
     pub message: String,
-    /// What to write instead.
+    /// How to correct it.
     pub hint: String,
 }
--- a/crates/rules/src/hint.rs
+++ b/crates/rules/src/hint.rs
@@ -1,16 +1,18 @@
-//! Finds the word that was probably meant.
+//! Suggests a known word for a misspelled one.
 
-/// Largest edit distance of a word that is still suggested.
-const MAX_DISTANCE: usize = 3;
+/// Maximum edit distance of a suggested word.
+const MAX_EDIT_DISTANCE: usize = 3;
 
-/// Returns the known word that is nearest to `word`, if one is near enough.
-pub fn nearest_word<'a>(word: &str, known: impl Iterator<Item = &'a str>) -> Option<&'a str> {
-    // A short word is near to everything unless fewer edits are allowed.
-    let allowed = MAX_DISTANCE.min(word.chars().count().div_ceil(3));
+/// Returns the word of `known` with the smallest edit distance to `word`, or
+/// `None` if all words differ too much.
+pub fn find_nearest_word<'a>(word: &str, known: impl Iterator<Item = &'a str>) -> Option<&'a str> {
+    // Every short word is within a few edits of a short word, so the maximum
+    // distance depends on the length.
+    let max_distance = MAX_EDIT_DISTANCE.min(word.chars().count().div_ceil(3));
     known
-        .filter(|candidate| candidate.len().abs_diff(word.len()) <= allowed)
+        .filter(|candidate| candidate.len().abs_diff(word.len()) <= max_distance)
         .map(|candidate| (strsim::damerau_levenshtein(word, candidate), candidate))
-        .filter(|(distance, _)| *distance <= allowed)
+        .filter(|(distance, _)| *distance <= max_distance)
         .min()
         .map(|(_, candidate)| candidate)
 }
--- a/crates/rules/src/lib.rs
+++ b/crates/rules/src/lib.rs
@@ -1,9 +1,9 @@
-//! The rule file and the settings files.
+//! Parsers for the rule file and the settings files.
 //!
-//! Operators describe services in a rule file, one rule a line; it is kept by
-//! the platform and is the same for every process. What differs from process
-//! to process is in its settings file. Start with [`rule`] for the rules, and
-//! [`settings`] for the settings.
+//! Operators describe the services in a rule file, with one rule per line. The
+//! platform stores the file, and all processes use the same version of it. Values
+//! that differ between processes are in the settings file of each process. Start
+//! with [`rule`] for the rules and with [`settings`] for the settings.
 
 pub(crate) mod builder;
 pub mod carry_settings;
--- a/crates/rules/src/line.rs
+++ b/crates/rules/src/line.rs
@@ -1,31 +1,31 @@
-//! Splits a line of the rule file into words and its comment.
+//! Splits a line of the rule file into its words and its comment.
 
 use std::str::FromStr;
 
 use crate::error::RuleError;
 
-/// A word and the column where it starts, from 1.
+/// A word and its position in the line.
 #[derive(Debug, Clone, Copy)]
 pub struct LineWord<'a> {
     /// The text of the word.
     pub text: &'a str,
-    /// The column of its first character.
+    /// The column of its first character, starting at 1.
     pub column: usize,
 }
 
-/// The words of one line and the comment at its end.
+/// A line of the rule file that is read word by word.
 #[derive(Debug)]
 pub struct RuleLine<'a> {
     number: usize,
-    end: usize,
+    end_column: usize,
     words: Vec<LineWord<'a>>,
-    next: usize,
-    /// The text behind `#`, without surrounding space.
+    next_index: usize,
+    /// The text after `#`, without leading and trailing whitespace.
     pub comment: Option<&'a str>,
 }
 
 impl<'a> RuleLine<'a> {
-    /// Splits `text`, which stands on line `number` of the file.
+    /// Splits `text`, the line with this number of the file.
     pub fn split(number: usize, text: &'a str) -> Self {
         let (rule, comment) = match text.split_once('#') {
             Some((rule, comment)) => (rule, Some(comment.trim())),
@@ -33,77 +33,97 @@
         };
         Self {
             number,
-            end: rule.trim_end().chars().count() + 1,
+            end_column: rule.trim_end().chars().count() + 1,
             words: split_words(rule),
-            next: 0,
+            next_index: 0,
             comment,
         }
     }
 
-    /// Returns the number of the line, from 1.
+    /// Returns the line number, starting at 1.
     pub fn number(&self) -> usize {
         self.number
     }
 
-    /// Returns the column of the word at `position`, from 0, or of the end.
-    pub fn column(&self, position: usize) -> usize {
+    /// Returns the column of the word at `index`, starting at 0, or the column
+    /// after the last word if there is no such word.
+    pub fn word_column(&self, index: usize) -> usize {
         self.words
-            .get(position)
-            .map_or(self.end, |word| word.column)
+            .get(index)
+            .map_or(self.end_column, |word| word.column)
     }
 
-    /// Returns whether the line holds no rule.
+    /// Returns whether the line contains no rule.
     pub fn is_blank(&self) -> bool {
         self.words.is_empty()
     }
 
-    /// Returns the next word, or nothing at the end of the line.
-    pub fn take(&mut self) -> Option<LineWord<'a>> {
-        let word = self.words.get(self.next).copied()?;
-        self.next += 1;
+    /// Reads the next word, or returns `None` at the end of the line.
+    pub fn next_word(&mut self) -> Option<LineWord<'a>> {
+        let word = self.words.get(self.next_index).copied()?;
+        self.next_index += 1;
         Some(word)
     }
 
-    /// Returns the next word.
+    /// Reads the next word.
     ///
     /// # Errors
     ///
-    /// Returns an error that names `expected` at the end of the line.
-    pub fn expect(&mut self, expected: &str) -> Result<LineWord<'a>, RuleError> {
-        self.take()
-            .ok_or_else(|| self.error_at(self.end, format!("{expected} is missing"), "add it"))
+    /// Returns an error that mentions `expected` at the end of the line.
+    pub fn expect_word(&mut self, expected: &str) -> Result<LineWord<'a>, RuleError> {
+        self.next_word().ok_or_else(|| {
+            self.error_at_column(
+                self.end_column,
+                format!("expected {expected}, found the end of the rule"),
+                "add it",
+            )
+        })
     }
 
-    /// Returns the next word as a value.
+    /// Reads the next word and parses it.
     ///
     /// # Errors
     ///
-    /// Returns an error that names `expected` when the word is missing or is no
-    /// such value.
+    /// Returns an error that mentions `expected` if the word is missing or cannot
+    /// be parsed.
     pub fn expect_value<T: FromStr>(&mut self, expected: &str) -> Result<T, RuleError> {
-        let word = self.expect(expected)?;
-        self.value(word, expected)
+        let word = self.expect_word(expected)?;
+        self.parse_value(word, expected)
     }
 
-    /// Reads a word as a value.
+    /// Parses a word.
     ///
     /// # Errors
     ///
-    /// Returns an error that names `expected` when the word is no such value.
-    pub fn value<T: FromStr>(&self, word: LineWord<'_>, expected: &str) -> Result<T, RuleError> {
+    /// Returns an error that mentions `expected` if the word cannot be parsed.
+    pub fn parse_value<T: FromStr>(
+        &self,
+        word: LineWord<'_>,
+        expected: &str,
+    ) -> Result<T, RuleError> {
         word.text.parse().map_err(|_| {
-            let message = format!("\"{}\" is not {expected}", word.text);
-            self.error(word, message, &format!("write {expected}"))
+            let message = format!("invalid value \"{}\", expected {expected}", word.text);
+            self.error_at_word(word, message, &format!("write {expected}"))
         })
     }
 
-    /// Returns an error at a word.
-    pub fn error(&self, word: LineWord<'_>, message: impl Into<String>, hint: &str) -> RuleError {
-        self.error_at(word.column, message, hint)
+    /// Creates an error at the position of a word.
+    pub fn error_at_word(
+        &self,
+        word: LineWord<'_>,
+        message: impl Into<String>,
+        hint: &str,
+    ) -> RuleError {
+        self.error_at_column(word.column, message, hint)
     }
 
-    /// Returns an error at a column.
-    pub fn error_at(&self, column: usize, message: impl Into<String>, hint: &str) -> RuleError {
+    /// Creates an error at a column.
+    pub fn error_at_column(
+        &self,
+        column: usize,
+        message: impl Into<String>,
+        hint: &str,
+    ) -> RuleError {
         RuleError {
             line: self.number,
             column,
@@ -112,9 +132,9 @@
         }
     }
 
-    /// Returns an error behind the last word.
+    /// Creates an error at the column after the last word.
     pub fn error_at_end(&self, message: impl Into<String>, hint: &str) -> RuleError {
-        self.error_at(self.end, message, hint)
+        self.error_at_column(self.end_column, message, hint)
     }
 }
 
--- a/crates/rules/src/rule.rs
+++ b/crates/rules/src/rule.rs
@@ -1,17 +1,17 @@
-//! The rules that a line can hold.
+//! The rules of the rule file.
 //!
 //! | rule | meaning |
 //! |---|---|
-//! | `service NAME id N address IP:PORT` | callers reach the service at the address |
-//! | `zone NAME id N` | an availability zone |
-//! | `weight SERVICE ZONE N` | share of new flows of the hosts there |
-//! | `limit SERVICE slots N connections N queue N` | bounds of one host |
-//! | `deadline SERVICE MILLISECONDS` | longest time of one request |
-//! | `idempotent SERVICE METHOD PREFIX` | requests that may be run again |
-//! | `stream SERVICE PREFIX` | paths whose answers last: no slot, no deadline |
-//! | `withdraw SERVICE` | no host takes new flows of the service |
-//! | `drain IP:PORT` | the host with this inner address takes nothing new |
-//! | `key N` | a route key; the highest seals, the others are honoured |
+//! | `service NAME id N address IP:PORT` | declares a service that callers reach at the address |
+//! | `zone NAME id N` | declares an availability zone |
+//! | `weight SERVICE ZONE N` | relative share of new flows for each host in the zone |
+//! | `limit SERVICE slots N connections N queue N` | limits of each host |
+//! | `deadline SERVICE MILLISECONDS` | deadline of a request |
+//! | `idempotent SERVICE METHOD PREFIX` | requests that may run more than once |
+//! | `stream SERVICE PREFIX` | paths with long-lived responses, which need no slot and have no deadline |
+//! | `withdraw SERVICE` | all hosts reject new flows to the service |
+//! | `drain IP:PORT` | the host at this inner address accepts no new flows |
+//! | `key N` | a valid route key; the one with the highest number seals new tokens |
 
 use std::net::SocketAddrV4;
 use std::num::NonZeroU16;
@@ -20,91 +20,91 @@
 use hyssopstair_wire::token::KeyNumber;
 
 use crate::error::RuleError;
-use crate::hint::nearest_word;
+use crate::hint::find_nearest_word;
 use crate::line::LineWord;
 use crate::line::RuleLine;
 
-/// One rule.
+/// A rule.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Rule {
-    /// Callers reach a service at an address.
+    /// Declares a service.
     Service {
         /// The name of the service.
         name: String,
-        /// Its number on the wire.
+        /// The number of the service on the wire.
         id: ServiceId,
-        /// Where callers send to.
+        /// The address to which callers send packets.
         address: SocketAddrV4,
     },
-    /// An availability zone.
+    /// Declares an availability zone.
     Zone {
         /// The name of the zone.
         name: String,
-        /// Its number on the wire.
+        /// The number of the zone on the wire.
         id: u8,
     },
-    /// The weight of the hosts of a service in a zone.
+    /// Sets the weight of the hosts of a service in a zone.
     Weight {
         /// The name of the service.
         service: String,
         /// The name of the zone.
         zone: String,
-        /// The share relative to other hosts, 100 where no rule is given.
+        /// The weight relative to other hosts; 100 if there is no such rule.
         weight: u16,
     },
-    /// Bounds of one host of a service.
+    /// Sets the limits of each host of a service.
     Limit {
         /// The name of the service.
         service: String,
-        /// Requests that run at once.
+        /// Maximum number of concurrent requests.
         slots: u16,
-        /// Open flows.
+        /// Maximum number of open flows.
         connections: u32,
-        /// Requests that wait for a slot.
+        /// Maximum number of requests that wait for a slot.
         queue: u16,
     },
-    /// The longest time of one request.
+    /// Sets the deadline of a request to a service.
     Deadline {
         /// The name of the service.
         service: String,
-        /// The time in milliseconds.
+        /// The deadline in milliseconds.
         millis: u32,
     },
-    /// Requests that may be run more than once.
+    /// Marks requests that may run more than once.
     Idempotent {
         /// The name of the service.
         service: String,
-        /// The method of the request.
+        /// The HTTP method.
         method: String,
-        /// The start of its path.
+        /// The prefix of the path.
         prefix: String,
     },
-    /// Paths whose answers last for hours.
+    /// Marks paths whose responses last for hours.
     Stream {
         /// The name of the service.
         service: String,
-        /// The start of the path.
+        /// The prefix of the path.
         prefix: String,
     },
-    /// A service that takes nothing new.
+    /// Stops new flows to a service.
     Withdraw {
         /// The name of the service.
         service: String,
     },
-    /// A host that takes nothing new.
+    /// Stops new flows to a host.
     Drain {
         /// The inner address of the host.
         host: SocketAddrV4,
     },
-    /// A route key that is honoured.
+    /// Makes a route key valid.
     Key {
-        /// Its number.
+        /// The number of the key.
         number: KeyNumber,
     },
 }
 
-/// The first words of all rules.
-const RULE_WORDS: [&str; 10] = [
+/// The first word of each rule.
+const RULE_KEYWORDS: [&str; 10] = [
     "service",
     "zone",
     "weight",
@@ -118,23 +118,26 @@
 ];
 
 impl Rule {
-    /// Reads the rule of a line.
+    /// Parses the rule on a line.
     ///
     /// # Errors
     ///
-    /// Returns a [`RuleError`] that names the first mistake of the line.
+    /// Returns the first error on the line.
     pub fn parse(line: &mut RuleLine<'_>) -> Result<Self, RuleError> {
-        let word = line.expect("a rule")?;
-        let rule = Self::parse_body(line, word)?;
-        if let Some(extra) = line.take() {
-            let message = format!("\"{}\" is not expected here", extra.text);
-            return Err(line.error(extra, message, "remove it"));
+        let keyword = line.expect_word("a rule")?;
+        let rule = Self::parse_after_keyword(line, keyword)?;
+        if let Some(extra_word) = line.next_word() {
+            let message = format!("unexpected word \"{}\"", extra_word.text);
+            return Err(line.error_at_word(extra_word, message, "remove it"));
         }
         Ok(rule)
     }
 
-    fn parse_body(line: &mut RuleLine<'_>, word: LineWord<'_>) -> Result<Self, RuleError> {
-        match word.text {
+    fn parse_after_keyword(
+        line: &mut RuleLine<'_>,
+        keyword: LineWord<'_>,
+    ) -> Result<Self, RuleError> {
+        match keyword.text {
             "service" => parse_service(line),
             "zone" => parse_zone(line),
             "weight" => parse_weight(line),
@@ -146,34 +149,34 @@
                 service: line.expect_value("a service name")?,
             }),
             "drain" => Ok(Self::Drain {
-                host: line.expect_value("an address as IP:PORT")?,
+                host: line.expect_value("an address of the form IP:PORT")?,
             }),
             "key" => Ok(Self::Key {
                 number: KeyNumber(line.expect_value("a key number from 0 to 255")?),
             }),
-            other => Err(unknown_rule(line, word, other)),
+            other => Err(unknown_rule_error(line, keyword, other)),
         }
     }
 }
 
-fn unknown_rule(line: &RuleLine<'_>, word: LineWord<'_>, text: &str) -> RuleError {
-    let hint = match nearest_word(text, RULE_WORDS.into_iter()) {
-        Some(near) => format!("did you mean \"{near}\"?"),
-        None => format!("the rules are {}", RULE_WORDS.join(", ")),
+fn unknown_rule_error(line: &RuleLine<'_>, word: LineWord<'_>, text: &str) -> RuleError {
+    let hint = match find_nearest_word(text, RULE_KEYWORDS.into_iter()) {
+        Some(nearest) => format!("did you mean \"{nearest}\"?"),
+        None => format!("the known rules are {}", RULE_KEYWORDS.join(", ")),
     };
-    line.error(word, format!("unknown rule \"{text}\""), &hint)
+    line.error_at_word(word, format!("unknown rule \"{text}\""), &hint)
 }
 
 fn expect_label(line: &mut RuleLine<'_>, label: &str) -> Result<(), RuleError> {
-    let word = line.expect(&format!("\"{label}\""))?;
+    let word = line.expect_word(&format!("\"{label}\""))?;
     if word.text == label {
         return Ok(());
     }
-    let message = format!("\"{}\" stands where \"{label}\" is expected", word.text);
-    Err(line.error(word, message, &format!("write {label} and its value")))
+    let message = format!("unexpected word \"{}\", expected \"{label}\"", word.text);
+    Err(line.error_at_word(word, message, &format!("write {label} and its value")))
 }
 
-fn labelled<T: std::str::FromStr>(
+fn parse_labelled<T: std::str::FromStr>(
     line: &mut RuleLine<'_>,
     label: &str,
     expected: &str,
@@ -185,22 +188,22 @@
 fn parse_service(line: &mut RuleLine<'_>) -> Result<Rule, RuleError> {
     Ok(Rule::Service {
         name: line.expect_value("a service name")?,
-        id: ServiceId(labelled(line, "id", "a number from 0 to 65535")?),
-        address: labelled(line, "address", "an address as IP:PORT")?,
+        id: ServiceId(parse_labelled(line, "id", "a number from 0 to 65535")?),
+        address: parse_labelled(line, "address", "an address of the form IP:PORT")?,
     })
 }
 
 fn parse_zone(line: &mut RuleLine<'_>) -> Result<Rule, RuleError> {
     Ok(Rule::Zone {
-        name: line.expect_value("an availability zone")?,
-        id: labelled(line, "id", "a number from 0 to 255")?,
+        name: line.expect_value("the name of an availability zone")?,
+        id: parse_labelled(line, "id", "a number from 0 to 255")?,
     })
 }
 
 fn parse_weight(line: &mut RuleLine<'_>) -> Result<Rule, RuleError> {
     Ok(Rule::Weight {
         service: line.expect_value("a service name")?,
-        zone: line.expect_value("an availability zone")?,
+        zone: line.expect_value("the name of an availability zone")?,
         weight: line.expect_value("a weight from 0 to 65535")?,
     })
 }
@@ -208,30 +211,30 @@
 fn parse_limit(line: &mut RuleLine<'_>) -> Result<Rule, RuleError> {
     Ok(Rule::Limit {
         service: line.expect_value("a service name")?,
-        slots: labelled::<NonZeroU16>(line, "slots", "a number from 1 to 65535")?.get(),
-        connections: labelled(line, "connections", "a number of flows")?,
-        queue: labelled(line, "queue", "a number from 0 to 65535")?,
+        slots: parse_labelled::<NonZeroU16>(line, "slots", "a number from 1 to 65535")?.get(),
+        connections: parse_labelled(line, "connections", "a number of flows")?,
+        queue: parse_labelled(line, "queue", "a number from 0 to 65535")?,
     })
 }
 
 fn parse_deadline(line: &mut RuleLine<'_>) -> Result<Rule, RuleError> {
     Ok(Rule::Deadline {
         service: line.expect_value("a service name")?,
-        millis: line.expect_value("a time in milliseconds")?,
+        millis: line.expect_value("a duration in milliseconds")?,
     })
 }
 
 fn parse_idempotent(line: &mut RuleLine<'_>) -> Result<Rule, RuleError> {
     Ok(Rule::Idempotent {
         service: line.expect_value("a service name")?,
-        method: line.expect_value("a method")?,
-        prefix: line.expect_value("the start of a path")?,
+        method: line.expect_value("an HTTP method")?,
+        prefix: line.expect_value("a path prefix")?,
     })
 }
 
 fn parse_stream(line: &mut RuleLine<'_>) -> Result<Rule, RuleError> {
     Ok(Rule::Stream {
         service: line.expect_value("a service name")?,
-        prefix: line.expect_value("the start of a path")?,
+        prefix: line.expect_value("a path prefix")?,
     })
 }
--- a/crates/rules/src/rule_set.rs
+++ b/crates/rules/src/rule_set.rs
@@ -1,4 +1,4 @@
-//! The rules of a whole file, checked and ordered for look-up.
+//! The validated rules of a file, indexed for look-ups.
 
 use std::net::SocketAddrV4;
 
@@ -12,46 +12,47 @@
 /// An availability zone.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ZoneRule {
-    /// The name.
+    /// The name of the zone.
     pub name: String,
-    /// The number on the wire.
+    /// The number of the zone on the wire.
     pub id: u8,
 }
 
-/// Where a service stands in the list of services.
+/// Maps a key to a service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct IndexEntry<K> {
     key: K,
-    service: usize,
+    /// The index in [`RuleSet::services`].
+    service_index: usize,
 }
 
-/// The rules of a whole file.
+/// The validated rules of a file.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct RuleSet {
     /// The services, sorted by number.
     pub services: Vec<ServiceRule>,
     /// The availability zones, sorted by name.
     pub zones: Vec<ZoneRule>,
-    /// Hosts that take nothing new, sorted.
+    /// Addresses of the hosts that accept no new flows, sorted.
     pub drained_hosts: Vec<SocketAddrV4>,
-    /// Route keys that are honoured, sorted; the last one seals.
+    /// Numbers of the valid route keys, sorted. The last one seals new tokens.
     pub keys: Vec<KeyNumber>,
-    by_name: Vec<IndexEntry<String>>,
-    by_address: Vec<IndexEntry<SocketAddrV4>>,
+    services_by_name: Vec<IndexEntry<String>>,
+    services_by_address: Vec<IndexEntry<SocketAddrV4>>,
 }
 
 impl RuleSet {
-    /// Reads a rule file.
+    /// Parses a rule file.
     ///
     /// # Errors
     ///
-    /// Returns every mistake in the file, by line.
+    /// Returns all errors in the file, sorted by line.
     pub fn parse(text: &str) -> Result<Self, Vec<RuleError>> {
-        RuleBuilder::read(text)
+        RuleBuilder::parse(text)
     }
 
-    /// Orders rules that were checked.
-    pub(crate) fn order(
+    /// Sorts and indexes rules that are already validated.
+    pub(crate) fn from_valid_rules(
         mut services: Vec<ServiceRule>,
         mut zones: Vec<ZoneRule>,
         mut drained_hosts: Vec<SocketAddrV4>,
@@ -64,8 +65,8 @@
         keys.sort_unstable();
         keys.dedup();
         Self {
-            by_name: index_by(&services, |service| service.name.clone()),
-            by_address: index_by(&services, |service| service.address),
+            services_by_name: build_index(&services, |service| service.name.clone()),
+            services_by_address: build_index(&services, |service| service.address),
             services,
             zones,
             drained_hosts,
@@ -73,7 +74,7 @@
         }
     }
 
-    /// Returns the rules of a service by its number.
+    /// Returns the rules of the service with this number.
     pub fn find_service(&self, id: ServiceId) -> Option<&ServiceRule> {
         let index = self
             .services
@@ -82,25 +83,25 @@
         Some(&self.services[index])
     }
 
-    /// Returns the rules of a service by the address that callers send to.
+    /// Returns the rules of the service to which callers send at this address.
     pub fn find_service_by_address(&self, address: SocketAddrV4) -> Option<&ServiceRule> {
         let index = self
-            .by_address
+            .services_by_address
             .binary_search_by_key(&address, |entry| entry.key)
             .ok()?;
-        Some(&self.services[self.by_address[index].service])
+        Some(&self.services[self.services_by_address[index].service_index])
     }
 
-    /// Returns the rules of a service by its name.
+    /// Returns the rules of the service with this name.
     pub fn find_service_by_name(&self, name: &str) -> Option<&ServiceRule> {
         let index = self
-            .by_name
+            .services_by_name
             .binary_search_by(|entry| entry.key.as_str().cmp(name))
             .ok()?;
-        Some(&self.services[self.by_name[index].service])
+        Some(&self.services[self.services_by_name[index].service_index])
     }
 
-    /// Returns the number of a zone by its name.
+    /// Returns the number of the zone with this name.
     pub fn find_zone_id(&self, name: &str) -> Option<u8> {
         let index = self
             .zones
@@ -109,12 +110,13 @@
         Some(self.zones[index].id)
     }
 
-    /// Returns whether a host is to take nothing new.
+    /// Returns whether there is a drain rule for the host at this inner address.
     pub fn is_drained(&self, host: SocketAddrV4) -> bool {
         self.drained_hosts.binary_search(&host).is_ok()
     }
 
-    /// Returns whether a host of a service may take new work by the rules.
+    /// Returns whether the rules allow the host at this inner address to accept new
+    /// flows to a service.
     pub fn accepts_new_flows(&self, service: ServiceId, host: SocketAddrV4) -> bool {
         let is_withdrawn = self
             .find_service(service)
@@ -122,13 +124,14 @@
         !is_withdrawn && !self.is_drained(host)
     }
 
-    /// Returns the number of the key that seals.
+    /// Returns the number of the key that seals new tokens, or `None` if the file
+    /// has no key rule.
     pub fn sealing_key(&self) -> Option<KeyNumber> {
         self.keys.last().copied()
     }
 }
 
-fn index_by<K: Ord>(
+fn build_index<K: Ord>(
     services: &[ServiceRule],
     key: impl Fn(&ServiceRule) -> K,
 ) -> Vec<IndexEntry<K>> {
@@ -137,7 +140,7 @@
         .enumerate()
         .map(|(position, service)| IndexEntry {
             key: key(service),
-            service: position,
+            service_index: position,
         })
         .collect();
     index.sort_by(|left, right| left.key.cmp(&right.key));
--- a/crates/rules/src/service_rule.rs
+++ b/crates/rules/src/service_rule.rs
@@ -1,57 +1,57 @@
-//! All that is ruled about one service.
+//! The combined rules of a service.
 
 use std::net::SocketAddrV4;
 
 use hyssopstair_wire::address::ServiceId;
 
-/// Weight of a host where no rule gives one.
+/// Weight of a host if there is no weight rule.
 pub const DEFAULT_WEIGHT: u16 = 100;
 
-/// Longest time of a request where no rule gives one, in milliseconds.
+/// Deadline of a request if there is no deadline rule, in milliseconds.
 pub const DEFAULT_DEADLINE_MILLIS: u32 = 10_000;
 
-/// A request that may be run more than once.
+/// Matches requests that may run more than once.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct IdempotentPattern {
-    /// The method of the request.
+    /// The HTTP method.
     pub method: String,
-    /// The start of its path.
+    /// The prefix of the path.
     pub prefix: String,
 }
 
-/// The weight of the hosts of a service in one zone.
+/// The weight of the hosts of a service in an availability zone.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ZoneWeight {
     /// The number of the zone.
     pub zone: u8,
-    /// The share relative to other hosts.
+    /// The weight relative to other hosts.
     pub weight: u16,
 }
 
-/// All that is ruled about one service.
+/// The combined rules of a service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServiceRule {
-    /// The number on the wire.
+    /// The number of the service on the wire.
     pub id: ServiceId,
-    /// The name.
+    /// The name of the service.
     pub name: String,
-    /// Where callers send to.
+    /// The address to which callers send packets.
     pub address: SocketAddrV4,
-    /// Requests that run at once on a host.
+    /// Maximum number of concurrent requests on a host.
     pub slots: u16,
-    /// Open flows of a host.
+    /// Maximum number of open flows on a host.
     pub connections: u32,
-    /// Requests that wait for a slot of a host.
+    /// Maximum number of requests that wait for a slot on a host.
     pub queue: u16,
-    /// Longest time of a request, in milliseconds.
+    /// Deadline of a request, in milliseconds.
     pub deadline_millis: u32,
-    /// Requests that may be run more than once.
+    /// Patterns of the requests that may run more than once.
     pub idempotent_patterns: Vec<IdempotentPattern>,
-    /// Starts of the paths whose answers last for hours.
+    /// Prefixes of the paths whose responses last for hours.
     pub stream_prefixes: Vec<String>,
-    /// Weights by zone, sorted by zone.
+    /// Weights of the hosts, sorted by zone; zones without a rule are missing.
     pub zone_weights: Vec<ZoneWeight>,
-    /// Whether no host takes new flows of the service.
+    /// Whether all hosts reject new flows to the service.
     pub is_withdrawn: bool,
 }
 
@@ -72,25 +72,25 @@
         }
     }
 
-    /// Returns whether a request may be run more than once.
+    /// Returns whether a request may run more than once.
     pub fn is_idempotent(&self, method: &str, path: &str) -> bool {
         self.idempotent_patterns
             .iter()
             .any(|pattern| pattern.method == method && path.starts_with(&pattern.prefix))
     }
 
-    /// Returns whether the answer to a request lasts for hours.
+    /// Returns whether the response to a request for `path` lasts for hours.
     pub fn is_stream(&self, path: &str) -> bool {
         self.stream_prefixes
             .iter()
             .any(|prefix| path.starts_with(prefix))
     }
 
-    /// Returns the weight of a host in a zone.
+    /// Returns the weight of the hosts in a zone.
     pub fn weight_in_zone(&self, zone: u8) -> u16 {
         match self
             .zone_weights
-            .binary_search_by_key(&zone, |item| item.zone)
+            .binary_search_by_key(&zone, |zone_weight| zone_weight.zone)
         {
             Ok(index) => self.zone_weights[index].weight,
             Err(_) => DEFAULT_WEIGHT,
--- a/crates/rules/src/settings.rs
+++ b/crates/rules/src/settings.rs
@@ -1,8 +1,8 @@
-//! The settings of one daemon, in YAML.
+//! The YAML settings of a daemon.
 //!
-//! A settings file gives a process what differs from process to process: its
-//! role, addresses and availability zone, and where to find the platform and
-//! the secrets. See `docs/reference/settings.md`.
+//! A settings file contains the values that differ between processes: the role, the
+//! addresses, the availability zone, and the locations of the platform and the
+//! secrets. See `docs/reference/settings.md`.
 
 use std::net::SocketAddr;
 use std::net::SocketAddrV4;
@@ -14,29 +14,29 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DaemonSettings {
-    /// What the daemon does.
+    /// The role of the daemon and its settings.
     pub role: RoleSettings,
     /// Address for other processes of the system: packets of flows and control
-    /// messages over UDP, and requests of peers over TCP.
+    /// messages over UDP, and requests from peers over TCP.
     pub inner: SocketAddrV4,
-    /// Address for operators: status, metrics and readiness, over HTTP.
+    /// HTTP address for operators: status, metrics and readiness.
     pub admin: SocketAddrV4,
-    /// The availability zone.
+    /// Name of the availability zone.
     pub zone: String,
     /// URLs of the platform's key-value service.
     pub platform: Vec<String>,
-    /// Inner addresses of members that are asked first, for a start while the
-    /// platform does not answer.
+    /// Inner addresses of members to contact first, so that the daemon can join while
+    /// the platform is unavailable.
     #[serde(default)]
     pub contacts: Vec<SocketAddrV4>,
-    /// Where the secret of the fleet is.
+    /// Location of the fleet secret.
     pub secret: SecretSource,
-    /// URL of a collector of traces, for OTLP over HTTP.
+    /// URL of a trace collector that accepts OTLP over HTTP.
     #[serde(default)]
     pub traces: Option<String>,
 }
 
-/// What a daemon does.
+/// The settings of each role.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum RoleSettings {
@@ -46,17 +46,17 @@
     Host(HostSettings),
 }
 
-/// Settings of a balancer.
+/// The settings of a balancer.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BalancerSettings {
-    /// Address where the network fabric hands over packets.
+    /// Address on which the balancer receives packets from the network fabric.
     pub entry: SocketAddrV4,
     /// Address of the network fabric.
     pub fabric: SocketAddr,
 }
 
-/// Settings of a local process beside a backend server.
+/// The settings of a host, the process beside a backend server.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HostSettings {
@@ -64,28 +64,28 @@
     pub service: String,
     /// Address of the backend server.
     pub backend: SocketAddrV4,
-    /// Certificate chain of the service, in PEM.
+    /// Path of the certificate chain of the service, in PEM.
     pub certificate: PathBuf,
-    /// Private key of the certificate, in PEM.
+    /// Path of the private key of the certificate, in PEM.
     pub private_key: PathBuf,
 }
 
-/// Where a secret is kept.
+/// The location of a secret.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum SecretSource {
-    /// A file that holds 32 hexadecimal digits.
+    /// A file that contains 32 hexadecimal digits.
     File(PathBuf),
-    /// An environment variable that holds 32 hexadecimal digits.
+    /// An environment variable that contains 32 hexadecimal digits.
     Environment(String),
 }
 
 impl DaemonSettings {
-    /// Reads settings.
+    /// Parses settings.
     ///
     /// # Errors
     ///
-    /// Returns a text that names line, column and field of the first mistake.
+    /// Returns a message with the line, column and field of the first error.
     pub fn parse(text: &str) -> Result<Self, String> {
         serde_saphyr::from_str(text).map_err(|error| error.to_string())
     }
