--- a/crates/rules/tests/merge.rs
+++ b/crates/rules/tests/merge.rs
@@ -1,4 +1,4 @@
-//! Edits of two operators are merged line by line.
+//! Tests of line edits, three-way merges and drain rules.
 
 mod support;
 
@@ -16,10 +16,10 @@
 
 use support::with_lines;
 
-const FIRST: &str = "a\nb\nc\nd\n";
+const BASE_TEXT: &str = "a\nb\nc\nd\n";
 
 fn check(ours: &str, theirs: &str, expected: Expect) {
-    let merged = match merge_lines(FIRST, ours, theirs) {
+    let merged = match merge_lines(BASE_TEXT, ours, theirs) {
         Ok(text) => text.lines().collect::<Vec<_>>().join(" "),
         Err(conflicts) => format!("{conflicts:?}"),
     };
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn lines_that_both_add_at_one_place_are_kept() {
+fn lines_that_both_insert_at_one_position_are_kept() {
     check(
         "a\nb\nc\nd\nours\n",
         "a\nb\nc\nd\ntheirs\n",
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn equal_edits_of_one_line_are_one() {
+fn equal_edits_of_one_line_are_applied_once() {
     check("a\nB\nc\nd\n", "a\nB\nc\nd\n", expect!["a B c d"]);
     check("a\nd\n", "a\nc\nd\n", expect!["a d"]);
 }
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_drain_is_added_once_and_removed_wholly() {
+fn a_drain_rule_is_added_once_and_removed_completely() {
     let host = "127.1.2.3:7000".parse().expect("address");
     let drained = add_drain(&with_lines(""), host, "M. Jansen");
     assert_eq!(add_drain(&drained, host, "K. Visser"), drained);
@@ -81,7 +81,7 @@
     #![proptest_config(ProptestConfig { cases: 500, rng_seed: RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn edits_make_the_new_text_of_the_old(
+    fn edits_turn_the_old_text_into_the_new_text(
         old in proptest::collection::vec("[a-d]", 0..20),
         new in proptest::collection::vec("[a-d]", 0..20),
     ) {
--- a/crates/rules/tests/rule_lookup.rs
+++ b/crates/rules/tests/rule_lookup.rs
@@ -1,4 +1,4 @@
-//! Rules are found by name, number and address.
+//! Tests of look-ups in the rules of a file.
 
 mod support;
 
@@ -11,7 +11,7 @@
 #[test]
 fn a_service_is_found_by_number_name_and_address() {
     let rules = RuleSet::parse(&with_lines("")).expect("valid rules");
-    let found = [
+    let results = [
         rules.find_service(ServiceId(2)),
         rules.find_service_by_name("leerplein"),
         rules.find_service_by_address("127.1.0.11:4433".parse().expect("address")),
@@ -32,17 +32,17 @@
             None,
         ]
     "#]]
-    .assert_debug_eq(&found);
+    .assert_debug_eq(&results);
 }
 
 #[test]
-fn a_withdrawn_service_and_a_drained_host_take_nothing_new() {
+fn a_withdrawn_service_and_a_drained_host_accept_no_new_flows() {
     let rules = RuleSet::parse(&with_lines(
         "withdraw leerplein  # A. Visser\ndrain 127.1.3.1:7000  # A. Visser\n",
     ))
     .expect("valid rules");
     let host = |text: &str| text.parse().expect("address");
-    let found = [
+    let results = [
         rules.accepts_new_flows(ServiceId(1), host("127.1.2.1:7000")),
         rules.accepts_new_flows(ServiceId(2), host("127.1.3.1:7000")),
         rules.accepts_new_flows(ServiceId(2), host("127.1.3.2:7000")),
@@ -54,5 +54,5 @@
             true,
         ]
     "#]]
-    .assert_debug_eq(&found);
+    .assert_debug_eq(&results);
 }
--- a/crates/rules/tests/settings.rs
+++ b/crates/rules/tests/settings.rs
@@ -1,10 +1,10 @@
-//! Settings are checked field by field.
+//! Tests that errors in the settings of a daemon are reported with their position.
 
 use expect_test::Expect;
 use expect_test::expect;
 use hyssopstair_rules::settings::DaemonSettings;
 
-const BALANCER: &str = "\
+const BALANCER_SETTINGS: &str = "\
 inner: 127.1.1.1:7000
 admin: 127.1.1.1:7100
 zone: utr-a
@@ -18,17 +18,17 @@
 ";
 
 fn check(text: &str, expected: Expect) {
-    let found = match DaemonSettings::parse(text) {
+    let result = match DaemonSettings::parse(text) {
         Ok(settings) => format!("{settings:#?}"),
-        Err(mistake) => mistake,
+        Err(error) => error,
     };
-    expected.assert_eq(&found);
+    expected.assert_eq(&result);
 }
 
 #[test]
-fn an_example_is_read() {
+fn balancer_settings_are_parsed() {
     check(
-        BALANCER,
+        BALANCER_SETTINGS,
         expect![[r#"
         DaemonSettings {
             role: Balancer(
@@ -53,9 +53,9 @@
 }
 
 #[test]
-fn an_unknown_field_is_named_with_its_place() {
+fn an_unknown_field_is_reported_with_its_position() {
     check(
-        &BALANCER.replace("zone:", "zonne:"),
+        &BALANCER_SETTINGS.replace("zone:", "zonne:"),
         expect![[r#"
         error: line 3 column 1: unknown field `zonne`, expected one of role, inner, admin, zone, platform, contacts, secret, traces
          --> <input>:3:1
@@ -71,9 +71,9 @@
 }
 
 #[test]
-fn a_missing_field_is_named() {
+fn a_missing_field_is_reported_with_its_position() {
     check(
-        &BALANCER.replace("zone: utr-a\n", ""),
+        &BALANCER_SETTINGS.replace("zone: utr-a\n", ""),
         expect![[r#"
         error: line 6 column 1: missing field `zone`
          --> <input>:6:1
@@ -87,7 +87,7 @@
           |"#]],
     );
     check(
-        &BALANCER.replace("    fabric: 127.1.0.1:9000\n", ""),
+        &BALANCER_SETTINGS.replace("    fabric: 127.1.0.1:9000\n", ""),
         expect![[r#"
             error: line 9 column 5: missing field `fabric`
              --> <input>:9:5
@@ -100,9 +100,9 @@
 }
 
 #[test]
-fn a_value_of_the_wrong_kind_is_named_with_its_place() {
+fn an_invalid_value_is_reported_with_its_position() {
     check(
-        &BALANCER.replace("127.1.1.1:7100", "everywhere"),
+        &BALANCER_SETTINGS.replace("127.1.1.1:7100", "everywhere"),
         expect![[r#"
             error: line 2 column 8: invalid IPv4 socket address syntax
              --> <input>:2:8
@@ -115,7 +115,7 @@
               |"#]],
     );
     check(
-        &BALANCER.replace("  balancer:", "  balancr:"),
+        &BALANCER_SETTINGS.replace("  balancer:", "  balancr:"),
         expect![[r#"
             error: line 8 column 3: unknown variant `balancr`, expected one of balancer, host
               --> <input>:8:3
