--- a/crates/platform/src/change.rs
+++ b/crates/platform/src/change.rs
@@ -1,14 +1,21 @@
-//! Decides how an operator's change gets into the platform.
+//! Decides how a change by an operator is written to the platform.
 //!
-//! [`ChangeState`] says what to do next, and is told what came of it. It knows
-//! no sockets and no clock; the loop around it is in the operators' command.
+//! [`ChangeState`] returns the next step and receives its result as an event. It does
+//! no input or output and reads no clock; the command line program executes the steps.
 //!
-//! A write compares the platform's revision, so of two racing writes one fails.
-//! An answer that is lost, or a refusal that may stem from a second attempt, is
-//! settled by reading back: each record names the latest changes. While the
-//! revision is still the one that a lost write compared, that write may yet
-//! arrive, so the very same write is sent again. Once the revision is higher,
-//! it can never take effect.
+//! Each write is conditional on the revision of the stored configuration, so at most
+//! one of several concurrent writes succeeds. A missing answer does not tell whether
+//! the write took effect, and a rejection may be the result of a second attempt after
+//! a first one that succeeded. In both cases the configuration is read again, because
+//! each record lists its latest changes:
+//!
+//! - If it lists the change, the change is written.
+//! - If the revision is still the one that the write expected, the write may be
+//!   delayed and still take effect, so exactly the same write is sent again.
+//! - If the revision is higher, the write can no longer take effect, and the change is
+//!   merged into the new configuration.
+//! - If so many other changes followed that the record would no longer list the change,
+//!   the outcome remains unknown.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -25,148 +32,156 @@
 use crate::record::ChangeId;
 use crate::record::ConfigurationRecord;
 
-/// Time before a failed call is tried again, at first.
+/// Delay before the first retry of a failed call.
 const MIN_BACKOFF: Duration = Duration::from_millis(100);
 
-/// Time before a failed call is tried again, at most.
+/// Maximum delay before a retry.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-/// What an operator wants.
+/// A change that an operator requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ChangeIntent {
-    /// A new text, edited from an older one.
+    /// Applies an edit of the rule file.
     Text {
-        /// The text that the edit started from.
+        /// The text before the edit, possibly of an older version.
         base: String,
-        /// The new text.
+        /// The text after the edit.
         text: String,
     },
-    /// A drain rule for a host.
+    /// Adds a drain rule for a host.
     Drain {
         /// The inner address of the host.
         host: SocketAddrV4,
-        /// Who asked.
+        /// The name of the requester, for the comment of the rule.
         asked_by: String,
     },
-    /// No drain rule for a host.
+    /// Removes the drain rules for a host.
     Undrain {
         /// The inner address of the host.
         host: SocketAddrV4,
     },
 }
 
-/// A configuration and the platform's revision of it.
+/// A configuration and its revision in the platform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoredRecord {
-    /// The configuration; empty when the platform holds none.
+    /// The configuration; empty if the platform has none.
     pub record: ConfigurationRecord,
-    /// The revision of its last change, 0 when there is none.
+    /// The store revision at which it was last modified; 0 if the platform has none.
     pub revision: u64,
 }
 
-/// What came of a step.
+/// The result of a step.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ChangeEvent {
     /// The configuration was read.
     Read(StoredRecord),
-    /// The read gave no answer.
+    /// The read was not answered.
     ReadFailed,
-    /// The platform says that the write took effect.
+    /// The platform confirmed the write.
     Written,
-    /// The platform says that the compared revision is no longer the present one.
+    /// The platform rejected the write because the revision had changed.
     WriteRejected,
-    /// The write gave no answer; it may have taken effect, or may yet.
+    /// The write was not answered. It may have taken effect, or may still do so.
     WriteResultUnknown,
 }
 
-/// What to do next.
+/// The next action to execute.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ChangeStep {
-    /// Read the configuration after a pause.
+    /// Read the configuration after a delay.
     Read {
-        /// The pause.
+        /// The delay.
         delay: Duration,
     },
-    /// Write a record if the configuration is still at a revision.
+    /// Write a record if the configuration still has the expected revision.
     Write {
         /// The expected revision.
         revision: u64,
-        /// What to write.
+        /// The record to write.
         record: ConfigurationRecord,
     },
-    /// Nothing more; this came of the change.
+    /// The change has ended with this outcome.
     Done(ChangeOutcome),
 }
 
-/// What came of a change.
+/// The outcome of a change.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ChangeOutcome {
-    /// It is in the platform.
+    /// The change was written.
     Written {
-        /// The version that it made.
+        /// The version that the change created.
         version: u64,
     },
-    /// The platform held what was wanted already; nothing was written.
+    /// The configuration already contained the change; nothing was written.
     Unchanged {
-        /// The version that holds it.
+        /// The version that contains the change.
         version: u64,
     },
-    /// Another operator changed the same lines; nothing was written.
+    /// Another operator changed the same lines differently; nothing was written.
     Conflict {
-        /// The version with the other change.
+        /// The version that contains the other change.
         version: u64,
-        /// The lines.
+        /// The conflicting lines.
         lines: Vec<LineConflict>,
     },
-    /// The text has mistakes, maybe only together with another operator's
-    /// change; nothing was written.
+    /// The merged text has errors, possibly only in combination with the change of
+    /// another operator; nothing was written.
     Invalid {
-        /// The version that it was merged with.
+        /// The version that the change was merged with.
         version: u64,
-        /// The text with the mistakes.
+        /// The merged text.
         text: String,
-        /// The mistakes.
+        /// The errors in it.
         errors: Vec<RuleError>,
     },
-    /// The platform did not answer in time; nothing was written.
+    /// The platform did not answer before the deadline; nothing was written.
     NotWritten,
-    /// The platform did not answer in time; the change may be or get in force.
+    /// The platform did not answer before the deadline. The change may have been
+    /// written, or may still be.
     MayBeWritten {
-        /// The version that it would make.
+        /// The version that the change creates if it is written.
         version: u64,
     },
 }
 
-/// A write whose result is not known.
+/// A write with an unknown result.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct PendingWrite {
     revision: u64,
     record: ConfigurationRecord,
 }
 
-/// One change on its way into the platform.
+/// The state of a change that is being written to the platform.
 #[derive(Debug, Clone)]
 pub struct ChangeState {
     id: ChangeId,
     intent: ChangeIntent,
-    floor: u64,
+    highest_known_version: u64,
     deadline: MonotonicTime,
     backoff: Duration,
-    seen_revision: u64,
+    /// The revision of the latest read. A read that returns a lower one is stale.
+    latest_revision: u64,
     pending: Option<PendingWrite>,
 }
 
 impl ChangeState {
-    /// Prepares a change. `floor` is the highest version that any daemon has,
-    /// so that the change gets a higher one even if the platform lost its own.
-    pub fn new(id: ChangeId, intent: ChangeIntent, floor: u64, deadline: MonotonicTime) -> Self {
+    /// Creates the state of a change. `highest_known_version` is the highest version of
+    /// any daemon. The change creates a higher one, even if the platform has lost its
+    /// configuration.
+    pub fn new(
+        id: ChangeId,
+        intent: ChangeIntent,
+        highest_known_version: u64,
+        deadline: MonotonicTime,
+    ) -> Self {
         Self {
             id,
             intent,
-            floor,
+            highest_known_version,
             deadline,
             backoff: MIN_BACKOFF,
-            seen_revision: 0,
+            latest_revision: 0,
             pending: None,
         }
     }
@@ -178,20 +193,25 @@
         }
     }
 
-    /// Returns the step that follows from an event.
+    /// Returns the step that follows the event. If that step could not start before the
+    /// deadline, the change ends.
     pub fn handle_event(&mut self, event: ChangeEvent, now: MonotonicTime) -> ChangeStep {
         match event {
-            ChangeEvent::Read(found) if found.revision < self.seen_revision => self.retry(now),
-            ChangeEvent::Read(found) => self.decide(&found, now),
-            ChangeEvent::ReadFailed | ChangeEvent::WriteResultUnknown => self.retry(now),
-            // The client may have tried twice, and the first attempt may be the
-            // very change that the second one was refused for.
-            ChangeEvent::WriteRejected => self.read_again(now),
-            ChangeEvent::Written => ChangeStep::Done(self.written()),
+            ChangeEvent::Read(stored) if stored.revision < self.latest_revision => {
+                self.read_after_backoff(now)
+            }
+            ChangeEvent::Read(stored) => self.handle_record(&stored, now),
+            ChangeEvent::ReadFailed | ChangeEvent::WriteResultUnknown => {
+                self.read_after_backoff(now)
+            }
+            // The client may have sent the write twice. If the first attempt took
+            // effect, it changed the revision, and the second one was rejected.
+            ChangeEvent::WriteRejected => self.read_immediately(now),
+            ChangeEvent::Written => ChangeStep::Done(self.written_outcome()),
         }
     }
 
-    fn written(&self) -> ChangeOutcome {
+    fn written_outcome(&self) -> ChangeOutcome {
         let version = self
             .pending
             .as_ref()
@@ -199,13 +219,13 @@
         ChangeOutcome::Written { version }
     }
 
-    fn retry(&mut self, now: MonotonicTime) -> ChangeStep {
+    fn read_after_backoff(&mut self, now: MonotonicTime) -> ChangeStep {
         let delay = self.backoff;
         self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
         self.read_after(delay, now)
     }
 
-    fn read_again(&mut self, now: MonotonicTime) -> ChangeStep {
+    fn read_immediately(&mut self, now: MonotonicTime) -> ChangeStep {
         self.read_after(Duration::ZERO, now)
     }
 
@@ -213,12 +233,12 @@
         if now + delay < self.deadline {
             return ChangeStep::Read { delay };
         }
-        self.give_up()
+        self.time_out()
     }
 
-    /// Ends a change that is out of time. A write that was sent and not settled
-    /// may have taken effect, or may yet.
-    fn give_up(&self) -> ChangeStep {
+    /// Ends the change at its deadline. A write with an unknown result may have taken
+    /// effect, or may still do so.
+    fn time_out(&self) -> ChangeStep {
         ChangeStep::Done(match &self.pending {
             Some(write) => ChangeOutcome::MayBeWritten {
                 version: write.record.version,
@@ -227,38 +247,41 @@
         })
     }
 
-    fn decide(&mut self, found: &StoredRecord, now: MonotonicTime) -> ChangeStep {
+    /// Returns the step that follows from the current configuration.
+    fn handle_record(&mut self, stored: &StoredRecord, now: MonotonicTime) -> ChangeStep {
         self.backoff = MIN_BACKOFF;
-        self.seen_revision = found.revision;
-        if let Some(version) = found.record.find_change_version(self.id) {
+        self.latest_revision = stored.revision;
+        if let Some(version) = stored.record.find_change_version(self.id) {
             return ChangeStep::Done(ChangeOutcome::Written { version });
         }
         if let Some(write) = &self.pending {
             let version = write.record.version;
-            if write.revision == found.revision {
-                return self.write(write.clone(), now);
+            if write.revision == stored.revision {
+                return self.send_write(write.clone(), now);
             }
-            if !found.record.covers_version(version) {
+            if !stored.record.covers_version(version) {
                 return ChangeStep::Done(ChangeOutcome::MayBeWritten { version });
             }
             self.pending = None;
         }
-        match self.new_text(found) {
-            Ok(text) => self.write_text(found, text, now),
+        match self.build_text(stored) {
+            Ok(text) => self.write_text(stored, text, now),
             Err(outcome) => ChangeStep::Done(outcome),
         }
     }
 
-    fn new_text(&self, found: &StoredRecord) -> Result<String, ChangeOutcome> {
-        let old = &found.record.text;
-        let version = found.record.version;
+    /// Returns the text of the new configuration, or the outcome of the change if there is
+    /// nothing to write.
+    fn build_text(&self, stored: &StoredRecord) -> Result<String, ChangeOutcome> {
+        let old_text = &stored.record.text;
+        let version = stored.record.version;
         let text = match &self.intent {
-            ChangeIntent::Text { base, text } => merge_lines(base, text, old)
+            ChangeIntent::Text { base, text } => merge_lines(base, text, old_text)
                 .map_err(|lines| ChangeOutcome::Conflict { version, lines })?,
-            ChangeIntent::Drain { host, asked_by } => add_drain(old, *host, asked_by),
-            ChangeIntent::Undrain { host } => remove_drain(old, *host),
+            ChangeIntent::Drain { host, asked_by } => add_drain(old_text, *host, asked_by),
+            ChangeIntent::Undrain { host } => remove_drain(old_text, *host),
         };
-        if version > 0 && text == normalize_line_breaks(old) {
+        if version > 0 && text == normalize_line_breaks(old_text) {
             return Err(ChangeOutcome::Unchanged { version });
         }
         match RuleSet::parse(&text) {
@@ -271,18 +294,23 @@
         }
     }
 
-    fn write_text(&mut self, found: &StoredRecord, text: String, now: MonotonicTime) -> ChangeStep {
-        let version = found.record.version.max(self.floor) + 1;
+    fn write_text(
+        &mut self,
+        stored: &StoredRecord,
+        text: String,
+        now: MonotonicTime,
+    ) -> ChangeStep {
+        let version = stored.record.version.max(self.highest_known_version) + 1;
         let write = PendingWrite {
-            revision: found.revision,
-            record: found.record.with_change(self.id, version, text),
+            revision: stored.revision,
+            record: stored.record.with_change(self.id, version, text),
         };
-        self.write(write, now)
+        self.send_write(write, now)
     }
 
-    fn write(&mut self, write: PendingWrite, now: MonotonicTime) -> ChangeStep {
+    fn send_write(&mut self, write: PendingWrite, now: MonotonicTime) -> ChangeStep {
         if now >= self.deadline {
-            return self.give_up();
+            return self.time_out();
         }
         self.pending = Some(write.clone());
         ChangeStep::Write {
--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -1,4 +1,6 @@
-//! The client of the key-value service.
+//! The client of the platform's key-value service.
+//!
+//! The service has several URLs. Each call tries them in turn until one answers.
 
 use std::time::Duration;
 
@@ -17,35 +19,35 @@
 use crate::protocol::decode_bytes;
 use crate::protocol::encode_bytes;
 
-/// Longest wait for an answer.
+/// Timeout of a call to one URL, including the connection setup.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Longest wait for a connection.
+/// Timeout of the connection setup.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Longest time that a connection is kept without a call. An idle connection
-/// may have gone silent; a call on one waits in vain for the whole timeout.
-const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time after which an idle connection is closed. The other end of an idle connection
+/// may be gone without notice, and a call on it would wait for the whole timeout.
+const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Why a call to the key-value service gave no result.
+/// An error of a call to the key-value service.
 #[derive(Debug, thiserror::Error)]
 pub enum PlatformError {
-    /// No answer came; a write may have taken effect.
-    #[error("platform at {url} gave no answer: {reason}")]
+    /// No URL returned a valid answer. A write may still have taken effect.
+    #[error("failed to call the platform at {url}: {reason}")]
     NoAnswer {
-        /// The URL that was called.
+        /// The last URL that was tried.
         url: String,
-        /// What the HTTP client reports.
+        /// The error of the HTTP client.
         reason: String,
     },
 }
 
-/// A value and the revision that it was written at.
+/// A value and its revision.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoredValue {
     /// The bytes.
     pub value: Vec<u8>,
-    /// The revision of the last change.
+    /// The store revision at which the value was last modified.
     pub revision: u64,
 }
 
@@ -54,11 +56,11 @@
 pub struct StoredEntry {
     /// The key.
     pub key: String,
-    /// The value.
+    /// The value and its revision.
     pub stored: StoredValue,
 }
 
-/// A key and the value that is to be written.
+/// A key and the value to write.
 #[derive(Debug, Clone, Copy)]
 pub struct KeyWrite<'a> {
     /// The key.
@@ -67,16 +69,16 @@
     pub value: &'a [u8],
 }
 
-/// Kinds of call, which the platform's rates bound.
+/// The kind of a call. The platform limits the rate of each kind.
 #[derive(Debug, Clone, Copy)]
 enum CallKind {
     /// Reads keys.
     Read,
-    /// Writes keys if a comparison holds.
+    /// Writes keys if a condition holds.
     Write,
 }
 
-/// A client that tries each address of the service in turn.
+/// A client that tries each URL of the service in turn.
 #[derive(Debug, Clone)]
 pub struct PlatformClient {
     urls: Vec<String>,
@@ -84,12 +86,12 @@
 }
 
 impl PlatformClient {
-    /// Creates a client of the service at `urls`.
+    /// Creates a client that tries `urls` in this order.
     pub fn new(urls: &[String]) -> Self {
         let http = reqwest::Client::builder()
             .timeout(CALL_TIMEOUT)
             .connect_timeout(CONNECT_TIMEOUT)
-            .pool_idle_timeout(IDLE_TIMEOUT)
+            .pool_idle_timeout(POOL_IDLE_TIMEOUT)
             .build()
             .unwrap_or_default();
         Self {
@@ -98,40 +100,43 @@
         }
     }
 
-    /// Reads one key.
+    /// Reads a key, and returns `None` if it does not exist.
     ///
     /// # Errors
     ///
-    /// Returns an error when no address answers.
+    /// Returns an error if no URL answers.
     pub async fn get(&self, key: &str) -> Result<Option<StoredValue>, PlatformError> {
         let request = RangeRequest {
             key: encode_bytes(key.as_bytes()),
             range_end: None,
         };
         let response: RangeResponse = self.call(CallKind::Read, "/v3/kv/range", &request).await?;
-        Ok(response.kvs.first().map(stored_value))
+        Ok(response.kvs.first().map(to_stored_value))
     }
 
-    /// Reads all keys that start with `prefix`, in order.
+    /// Reads all keys that start with `prefix`, in key order.
     ///
     /// # Errors
     ///
-    /// Returns an error when no address answers.
+    /// Returns an error if no URL answers.
     pub async fn get_prefix(&self, prefix: &str) -> Result<Vec<StoredEntry>, PlatformError> {
         let request = RangeRequest {
             key: encode_bytes(prefix.as_bytes()),
             range_end: Some(encode_bytes(&prefix_end(prefix))),
         };
         let response: RangeResponse = self.call(CallKind::Read, "/v3/kv/range", &request).await?;
-        Ok(response.kvs.iter().map(stored_key).collect())
+        Ok(response.kvs.iter().map(to_stored_entry).collect())
     }
 
-    /// Writes one key if it was last changed at `revision`, 0 for a key that
-    /// does not exist, and returns whether it was written.
+    /// Writes a key if it was last modified at `revision`, and returns whether it was
+    /// written. Revision 0 stands for a key that does not exist.
+    ///
+    /// A result of `false` does not prove that nothing was written; see
+    /// [`write_if_unchanged`](Self::write_if_unchanged).
     ///
     /// # Errors
     ///
-    /// Returns an error when no answer came; the write may have taken effect.
+    /// Returns an error if no URL answers. The write may still have taken effect.
     pub async fn compare_and_swap(
         &self,
         key: &str,
@@ -142,15 +147,17 @@
         self.write_if_unchanged(key, revision, &[write]).await
     }
 
-    /// Makes all `writes` if `key` was last changed at `revision`, 0 for a key
-    /// that does not exist, and returns whether they were made.
+    /// Executes all `writes` atomically if `key` was last modified at `revision`, and
+    /// returns whether they were executed. Revision 0 stands for a key that does not
+    /// exist.
     ///
-    /// A second URL is tried when the first gives no answer. So "not written" is
-    /// no proof: the first attempt may have taken effect and moved the revision.
+    /// If a URL does not answer, the transaction is sent to the next one. A result of
+    /// `false` therefore does not prove that nothing was written: an earlier attempt may
+    /// have taken effect and changed the revision.
     ///
     /// # Errors
     ///
-    /// Returns an error when no answer came; the writes may have taken effect.
+    /// Returns an error if no URL answers. The writes may still have taken effect.
     pub async fn write_if_unchanged(
         &self,
         key: &str,
@@ -164,42 +171,44 @@
                 result: "EQUAL".to_owned(),
                 mod_revision: revision.to_string(),
             }],
-            success: writes.iter().map(put_operation).collect(),
+            success: writes.iter().map(to_put_operation).collect(),
             failure: Vec::new(),
         };
         let response: TxnResponse = self.call(CallKind::Write, "/v3/kv/txn", &request).await?;
         Ok(response.succeeded)
     }
 
+    /// Sends a request to each URL in turn until one answers.
     async fn call<Q: Serialize, A: DeserializeOwned>(
         &self,
         kind: CallKind,
         path: &str,
         request: &Q,
     ) -> Result<A, PlatformError> {
-        let mut last = PlatformError::NoAnswer {
+        let mut last_error = PlatformError::NoAnswer {
             url: String::new(),
-            reason: "no address is configured".to_owned(),
+            reason: "no URL is configured".to_owned(),
         };
         for url in &self.urls {
             if let CallKind::Write = kind {
                 COUNTS.platform_writes.increment();
             }
-            match self.call_one(url, path, request).await {
+            match self.call_url(url, path, request).await {
                 Ok(answer) => return Ok(answer),
                 Err(error) => {
                     COUNTS.platform_errors.increment();
-                    last = PlatformError::NoAnswer {
+                    last_error = PlatformError::NoAnswer {
                         url: url.clone(),
                         reason: error.to_string(),
                     };
                 }
             }
         }
-        Err(last)
+        Err(last_error)
     }
 
-    async fn call_one<Q: Serialize, A: DeserializeOwned>(
+    /// Sends a request to one URL and decodes the response.
+    async fn call_url<Q: Serialize, A: DeserializeOwned>(
         &self,
         url: &str,
         path: &str,
@@ -217,7 +226,7 @@
     }
 }
 
-fn put_operation(write: &KeyWrite<'_>) -> RequestOp {
+fn to_put_operation(write: &KeyWrite<'_>) -> RequestOp {
     RequestOp {
         request_put: Some(PutRequest {
             key: encode_bytes(write.key.as_bytes()),
@@ -228,7 +237,7 @@
     }
 }
 
-/// Returns the end of the range of keys that start with `prefix`.
+/// Returns the exclusive end of the range of keys that start with `prefix`.
 fn prefix_end(prefix: &str) -> Vec<u8> {
     let mut end = prefix.as_bytes().to_vec();
     if let Some(last) = end.last_mut() {
@@ -237,16 +246,16 @@
     end
 }
 
-fn stored_value(item: &KeyValue) -> StoredValue {
+fn to_stored_value(key_value: &KeyValue) -> StoredValue {
     StoredValue {
-        value: decode_bytes(&item.value),
-        revision: item.mod_revision.parse().unwrap_or(0),
+        value: decode_bytes(&key_value.value),
+        revision: key_value.mod_revision.parse().unwrap_or(0),
     }
 }
 
-fn stored_key(item: &KeyValue) -> StoredEntry {
+fn to_stored_entry(key_value: &KeyValue) -> StoredEntry {
     StoredEntry {
-        key: String::from_utf8_lossy(&decode_bytes(&item.key)).into_owned(),
-        stored: stored_value(item),
+        key: String::from_utf8_lossy(&decode_bytes(&key_value.key)).into_owned(),
+        stored: to_stored_value(key_value),
     }
 }
--- a/crates/platform/src/fetch.rs
+++ b/crates/platform/src/fetch.rs
@@ -1,83 +1,86 @@
-//! Decides which peer is asked for a newer configuration, and when.
+//! Decides when to request a newer configuration, and from which peer.
 //!
-//! Versions are heard with each packet of each peer. One question is under way
-//! at a time, to the peer that was last heard with the highest version; a peer
-//! that does not answer is asked again after a pause that doubles.
+//! Each control packet from a peer contains the version of its configuration. At most
+//! one request is in flight. It goes to the peer that most recently reported the
+//! highest version. If the request brings no newer configuration, the next one is
+//! sent after a delay that doubles up to a maximum.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
 use hyssopstair_wire::time::MonotonicTime;
 
-/// Pause after a question without an answer, at first.
-const MIN_PAUSE: Duration = Duration::from_millis(100);
+/// Delay after the first failed request.
+const MIN_BACKOFF: Duration = Duration::from_millis(100);
 
-/// Pause after a question without an answer, at most.
-const MAX_PAUSE: Duration = Duration::from_secs(4);
+/// Maximum delay after a failed request.
+const MAX_BACKOFF: Duration = Duration::from_secs(4);
 
-/// What to do next.
+/// The next action of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FetchStep {
-    /// Nothing newer is known of.
+    /// Do nothing: no newer version is known.
     Idle,
-    /// A question is under way, or a pause; look again when it ends.
+    /// Do nothing: a request is in flight.
     Wait,
-    /// Look again at this time.
+    /// Call [`FetchState::next_step`] again at this time, when the backoff ends.
     WaitUntil(MonotonicTime),
-    /// Ask this peer.
+    /// Request the configuration from this peer.
     Request(SocketAddrV4),
 }
 
-/// The newest version that was heard of, and the question about it.
+/// The newest version that a peer reported, and the state of the request for it.
 #[derive(Debug, Clone, Default)]
 pub struct FetchState {
-    heard: u64,
-    from: Option<SocketAddrV4>,
-    asking: bool,
-    pause: Duration,
-    not_before: MonotonicTime,
+    newest_version: u64,
+    newest_peer: Option<SocketAddrV4>,
+    is_in_flight: bool,
+    backoff: Duration,
+    retry_at: MonotonicTime,
 }
 
 impl FetchState {
-    /// Notes that a peer has a version, and returns whether it is the newest
-    /// that was heard of.
-    pub fn record_version(&mut self, from: SocketAddrV4, version: u64) -> bool {
-        if version < self.heard {
+    /// Records that a peer reported a version, and returns whether the version is
+    /// higher than all that were reported before. Such a version ends the backoff.
+    pub fn record_version(&mut self, peer: SocketAddrV4, version: u64) -> bool {
+        if version < self.newest_version {
             return false;
         }
-        let newer = version > self.heard;
-        self.heard = version;
-        self.from = Some(from);
-        if newer {
-            self.pause = Duration::ZERO;
-            self.not_before = MonotonicTime::default();
+        let is_newer = version > self.newest_version;
+        self.newest_version = version;
+        self.newest_peer = Some(peer);
+        if is_newer {
+            self.backoff = Duration::ZERO;
+            self.retry_at = MonotonicTime::default();
         }
-        newer
+        is_newer
     }
 
-    /// Returns the next step of a process that acts on `version`.
+    /// Returns the next step of a process whose configuration has `version`. If it is
+    /// [`FetchStep::Request`], the request counts as in flight from now on.
     pub fn next_step(&mut self, version: u64, now: MonotonicTime) -> FetchStep {
-        if self.asking {
+        if self.is_in_flight {
             return FetchStep::Wait;
         }
-        let Some(peer) = self.from.filter(|_| self.heard > version) else {
+        let Some(peer) = self.newest_peer.filter(|_| self.newest_version > version) else {
             return FetchStep::Idle;
         };
-        if now < self.not_before {
-            return FetchStep::WaitUntil(self.not_before);
+        if now < self.retry_at {
+            return FetchStep::WaitUntil(self.retry_at);
         }
-        self.asking = true;
+        self.is_in_flight = true;
         FetchStep::Request(peer)
     }
 
-    /// Notes the end of a question; `fetched` when it brought a newer version.
-    pub fn finish_request(&mut self, fetched: bool, now: MonotonicTime) {
-        self.asking = false;
-        if fetched {
-            self.pause = Duration::ZERO;
+    /// Records the end of the request in flight. `has_fetched` says whether it brought
+    /// a newer configuration.
+    pub fn finish_request(&mut self, has_fetched: bool, now: MonotonicTime) {
+        self.is_in_flight = false;
+        if has_fetched {
+            self.backoff = Duration::ZERO;
             return;
         }
-        self.pause = (self.pause * 2).clamp(MIN_PAUSE, MAX_PAUSE);
-        self.not_before = now + self.pause;
+        self.backoff = (self.backoff * 2).clamp(MIN_BACKOFF, MAX_BACKOFF);
+        self.retry_at = now + self.backoff;
     }
 }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,8 +1,9 @@
-//! The platform's key-value service, spoken to by its published protocol.
+//! The client of the platform's key-value service, and the configuration stored in it.
 //!
-//! Start with [`client`] for the calls, [`record`] for what is kept, and
-//! [`change`] for how an operator's change gets there, and [`update`] for how it
-//! goes from process to process.
+//! - [`client`] sends the requests of the published protocol.
+//! - [`record`] defines the stored keys and values.
+//! - [`change`] decides how a change by an operator is written.
+//! - [`update`] defines how processes send newer configurations to each other.
 
 pub mod change;
 pub mod client;
--- a/crates/platform/src/protocol.rs
+++ b/crates/platform/src/protocol.rs
@@ -1,36 +1,36 @@
-//! Messages of the etcd v3 API in its JSON form, as far as they are used here.
+//! Messages of the etcd v3 API in JSON, as far as this project uses them.
 //!
-//! Source: the gRPC gateway of etcd 3.5, `rpc.proto`. Keys and values are
-//! base64, 64-bit integers are decimal strings, and fields with their default
-//! value are left out of answers.
+//! Source: the gRPC gateway of etcd 3.5, `rpc.proto`. Keys and values are encoded in
+//! base64, 64-bit integers are decimal strings, and responses omit fields that have
+//! their default value.
 
 use base64::Engine;
 use base64::prelude::BASE64_STANDARD;
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Encodes a key or value.
+/// Encodes a key or a value.
 pub fn encode_bytes(bytes: &[u8]) -> String {
     BASE64_STANDARD.encode(bytes)
 }
 
-/// Decodes a key or value; malformed text gives no bytes.
+/// Decodes a key or a value; returns an empty vector if `text` is malformed.
 pub fn decode_bytes(text: &str) -> Vec<u8> {
     BASE64_STANDARD.decode(text).unwrap_or_default()
 }
 
-/// Asks for one key or a range of keys.
+/// Reads a key or a range of keys.
 #[derive(Debug, Clone, Serialize, Deserialize, Default)]
 #[serde(default)]
 pub struct RangeRequest {
     /// The first key.
     pub key: String,
-    /// The end of the range, not included.
+    /// The exclusive end of the range; if missing, only `key` is read.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub range_end: Option<String>,
 }
 
-/// A key with its value and versions.
+/// A key with its value and metadata.
 #[derive(Debug, Clone, Serialize, Deserialize, Default)]
 #[serde(default)]
 pub struct KeyValue {
@@ -38,23 +38,23 @@
     pub key: String,
     /// The value.
     pub value: String,
-    /// The revision of the last change.
+    /// The store revision at which the key was last modified.
     pub mod_revision: String,
-    /// The lease, if any.
+    /// The lease to which the key is attached, if any.
     pub lease: String,
 }
 
-/// Answers a [`RangeRequest`].
+/// The response to a [`RangeRequest`].
 #[derive(Debug, Clone, Serialize, Deserialize, Default)]
 #[serde(default)]
 pub struct RangeResponse {
-    /// Facts about the store.
+    /// Metadata of the store.
     pub header: ResponseHeader,
-    /// The keys that were found.
+    /// The keys in the range that exist.
     pub kvs: Vec<KeyValue>,
 }
 
-/// Facts about the store that come with each answer.
+/// Metadata of the store, contained in each response.
 #[derive(Debug, Clone, Serialize, Deserialize, Default)]
 #[serde(default)]
 pub struct ResponseHeader {
@@ -62,7 +62,7 @@
     pub revision: String,
 }
 
-/// Writes one key.
+/// Writes a key.
 #[derive(Debug, Clone, Serialize, Deserialize, Default)]
 #[serde(default)]
 pub struct PutRequest {
@@ -70,26 +70,26 @@
     pub key: String,
     /// The value.
     pub value: String,
-    /// The lease that the key is bound to.
+    /// The lease to which the key is attached.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub lease: Option<String>,
 }
 
-/// Compares a key with an expectation.
+/// A condition of a transaction.
 #[derive(Debug, Clone, Serialize, Deserialize, Default)]
 #[serde(default)]
 pub struct Compare {
     /// The key.
     pub key: String,
-    /// What is compared; `MOD` for the revision of the last change.
+    /// The compared property; `MOD` for the revision of the last modification.
     pub target: String,
-    /// How it is compared; `EQUAL`.
+    /// The comparison operator; `EQUAL`.
     pub result: String,
     /// The expected revision; 0 for a key that does not exist.
     pub mod_revision: String,
 }
 
-/// One operation of a transaction.
+/// An operation of a transaction. One of the fields is set.
 #[derive(Debug, Clone, Serialize, Deserialize, Default)]
 #[serde(default)]
 pub struct RequestOp {
@@ -101,24 +101,24 @@
     pub request_range: Option<RangeRequest>,
 }
 
-/// Operations that are carried out together, if the comparisons hold.
+/// A transaction, which is executed atomically.
 #[derive(Debug, Clone, Serialize, Deserialize, Default)]
 #[serde(default)]
 pub struct TxnRequest {
-    /// The comparisons.
+    /// The conditions.
     pub compare: Vec<Compare>,
-    /// What is done when all hold.
+    /// The operations to execute if all conditions hold.
     pub success: Vec<RequestOp>,
-    /// What is done otherwise.
+    /// The operations to execute otherwise.
     pub failure: Vec<RequestOp>,
 }
 
-/// Answers a [`TxnRequest`].
+/// The response to a [`TxnRequest`].
 #[derive(Debug, Clone, Serialize, Deserialize, Default)]
 #[serde(default)]
 pub struct TxnResponse {
-    /// Facts about the store.
+    /// Metadata of the store.
     pub header: ResponseHeader,
-    /// Whether the comparisons held.
+    /// Whether all conditions held.
     pub succeeded: bool,
 }
--- a/crates/platform/src/record.rs
+++ b/crates/platform/src/record.rs
@@ -1,4 +1,4 @@
-//! What the platform keeps for the fleet.
+//! The keys and values that the fleet stores in the platform.
 
 use std::io::Read;
 use std::io::Write;
@@ -9,132 +9,138 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Key of the configuration.
+/// Key of the current configuration.
 pub const CONFIGURATION_KEY: &str = "/hyssopstair/configuration";
 
-/// Key of the version of the configuration, in decimal digits. It is written
-/// with the configuration, and is small enough to be read often.
+/// Key of the current configuration version, in decimal digits. It is written in the
+/// same transaction as the configuration and is small enough to be polled.
 pub const VERSION_KEY: &str = "/hyssopstair/version";
 
-/// Start of the keys of past configurations.
+/// Prefix of the keys of past configurations.
 pub const HISTORY_PREFIX: &str = "/hyssopstair/history/";
 
-/// Past configurations that the platform keeps.
+/// Number of past configurations that are stored.
 pub const HISTORY_SLOTS: u64 = 32;
 
-/// Start of the keys of the entry addresses.
+/// Prefix of the keys of the entry addresses: addresses of processes through which
+/// other processes can join.
 pub const ENTRY_PREFIX: &str = "/hyssopstair/entry/";
 
-/// Entry addresses that the platform keeps at most.
+/// Maximum number of stored entry addresses.
 pub const ENTRY_SLOTS: u32 = 16;
 
-/// Largest value that the platform takes, in bytes.
+/// Maximum size of a value that the platform accepts, in bytes.
 pub const MAX_VALUE_BYTES: usize = 1_000_000;
 
-/// Changes that a record names. A writer whose answer was lost finds its change
-/// among them, unless this many others followed.
+/// Number of recent changes that a record lists. A writer that received no answer
+/// finds its change in the list unless this many other changes followed it.
 pub const MAX_RECORDED_CHANGES: usize = 64;
 
-/// Longest text of a record, in bytes.
+/// Maximum size of a decompressed text, in bytes; a longer text is truncated.
 const MAX_TEXT_BYTES: u64 = 64 * 1024 * 1024;
 
-/// Returns the key of an entry address.
+/// Returns the key of the entry address in a slot.
 pub fn entry_key(slot: u32) -> String {
     format!("{ENTRY_PREFIX}{slot:02}")
 }
 
-/// Returns the key of a past configuration.
+/// Returns the key of a past configuration. Versions share [`HISTORY_SLOTS`] keys, so
+/// a new version overwrites an old one.
 pub fn history_key(version: u64) -> String {
     format!("{HISTORY_PREFIX}{:02}", version % HISTORY_SLOTS)
 }
 
-/// Names a change; drawn at random for each.
+/// The random identifier of a change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeId(pub u128);
 
-/// A change that took effect.
+/// A change that was written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordedChange {
-    /// The change.
+    /// The identifier of the change.
     pub id: ChangeId,
-    /// The version that it made.
+    /// The version that the change created.
     pub version: u64,
 }
 
-/// The configuration as it is kept.
+/// A configuration as stored in the platform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ConfigurationRecord {
-    /// Grows with each change.
+    /// The version, which increases with each change.
     pub version: u64,
-    /// The latest changes, the last one at the end.
+    /// The latest changes, oldest first.
     pub changes: Vec<RecordedChange>,
     /// The text of the rule file.
     pub text: String,
 }
 
-/// Why bytes are no record.
+/// An error in a stored configuration record.
 #[derive(Debug, thiserror::Error)]
 pub enum RecordError {
-    /// The outer structure is wrong.
-    #[error("the value is not a configuration record")]
+    /// The value is not an encoded record.
+    #[error("failed to decode the configuration record")]
     Malformed(#[from] postcard::Error),
-    /// The text cannot be unpacked.
-    #[error("the text of the configuration record cannot be unpacked")]
-    Text(#[from] std::io::Error),
+    /// The text of the record is not valid DEFLATE data or not UTF-8.
+    #[error("failed to decompress the text of the configuration record")]
+    InvalidText(#[from] std::io::Error),
 }
 
+/// The encoded form of a [`ConfigurationRecord`].
 #[derive(Debug, Serialize, Deserialize)]
-struct PackedRecord {
+struct EncodedRecord {
     version: u64,
     changes: Vec<RecordedChange>,
     deflated_text: Vec<u8>,
 }
 
 impl ConfigurationRecord {
-    /// Reads a record.
+    /// Decodes a record.
     ///
     /// # Errors
     ///
-    /// Returns an error when the bytes are no record.
+    /// Returns an error if the bytes are not a valid record.
     pub fn decode(bytes: &[u8]) -> Result<Self, RecordError> {
-        let packed: PackedRecord = postcard::from_bytes(bytes)?;
+        let encoded: EncodedRecord = postcard::from_bytes(bytes)?;
         Ok(Self {
-            version: packed.version,
-            changes: packed.changes,
-            text: inflate_text(&packed.deflated_text)?,
+            version: encoded.version,
+            changes: encoded.changes,
+            text: inflate_text(&encoded.deflated_text)?,
         })
     }
 
-    /// Writes the record in its packed form.
+    /// Encodes the record and compresses its text.
     ///
     /// # Errors
     ///
-    /// Returns an error when the text cannot be packed.
+    /// Returns an error if the encoding or the compression fails.
     pub fn encode(&self) -> Result<Vec<u8>, RecordError> {
-        let packed = PackedRecord {
+        let encoded = EncodedRecord {
             version: self.version,
             changes: self.changes.clone(),
             deflated_text: deflate_text(&self.text)?,
         };
-        Ok(postcard::to_stdvec(&packed)?)
+        Ok(postcard::to_stdvec(&encoded)?)
     }
 
-    /// Returns the version that a change made, if the record names it.
+    /// Returns the version that a change created, or `None` if the record does not
+    /// list the change.
     pub fn find_change_version(&self, id: ChangeId) -> Option<u64> {
         let change = self.changes.iter().find(|change| change.id == id)?;
         Some(change.version)
     }
 
-    /// Returns whether a change that made `version` would still be named here.
+    /// Returns whether the record would still list a change that created `version`.
+    /// If so, a change that it does not list was never written.
     pub fn covers_version(&self, version: u64) -> bool {
-        let oldest = self.changes.first().map_or(0, |change| change.version);
-        self.changes.len() < MAX_RECORDED_CHANGES || oldest <= version
+        let oldest_version = self.changes.first().map_or(0, |change| change.version);
+        self.changes.len() < MAX_RECORDED_CHANGES || oldest_version <= version
     }
 
-    /// Returns the record that follows this one.
+    /// Returns the record that results from a change of this one. The oldest listed
+    /// change is dropped if there are more than [`MAX_RECORDED_CHANGES`].
     pub fn with_change(&self, id: ChangeId, version: u64, text: String) -> Self {
-        let surplus = (self.changes.len() + 1).saturating_sub(MAX_RECORDED_CHANGES);
-        let mut changes = self.changes[surplus..].to_vec();
+        let excess_count = (self.changes.len() + 1).saturating_sub(MAX_RECORDED_CHANGES);
+        let mut changes = self.changes[excess_count..].to_vec();
         changes.push(RecordedChange { id, version });
         Self {
             version,
@@ -143,7 +149,7 @@
         }
     }
 
-    /// Returns the record before any change.
+    /// Returns the record of an empty configuration, before the first change.
     pub fn empty() -> Self {
         Self {
             version: 0,
@@ -153,22 +159,22 @@
     }
 }
 
-/// Packs the text of a rule file.
+/// Compresses the text of a rule file with DEFLATE.
 ///
 /// # Errors
 ///
-/// Returns an error when the text cannot be packed.
+/// Returns an error if the compression fails.
 pub fn deflate_text(text: &str) -> std::io::Result<Vec<u8>> {
     let mut encoder = DeflateEncoder::new(Vec::new(), Compression::default());
     encoder.write_all(text.as_bytes())?;
     encoder.finish()
 }
 
-/// Unpacks the text of a rule file.
+/// Decompresses the text of a rule file.
 ///
 /// # Errors
 ///
-/// Returns an error when the bytes are no packed text.
+/// Returns an error if the bytes are not valid DEFLATE data or the text is not UTF-8.
 pub fn inflate_text(bytes: &[u8]) -> std::io::Result<String> {
     let mut text = String::new();
     DeflateDecoder::new(bytes)
--- a/crates/platform/src/update.rs
+++ b/crates/platform/src/update.rs
@@ -1,10 +1,11 @@
-//! How a newer configuration goes from one process to another.
+//! Sends newer configurations from one process to another.
 //!
-//! A process keeps the line edits of its latest versions, bounded in number and
-//! bytes. A process that lags by no more is sent these; any other is sent the
-//! whole text. The receiver makes the edits to its own text and takes the result
-//! only when the checksum of each version agrees, else it asks for the whole
-//! text. The checksum guards against texts that differ, not against attackers.
+//! A process stores the line edits between its latest versions, limited in number and
+//! size. A peer whose version is among these receives the edits; any other peer
+//! receives the complete text. The receiver applies the edits to its own text and
+//! checks the checksum of each version. If one does not match, it requests the
+//! complete text instead. The checksum detects that the texts of the two processes
+//! differ; it gives no protection against attackers.
 
 use std::collections::VecDeque;
 use std::hash::Hasher;
@@ -20,13 +21,13 @@
 
 use crate::record::inflate_text;
 
-/// Steps that a process keeps.
+/// Maximum number of steps that a process stores.
 pub const MAX_KEPT_STEPS: usize = 64;
 
-/// Bytes of edits that a process keeps.
+/// Maximum total size of the encoded edits that a process stores, in bytes.
 pub const MAX_EDIT_BYTES: usize = 64 * 1024;
 
-/// Returns the checksum of a version and its text.
+/// Returns the checksum over the number and the text of a version.
 pub fn text_checksum(version: u64, text: &str) -> u64 {
     let mut hasher = SipHasher13::new();
     hasher.write_u64(version);
@@ -34,29 +35,29 @@
     hasher.finish()
 }
 
-/// A version and its text.
+/// The number and the text of a version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct VersionedText<'a> {
-    /// The version.
+    /// The version number.
     pub version: u64,
     /// The text of the rule file.
     pub text: &'a str,
 }
 
-/// Returns the step between two texts, or nothing when line edits cannot make
-/// the later of the earlier, or would be longer than what is kept. The search
-/// for short edits ends at the deadline.
+/// Returns the step from one version to another, or `None` if line edits cannot
+/// reproduce the new text or their encoding exceeds [`MAX_EDIT_BYTES`]. The search for
+/// short edits ends at the deadline.
 pub fn build_step(
     old: VersionedText<'_>,
     new: VersionedText<'_>,
     deadline: Option<Instant>,
 ) -> Option<ConfigurationStep> {
     let edits = diff_lines_until(old.text, new.text, deadline);
-    let encoded = postcard::to_stdvec(&edits).ok()?;
-    if encoded.len() > MAX_EDIT_BYTES {
+    let encoded_edits = postcard::to_stdvec(&edits).ok()?;
+    if encoded_edits.len() > MAX_EDIT_BYTES {
         return None;
     }
-    // Line ends other than "\n" are lost.
+    // Line edits do not preserve line breaks other than "\n".
     if apply_edits(old.text, &edits)? != new.text {
         return None;
     }
@@ -64,34 +65,37 @@
         from: old.version,
         to: new.version,
         checksum: text_checksum(new.version, new.text),
-        edits: encoded,
+        edits: encoded_edits,
     })
 }
 
-/// The steps that led to the version in force, and its packed text.
+/// The steps that led to the current version, and its compressed text.
 #[derive(Debug, Clone, Default)]
 pub struct UpdateLog {
     steps: VecDeque<ConfigurationStep>,
-    bytes: usize,
-    packed: Option<(u64, Arc<[u8]>)>,
+    edit_bytes: usize,
+    /// The latest version that was compressed, and its text.
+    deflated_text: Option<(u64, Arc<[u8]>)>,
 }
 
 impl UpdateLog {
-    /// Keeps a step; the oldest are dropped when there are too many.
+    /// Adds a step, and drops the oldest ones while the number or the size of the steps
+    /// exceeds its limit.
     pub fn add_step(&mut self, step: ConfigurationStep) {
-        self.bytes += step.edits.len();
+        self.edit_bytes += step.edits.len();
         self.steps.push_back(step);
-        while self.steps.len() > MAX_KEPT_STEPS || self.bytes > MAX_EDIT_BYTES {
-            let Some(oldest) = self.steps.pop_front() else {
+        while self.steps.len() > MAX_KEPT_STEPS || self.edit_bytes > MAX_EDIT_BYTES {
+            let Some(oldest_step) = self.steps.pop_front() else {
                 return;
             };
-            self.bytes -= oldest.edits.len();
+            self.edit_bytes -= oldest_step.edits.len();
         }
     }
 
-    /// Returns the steps from one version to a later one, if all are kept.
+    /// Returns the steps from one version to a later one, in order, or `None` if one of
+    /// them is not stored.
     pub fn find_steps(&self, from: u64, to: u64) -> Option<Vec<ConfigurationStep>> {
-        let mut found = Vec::new();
+        let mut path = Vec::new();
         let mut version = from;
         while version < to {
             let step = self
@@ -100,50 +104,56 @@
                 .rev()
                 .find(|step| step.from == version && step.to <= to)?;
             version = step.to;
-            found.push(step.clone());
+            path.push(step.clone());
         }
-        Some(found)
+        Some(path)
     }
 
-    /// Returns the bytes of edits that are kept.
+    /// Returns the total size of the stored edits, in bytes.
     pub fn edit_bytes(&self) -> usize {
-        self.bytes
+        self.edit_bytes
     }
 
-    /// Returns the packed text of a version, if it was kept.
+    /// Returns the compressed text of a version, if it is stored.
     pub fn find_deflated_text(&self, version: u64) -> Option<Arc<[u8]>> {
-        let (kept, packed) = self.packed.as_ref()?;
-        (*kept == version).then(|| Arc::clone(packed))
+        let (stored_version, deflated_text) = self.deflated_text.as_ref()?;
+        (*stored_version == version).then(|| Arc::clone(deflated_text))
     }
 
-    /// Keeps the packed text of a version, unless that of a later one is kept.
-    pub fn store_deflated_text(&mut self, version: u64, packed: Arc<[u8]>) {
-        let kept = self.packed.as_ref().map_or(0, |(kept, _)| *kept);
-        if version >= kept {
-            self.packed = Some((version, packed));
+    /// Stores the compressed text of a version, unless that of a later version is stored
+    /// already.
+    pub fn store_deflated_text(&mut self, version: u64, deflated_text: Arc<[u8]>) {
+        let stored_version = self
+            .deflated_text
+            .as_ref()
+            .map_or(0, |(stored_version, _)| *stored_version);
+        if version >= stored_version {
+            self.deflated_text = Some((version, deflated_text));
         }
     }
 }
 
-/// What a peer's answer to a question for the configuration holds.
+/// The result of a request for a newer configuration to a peer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PeerUpdate {
-    /// Nothing that is newer.
+    /// The peer sent no newer configuration.
     Nothing,
-    /// Edits that do not fit the text here; the whole text is needed.
+    /// The peer sent edits that do not apply to the text of this process. The complete
+    /// text must be requested.
     Mismatch,
-    /// A newer configuration.
+    /// The peer sent a newer configuration.
     Newer {
-        /// Its version.
+        /// The version of the configuration.
         version: u64,
-        /// Its text.
+        /// The text of the rule file.
         text: String,
-        /// The steps that led to it; none when the whole text was sent.
+        /// The steps that led to it; empty if the peer sent the complete text.
         steps: Vec<ConfigurationStep>,
     },
 }
 
-/// Reads a peer's answer at a process that acts on `old`.
+/// Returns the configuration that results from applying the answer of a peer to `old`,
+/// the current configuration of this process.
 pub fn apply_answer(old: VersionedText<'_>, answer: PeerAnswer) -> PeerUpdate {
     match answer {
         PeerAnswer::Configuration {
@@ -157,17 +167,18 @@
             },
             Err(_) => PeerUpdate::Nothing,
         },
-        PeerAnswer::ConfigurationSteps(steps) => read_steps(old, steps),
+        PeerAnswer::ConfigurationSteps(steps) => apply_steps(old, steps),
         _ => PeerUpdate::Nothing,
     }
 }
 
-fn read_steps(old: VersionedText<'_>, steps: Vec<ConfigurationStep>) -> PeerUpdate {
-    let Some(last) = steps.last() else {
+/// Applies the steps that a peer sent.
+fn apply_steps(old: VersionedText<'_>, steps: Vec<ConfigurationStep>) -> PeerUpdate {
+    let Some(last_step) = steps.last() else {
         return PeerUpdate::Nothing;
     };
-    let version = last.to;
-    match make_steps(old, &steps) {
+    let version = last_step.to;
+    match build_text(old, &steps) {
         Some(text) => PeerUpdate::Newer {
             version,
             text,
@@ -177,7 +188,9 @@
     }
 }
 
-fn make_steps(old: VersionedText<'_>, steps: &[ConfigurationStep]) -> Option<String> {
+/// Applies steps to `old` and returns the resulting text, or `None` if a step does not
+/// apply or its checksum does not match.
+fn build_text(old: VersionedText<'_>, steps: &[ConfigurationStep]) -> Option<String> {
     let mut version = old.version;
     let mut text = old.text.to_owned();
     for step in steps {
--- a/crates/platform/tests/record.rs
+++ b/crates/platform/tests/record.rs
@@ -1,4 +1,4 @@
-//! What the platform keeps.
+//! Tests of the stored configuration record.
 
 use expect_test::expect;
 use hyssopstair_platform::record::ChangeId;
@@ -6,22 +6,22 @@
 use hyssopstair_platform::record::MAX_RECORDED_CHANGES;
 
 #[test]
-fn a_record_is_read_as_it_was_written() {
+fn a_decoded_record_equals_the_encoded_one() {
     let record = ConfigurationRecord::empty().with_change(ChangeId(7), 3, "drain\n".repeat(999));
-    let bytes = record.encode().expect("packed");
+    let bytes = record.encode().expect("encoded record");
     assert_eq!(ConfigurationRecord::decode(&bytes).ok(), Some(record));
     expect!["39"].assert_eq(&bytes.len().to_string());
 }
 
 #[test]
-fn bytes_that_are_no_record_are_refused() {
-    let whole = ConfigurationRecord::empty()
+fn invalid_records_are_rejected() {
+    let encoded = ConfigurationRecord::empty()
         .with_change(ChangeId(7), 3, "drain\n".to_owned())
         .encode()
-        .expect("packed");
-    for length in 0..whole.len() {
+        .expect("encoded record");
+    for length in 0..encoded.len() {
         assert!(
-            ConfigurationRecord::decode(&whole[..length]).is_err(),
+            ConfigurationRecord::decode(&encoded[..length]).is_err(),
             "{length}"
         );
     }
@@ -30,10 +30,10 @@
     expect![[r#"
         [
             Err(
-                "the value is not a configuration record",
+                "failed to decode the configuration record",
             ),
             Err(
-                "the text of the configuration record cannot be unpacked",
+                "failed to decompress the text of the configuration record",
             ),
         ]
     "#]]
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_change_is_named_until_many_others_have_followed() {
+fn a_change_is_listed_until_many_others_have_followed() {
     let mut record = ConfigurationRecord::empty().with_change(ChangeId(1), 1, String::new());
     for number in 2..=MAX_RECORDED_CHANGES as u64 {
         record = record.with_change(ChangeId(number.into()), number, String::new());
