--- a/crates/platform/examples/support/mod.rs
+++ b/crates/platform/examples/support/mod.rs
@@ -1,16 +1,16 @@
-//! What the programs that measure rule files share.
+//! Rule files and time measurements for the examples.
 
 use std::fmt::Write;
 use std::time::Duration;
 use std::time::Instant;
 
-/// Times that each step is repeated; the median is printed.
-const ROUNDS: usize = 5;
+/// Number of measurements, of which the median is taken.
+const ROUND_COUNT: usize = 5;
 
-/// Writes a rule file with five lines for each service.
-pub fn rule_text(services: u32) -> String {
+/// Returns a rule file with five rules for each service.
+pub fn rule_text(service_count: u32) -> String {
     let mut text = String::from("zone utr-a id 1  # A. Visser: where we run\n");
-    for index in 0..services {
+    for index in 0..service_count {
         let name = format!("service-{index:05}");
         let id = index + 1;
         let host = format!("10.{}.{}.{}", index >> 16, (index >> 8) & 255, index & 255);
@@ -28,20 +28,20 @@
     text
 }
 
-/// Returns the median time of a step.
-pub fn median(mut step: impl FnMut()) -> Duration {
-    let mut times: Vec<Duration> = (0..ROUNDS)
+/// Runs an operation several times and returns the median duration.
+pub fn median(mut operation: impl FnMut()) -> Duration {
+    let mut durations: Vec<Duration> = (0..ROUND_COUNT)
         .map(|_| {
             let start = Instant::now();
-            step();
+            operation();
             start.elapsed()
         })
         .collect();
-    times.sort_unstable();
-    times[ROUNDS / 2]
+    durations.sort_unstable();
+    durations[ROUND_COUNT / 2]
 }
 
-/// Returns a time in milliseconds.
+/// Returns a duration in milliseconds.
 pub fn millis(duration: Duration) -> f64 {
     duration.as_secs_f64() * 1_000.0
 }
--- a/crates/platform/examples/update_cost.rs
+++ b/crates/platform/examples/update_cost.rs
@@ -1,6 +1,7 @@
-//! Prints what a change costs a process that is sent line edits: bytes of the
-//! answer against the whole text, and times to find, make and check the edits
-//! and to read the new rules. The load at the target's rate of changes follows.
+//! Measures the cost of sending a change as line edits: the size of the messages compared
+//! with that of the complete text, and the time to compute the edits, to apply and check
+//! them, and to parse the new rules. From these it calculates the load on a process at
+//! the target rate of changes.
 
 mod support;
 
@@ -20,38 +21,38 @@
 use support::millis;
 use support::rule_text;
 
-/// Sizes of the fleet, in services; the last is the target size.
-const SIZES: [u32; 3] = [100, 1_000, 8_700];
+/// Numbers of services; the last one is the target size of the fleet.
+const SERVICE_COUNTS: [u32; 3] = [100, 1_000, 8_700];
 
-/// Changes a day at the target size.
-const CHANGES_A_DAY: f64 = 2_900.0;
+/// Number of changes per day at the target size.
+const CHANGES_PER_DAY: f64 = 2_900.0;
 
-/// Seconds of a day.
-const DAY_SECONDS: f64 = 86_400.0;
+/// Number of seconds in a day.
+const SECONDS_PER_DAY: f64 = 86_400.0;
 
-/// The lines that an operator changes at once.
+/// A change by an operator.
 #[derive(Debug, Clone, Copy)]
 enum ChangeSize {
-    /// A drain rule is added.
+    /// Adds a drain rule.
     Drain,
-    /// The deadlines of 20 services, all over the file.
+    /// Changes the deadline rules of 20 services, spread over the file.
     TwentyLines,
 }
 
 fn main() {
     println!(
-        "services  change       whole bytes  edit bytes  find ms  make ms  read ms  B/s    % of a core"
+        "services  change        text bytes  edit bytes  diff ms  apply ms  parse ms  B/s    % of a core"
     );
-    for services in SIZES {
+    for service_count in SERVICE_COUNTS {
         for change in [ChangeSize::Drain, ChangeSize::TwentyLines] {
-            print_cost(services, change);
+            print_cost(service_count, change);
         }
     }
 }
 
-fn print_cost(services: u32, change: ChangeSize) {
-    let old_text = rule_text(services);
-    let new_text = changed(&old_text, services, change);
+fn print_cost(service_count: u32, change: ChangeSize) {
+    let old_text = rule_text(service_count);
+    let new_text = apply_change(&old_text, service_count, change);
     let old = VersionedText {
         version: 1,
         text: &old_text,
@@ -61,52 +62,52 @@
         text: &new_text,
     };
     let Some(step) = build_step(old, new, None) else {
-        println!("{services:>8}  no edits");
+        println!("{service_count:>8}  no edits");
         return;
     };
-    let find = median(|| {
+    let diff_time = median(|| {
         black_box(build_step(old, new, None));
     });
     let answer = PeerAnswer::ConfigurationSteps(vec![step]);
-    let make = median(|| {
+    let apply_time = median(|| {
         black_box(apply_answer(old, answer.clone()));
     });
-    let read = median(|| {
+    let parse_time = median(|| {
         black_box(RuleSet::parse(black_box(&new_text)).is_ok());
     });
-    let question = encode_request(&PeerRequest::Configuration { above: 1 }).len();
-    let bytes = question + encode_answer(&answer).len();
-    let changes_a_second = CHANGES_A_DAY / DAY_SECONDS;
+    let request_bytes = encode_request(&PeerRequest::Configuration { above: 1 }).len();
+    let message_bytes = request_bytes + encode_answer(&answer).len();
+    let changes_per_second = CHANGES_PER_DAY / SECONDS_PER_DAY;
     println!(
-        "{services:>8}  {:<11}  {:>11}  {bytes:>10}  {:>7.2}  {:>7.2}  {:>7.2}  {:>5.1}  {:.3}",
+        "{service_count:>8}  {:<11}  {:>11}  {message_bytes:>10}  {:>7.2}  {:>8.2}  {:>8.2}  {:>5.1}  {:.3}",
         format!("{change:?}"),
-        deflate_text(&new_text).map_or(0, |packed| packed.len()),
-        millis(find),
-        millis(make),
-        millis(read),
-        bytes as f64 * changes_a_second,
-        (make + read).as_secs_f64() * changes_a_second * 100.0,
+        deflate_text(&new_text).map_or(0, |deflated_text| deflated_text.len()),
+        millis(diff_time),
+        millis(apply_time),
+        millis(parse_time),
+        message_bytes as f64 * changes_per_second,
+        (apply_time + parse_time).as_secs_f64() * changes_per_second * 100.0,
     );
 }
 
-fn changed(text: &str, services: u32, change: ChangeSize) -> String {
+fn apply_change(text: &str, service_count: u32, change: ChangeSize) -> String {
     match change {
         ChangeSize::Drain => format!("{text}drain 10.9.9.9:7000  # A. Visser\n"),
         ChangeSize::TwentyLines => {
-            let every = services as usize / 20;
-            let mut changed = String::with_capacity(text.len());
-            let mut deadlines = 0;
+            let interval = service_count as usize / 20;
+            let mut new_text = String::with_capacity(text.len());
+            let mut deadline_count = 0;
             for line in text.lines() {
                 let is_deadline = line.starts_with("deadline");
-                deadlines += usize::from(is_deadline);
-                if is_deadline && deadlines % every == 0 {
-                    changed.push_str(&line.replace("course", "exam"));
+                deadline_count += usize::from(is_deadline);
+                if is_deadline && deadline_count % interval == 0 {
+                    new_text.push_str(&line.replace("course", "exam"));
                 } else {
-                    changed.push_str(line);
+                    new_text.push_str(line);
                 }
-                changed.push('\n');
+                new_text.push('\n');
             }
-            changed
+            new_text
         }
     }
 }
--- a/crates/platform/tests/calls.rs
+++ b/crates/platform/tests/calls.rs
@@ -1,4 +1,4 @@
-//! When a process calls the platform and its peers.
+//! Tests of the times at which a process calls the platform and its peers.
 
 use std::time::Duration;
 
@@ -7,16 +7,17 @@
 use hyssopstair_platform::schedule::poll_interval;
 use hyssopstair_wire::time::MonotonicTime;
 
-const MIDDLE: f64 = 0.5;
+/// The jitter that leaves an interval unchanged.
+const NO_JITTER: f64 = 0.5;
 
 #[test]
 fn the_fleet_reads_at_a_fixed_rate_whatever_its_size() {
     let table: Vec<String> = [1, 13, 25, 100, 5_100, 55_100]
         .into_iter()
-        .map(|members: usize| {
-            let interval = poll_interval(members, 0, MIDDLE);
-            let rate = members as f64 / interval.as_secs_f64();
-            format!("{members} processes: {interval:?} each, {rate:.0} reads/s")
+        .map(|member_count: usize| {
+            let interval = poll_interval(member_count, 0, NO_JITTER);
+            let rate = member_count as f64 / interval.as_secs_f64();
+            format!("{member_count} processes: {interval:?} each, {rate:.0} reads/s")
         })
         .collect();
     expect![[r#"
@@ -33,9 +34,9 @@
 }
 
 #[test]
-fn reads_without_an_answer_get_rarer() {
-    let small: Vec<Duration> = (0..7)
-        .map(|failures| poll_interval(3, failures, MIDDLE))
+fn the_interval_doubles_while_reads_fail() {
+    let small_fleet: Vec<Duration> = (0..7)
+        .map(|failure_count| poll_interval(3, failure_count, NO_JITTER))
         .collect();
     expect![[r#"
         [
@@ -48,13 +49,13 @@
             8s,
         ]
     "#]]
-    .assert_debug_eq(&small);
-    let regular = poll_interval(55_100, 0, MIDDLE);
-    assert_eq!(poll_interval(55_100, 9, MIDDLE), regular);
+    .assert_debug_eq(&small_fleet);
+    let large_fleet = poll_interval(55_100, 0, NO_JITTER);
+    assert_eq!(poll_interval(55_100, 9, NO_JITTER), large_fleet);
 }
 
 #[test]
-fn one_peer_is_asked_at_a_time_and_again_after_a_pause() {
+fn one_request_is_in_flight_at_a_time_and_repeated_after_a_backoff() {
     let peer = |number: u8| format!("127.1.1.{number}:7000").parse().expect("address");
     let at = MonotonicTime::from_millis;
     let mut fetch = FetchState::default();
@@ -62,7 +63,7 @@
     fetch.record_version(peer(1), 4);
     fetch.record_version(peer(2), 4);
     steps.push(fetch.next_step(3, at(0)));
-    // Packets that come meanwhile start no second question.
+    // A packet that arrives while the request is in flight starts no second one.
     fetch.record_version(peer(3), 4);
     steps.push(fetch.next_step(3, at(1)));
     fetch.finish_request(false, at(1_000));
@@ -70,7 +71,7 @@
     steps.push(fetch.next_step(3, at(1_100)));
     fetch.finish_request(false, at(2_100));
     steps.push(fetch.next_step(3, at(2_150)));
-    // A newer version ends the pause.
+    // A newer version ends the backoff.
     fetch.record_version(peer(1), 5);
     steps.push(fetch.next_step(3, at(2_150)));
     fetch.finish_request(true, at(2_200));
--- a/crates/platform/tests/change_fuzz.rs
+++ b/crates/platform/tests/change_fuzz.rs
@@ -1,6 +1,11 @@
-//! Several operators change the rules at once, over the real decisions, against
-//! a store with outages, lost answers and late writes. The oracle is the list of
-//! all records that the store ever took.
+//! Concurrent changes of the rules in a store with outages, lost responses and delayed
+//! writes.
+//!
+//! The test guards against lost and repeated changes and against wrong outcomes. It
+//! executes the steps of the real [`ChangeState`] and checks the outcomes against the
+//! list of all records that were ever written.
+//!
+//! [`ChangeState`]: hyssopstair_platform::change::ChangeState
 
 mod support;
 
@@ -15,20 +20,21 @@
 use proptest_state_machine::ReferenceStateMachine;
 use proptest_state_machine::StateMachineTest;
 
-use support::CallFate;
+use support::CallOutcome;
 use support::EditKind;
-use support::OperatorFleet;
+use support::OperatorSimulation;
 
-/// Operators who work at the same time.
-const OPERATORS: usize = 3;
+/// Number of concurrent operators.
+const OPERATOR_COUNT: usize = 3;
 
-/// Cases in CI; the variable `HYSSOPSTAIR_FUZZ_CASES` overrides them.
-const CASES: u32 = 600;
+/// Number of cases, unless the variable `HYSSOPSTAIR_FUZZ_CASES` is set.
+const DEFAULT_CASES: u32 = 600;
 
 const SEED: u64 = 20;
 
+/// A step of the simulation.
 #[derive(Debug, Clone, Copy)]
-enum FleetStep {
+enum SimulationStep {
     Start {
         operator: usize,
         kind: EditKind,
@@ -36,28 +42,29 @@
     },
     Call {
         operator: usize,
-        fate: CallFate,
+        call_outcome: CallOutcome,
     },
-    DeliverLate {
+    ExecuteDelayed {
         pick: usize,
     },
-    Wait {
+    Advance {
         millis: u64,
     },
 }
 
+/// Generates the steps, which do not depend on earlier ones.
 #[derive(Debug, Clone)]
-struct StepSource;
+struct StepGenerator;
 
-impl ReferenceStateMachine for StepSource {
+impl ReferenceStateMachine for StepGenerator {
     type State = ();
-    type Transition = FleetStep;
+    type Transition = SimulationStep;
 
     fn init_state() -> BoxedStrategy<()> {
         Just(()).boxed()
     }
 
-    fn transitions((): &()) -> BoxedStrategy<FleetStep> {
+    fn transitions((): &()) -> BoxedStrategy<SimulationStep> {
         let kind = proptest::sample::select(vec![
             EditKind::AddLine,
             EditKind::ReplaceLine,
@@ -65,92 +72,109 @@
             EditKind::Drain,
             EditKind::Undrain,
         ]);
-        let fate = proptest::sample::select(vec![
-            CallFate::Answered,
-            CallFate::Answered,
-            CallFate::Answered,
-            CallFate::LostBefore,
-            CallFate::LostAfter,
-            CallFate::Late,
-            CallFate::TriedTwice,
+        let call_outcome = proptest::sample::select(vec![
+            CallOutcome::Answered,
+            CallOutcome::Answered,
+            CallOutcome::Answered,
+            CallOutcome::RequestLost,
+            CallOutcome::ResponseLost,
+            CallOutcome::Delayed,
+            CallOutcome::Retried,
         ]);
         proptest::prop_oneof![
-            2 => (0..OPERATORS, kind, 0..4_usize)
-                .prop_map(|(operator, kind, age)| FleetStep::Start { operator, kind, age }),
-            8 => (0..OPERATORS, fate)
-                .prop_map(|(operator, fate)| FleetStep::Call { operator, fate }),
-            1 => (0..4_usize).prop_map(|pick| FleetStep::DeliverLate { pick }),
-            1 => (1..4_000_u64).prop_map(|millis| FleetStep::Wait { millis }),
+            2 => (0..OPERATOR_COUNT, kind, 0..4_usize)
+                .prop_map(|(operator, kind, age)| SimulationStep::Start { operator, kind, age }),
+            8 => (0..OPERATOR_COUNT, call_outcome)
+                .prop_map(|(operator, call_outcome)| SimulationStep::Call { operator, call_outcome }),
+            1 => (0..4_usize).prop_map(|pick| SimulationStep::ExecuteDelayed { pick }),
+            1 => (1..4_000_u64).prop_map(|millis| SimulationStep::Advance { millis }),
         ]
         .boxed()
     }
 
-    fn apply((): (), _: &FleetStep) {}
+    fn apply((): (), _: &SimulationStep) {}
 }
 
 struct ChangeTest;
 
 impl StateMachineTest for ChangeTest {
-    type SystemUnderTest = OperatorFleet;
-    type Reference = StepSource;
+    type SystemUnderTest = OperatorSimulation;
+    type Reference = StepGenerator;
 
-    fn init_test((): &()) -> OperatorFleet {
-        OperatorFleet::new(OPERATORS)
+    fn init_test((): &()) -> OperatorSimulation {
+        OperatorSimulation::new(OPERATOR_COUNT)
     }
 
-    fn apply(mut fleet: OperatorFleet, (): &(), step: FleetStep) -> OperatorFleet {
+    fn apply(
+        mut simulation: OperatorSimulation,
+        (): &(),
+        step: SimulationStep,
+    ) -> OperatorSimulation {
         match step {
-            FleetStep::Start {
+            SimulationStep::Start {
                 operator,
                 kind,
                 age,
-            } => fleet.start(operator, kind, age),
-            FleetStep::Call { operator, fate } => fleet.call(operator, fate),
-            FleetStep::DeliverLate { pick } => fleet.deliver_late(pick),
-            FleetStep::Wait { millis } => fleet.wait(Duration::from_millis(millis)),
+            } => simulation.start(operator, kind, age),
+            SimulationStep::Call {
+                operator,
+                call_outcome,
+            } => simulation.call(operator, call_outcome),
+            SimulationStep::ExecuteDelayed { pick } => simulation.execute_delayed(pick),
+            SimulationStep::Advance { millis } => simulation.advance(Duration::from_millis(millis)),
         }
-        fleet
+        simulation
     }
 
-    fn check_invariants(fleet: &OperatorFleet, (): &()) {
-        check(fleet);
+    fn check_invariants(simulation: &OperatorSimulation, (): &()) {
+        check(simulation);
     }
 
-    fn teardown(mut fleet: OperatorFleet, (): ()) {
-        // Whatever was under way arrives in the end.
-        while fleet.has_late() {
-            fleet.deliver_late(0);
+    fn teardown(mut simulation: OperatorSimulation, (): ()) {
+        // All delayed writes are executed before the last check.
+        while simulation.has_delayed() {
+            simulation.execute_delayed(0);
         }
-        check(&fleet);
+        check(&simulation);
     }
 }
 
-fn check(fleet: &OperatorFleet) {
-    for pair in fleet.store.log.windows(2) {
+fn check(simulation: &OperatorSimulation) {
+    for pair in simulation.store.records.windows(2) {
         let [before, after] = pair else { continue };
         assert!(
             after.version > before.version,
-            "version went from {} to {}",
+            "version changed from {} to {}",
             before.version,
             after.version
         );
-        fleet.check_edit(before, after);
+        simulation.check_edit(before, after);
     }
-    for (id, _) in &fleet.intents {
-        let times = fleet.store.times_applied(*id);
-        assert!(times <= 1, "change {id:?} took effect {times} times");
+    for (id, _) in &simulation.intents {
+        let write_count = simulation.store.count_writes(*id);
+        assert!(
+            write_count <= 1,
+            "change {id:?} was written {write_count} times"
+        );
     }
-    for (id, outcome) in &fleet.outcomes {
-        let applied = fleet.store.version_made_by(*id);
+    for (id, outcome) in &simulation.outcomes {
+        let created_version = simulation.store.find_version_created_by(*id);
         match outcome {
             ChangeOutcome::Written { version } => {
-                assert_eq!(applied, Some(*version), "accepted but not in the store");
+                assert_eq!(
+                    created_version,
+                    Some(*version),
+                    "{outcome:?} does not match the version in the store"
+                );
             }
             ChangeOutcome::Unchanged { .. }
             | ChangeOutcome::Conflict { .. }
             | ChangeOutcome::Invalid { .. }
             | ChangeOutcome::NotWritten => {
-                assert_eq!(applied, None, "{outcome:?} but in the store");
+                assert_eq!(
+                    created_version, None,
+                    "{outcome:?}, but the change is in the store"
+                );
             }
             ChangeOutcome::MayBeWritten { .. } => {}
         }
@@ -161,7 +185,7 @@
     let cases = std::env::var("HYSSOPSTAIR_FUZZ_CASES")
         .ok()
         .and_then(|text| text.parse().ok())
-        .unwrap_or(CASES);
+        .unwrap_or(DEFAULT_CASES);
     ProptestConfig {
         cases,
         rng_seed: RngSeed::Fixed(SEED),
@@ -175,5 +199,5 @@
     #![proptest_config(config())]
 
     #[test]
-    fn racing_operators_lose_no_update(sequential 20..120 => ChangeTest);
+    fn concurrent_operators_lose_no_change(sequential 20..120 => ChangeTest);
 }
--- a/crates/platform/tests/support/mod.rs
+++ b/crates/platform/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A store in memory and operators who change it, step by step.
+//! A simulation of operators who concurrently change the configuration in a store.
 
 use std::time::Duration;
 
@@ -13,10 +13,10 @@
 use hyssopstair_rules::edit::diff_lines;
 use hyssopstair_wire::time::MonotonicTime;
 
-/// Time that an operator gives a change.
-const PATIENCE: Duration = Duration::from_secs(8);
+/// Time after which an operator gives up on a change.
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Lines that the first configuration has.
+/// The text of the first configuration.
 const FIRST_TEXT: &str = "\
 zone utr-a id 1  # A. Visser
 service leerplein id 1 address 127.1.0.10:4433  # A. Visser
@@ -28,87 +28,92 @@
 drain 127.1.2.3:7000  # A. Visser
 ";
 
-/// What happens to a call.
+/// The way in which a call succeeds or fails.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CallFate {
-    /// It is carried out and answered.
+pub enum CallOutcome {
+    /// The store executes the call and answers it.
     Answered,
-    /// It never arrives.
-    LostBefore,
-    /// It is carried out; the answer is lost.
-    LostAfter,
-    /// It is carried out later; there is no answer.
-    Late,
-    /// It is carried out, the answer is lost, and it is sent once more.
-    TriedTwice,
+    /// The request is lost.
+    RequestLost,
+    /// The store executes the call, and the response is lost.
+    ResponseLost,
+    /// The store executes the call later and does not answer it.
+    Delayed,
+    /// The store executes the call, the response is lost, and the client sends the
+    /// request again.
+    Retried,
 }
 
-/// What an operator does to the text.
+/// A change by an operator, possibly based on an outdated text.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EditKind {
-    /// Adds a line at the end of a text that may be old.
+    /// Adds a line at the end.
     AddLine,
-    /// Replaces a line that the others replace too.
+    /// Replaces a line that other operators replace too.
     ReplaceLine,
-    /// Removes a line.
+    /// Removes a line, if it is a drain rule.
     RemoveLine,
-    /// Drains a host, by command.
+    /// Adds a drain rule with the drain command.
     Drain,
-    /// Ends the drain of a host, by command.
+    /// Removes a drain rule with the undrain command.
     Undrain,
 }
 
-/// A write on its way.
+/// A write request.
 #[derive(Debug, Clone)]
 struct StoreWrite {
     revision: u64,
     record: ConfigurationRecord,
 }
 
-/// The store, and all records that it ever took.
+/// The store and all records that were ever written to it.
 #[derive(Debug)]
 pub struct FakeStore {
-    /// The records, the present one last.
-    pub log: Vec<ConfigurationRecord>,
+    /// The records, the current one last.
+    pub records: Vec<ConfigurationRecord>,
 }
 
 impl FakeStore {
-    fn found(&self) -> StoredRecord {
+    fn current_record(&self) -> StoredRecord {
         StoredRecord {
             record: self
-                .log
+                .records
                 .last()
                 .cloned()
                 .unwrap_or_else(ConfigurationRecord::empty),
-            revision: self.log.len() as u64,
+            revision: self.records.len() as u64,
         }
     }
 
     fn write(&mut self, write: &StoreWrite) -> bool {
-        let holds = write.revision == self.log.len() as u64;
-        if holds {
-            self.log.push(write.record.clone());
+        let is_current = write.revision == self.records.len() as u64;
+        if is_current {
+            self.records.push(write.record.clone());
         }
-        holds
+        is_current
     }
 
-    /// Returns how often a change took effect.
-    pub fn times_applied(&self, id: ChangeId) -> usize {
-        let last_is_own = |record: &&ConfigurationRecord| {
+    /// Returns the number of times that a change was written.
+    pub fn count_writes(&self, id: ChangeId) -> usize {
+        let is_of_change = |record: &&ConfigurationRecord| {
             record.changes.last().is_some_and(|change| change.id == id)
         };
-        self.log.iter().filter(last_is_own).count()
+        self.records.iter().filter(is_of_change).count()
     }
 
-    /// Returns the version that a change made.
-    pub fn version_made_by(&self, id: ChangeId) -> Option<u64> {
-        let own = |record: &&ConfigurationRecord| {
+    /// Returns the version that a change created.
+    pub fn find_version_created_by(&self, id: ChangeId) -> Option<u64> {
+        let is_of_change = |record: &&ConfigurationRecord| {
             record.changes.last().is_some_and(|change| change.id == id)
         };
-        self.log.iter().find(own).map(|record| record.version)
+        self.records
+            .iter()
+            .find(is_of_change)
+            .map(|record| record.version)
     }
 }
 
+/// A change that has not ended.
 #[derive(Debug)]
 struct RunningChange {
     id: ChangeId,
@@ -118,64 +123,68 @@
 
 /// The operators and their store.
 #[derive(Debug)]
-pub struct OperatorFleet {
+pub struct OperatorSimulation {
     /// The store.
     pub store: FakeStore,
-    /// What each change is to do.
+    /// The changes that were requested.
     pub intents: Vec<(ChangeId, ChangeIntent)>,
-    /// What came of the changes that ended.
+    /// The outcomes of the changes that ended.
     pub outcomes: Vec<(ChangeId, ChangeOutcome)>,
-    running: Vec<Option<RunningChange>>,
-    late: Vec<StoreWrite>,
+    /// The change that each operator has running.
+    running_changes: Vec<Option<RunningChange>>,
+    delayed_writes: Vec<StoreWrite>,
     now: MonotonicTime,
 }
 
-impl OperatorFleet {
+impl OperatorSimulation {
     /// Creates `count` operators and a store with a first configuration.
     pub fn new(count: usize) -> Self {
-        let first = ConfigurationRecord::empty().with_change(ChangeId(0), 1, FIRST_TEXT.to_owned());
+        let first_record =
+            ConfigurationRecord::empty().with_change(ChangeId(0), 1, FIRST_TEXT.to_owned());
         Self {
-            store: FakeStore { log: vec![first] },
+            store: FakeStore {
+                records: vec![first_record],
+            },
             intents: Vec::new(),
             outcomes: Vec::new(),
-            running: (0..count).map(|_| None).collect(),
-            late: Vec::new(),
+            running_changes: (0..count).map(|_| None).collect(),
+            delayed_writes: Vec::new(),
             now: MonotonicTime::default(),
         }
     }
 
-    /// Lets an operator who has nothing to do start a change, edited from the
-    /// text `age` versions ago.
+    /// Starts a change by an operator, unless the operator has one running. It edits the
+    /// text that was current `age` versions ago.
     pub fn start(&mut self, operator: usize, kind: EditKind, age: usize) {
-        if self.running[operator].is_some() {
+        if self.running_changes[operator].is_some() {
             return;
         }
         let number = self.intents.len() + 1;
         let id = ChangeId(number as u128);
-        let position = (self.store.log.len() - 1).saturating_sub(age);
-        let intent = intent(kind, number, &self.store.log[position].text);
+        let index = (self.store.records.len() - 1).saturating_sub(age);
+        let intent = build_intent(kind, number, &self.store.records[index].text);
         self.intents.push((id, intent.clone()));
-        let state = ChangeState::new(id, intent, 0, self.now + PATIENCE);
+        let state = ChangeState::new(id, intent, 0, self.now + CHANGE_TIMEOUT);
         let step = state.first_step();
-        self.running[operator] = Some(RunningChange { id, state, step });
+        self.running_changes[operator] = Some(RunningChange { id, state, step });
     }
 
-    /// Lets an operator make the call that is next.
-    pub fn call(&mut self, operator: usize, fate: CallFate) {
-        let Some(mut change) = self.running[operator].take() else {
+    /// Executes the next step of the change of an operator.
+    pub fn call(&mut self, operator: usize, call_outcome: CallOutcome) {
+        let Some(mut change) = self.running_changes[operator].take() else {
             return;
         };
         let event = match &change.step {
             ChangeStep::Read { delay } => {
                 self.now = self.now + *delay;
-                self.read(fate)
+                self.read(call_outcome)
             }
             ChangeStep::Write { revision, record } => {
-                let write = StoreWrite {
+                let store_write = StoreWrite {
                     revision: *revision,
                     record: record.clone(),
                 };
-                self.write(write, fate)
+                self.write(store_write, call_outcome)
             }
             ChangeStep::Done(_) => return,
         };
@@ -184,31 +193,35 @@
             self.outcomes.push((change.id, outcome));
             return;
         }
-        self.running[operator] = Some(change);
+        self.running_changes[operator] = Some(change);
     }
 
-    fn read(&self, fate: CallFate) -> ChangeEvent {
-        match fate {
-            CallFate::Answered | CallFate::TriedTwice => ChangeEvent::Read(self.store.found()),
-            CallFate::LostBefore | CallFate::LostAfter | CallFate::Late => ChangeEvent::ReadFailed,
+    fn read(&self, call_outcome: CallOutcome) -> ChangeEvent {
+        match call_outcome {
+            CallOutcome::Answered | CallOutcome::Retried => {
+                ChangeEvent::Read(self.store.current_record())
+            }
+            CallOutcome::RequestLost | CallOutcome::ResponseLost | CallOutcome::Delayed => {
+                ChangeEvent::ReadFailed
+            }
         }
     }
 
-    fn write(&mut self, write: StoreWrite, fate: CallFate) -> ChangeEvent {
-        match fate {
-            CallFate::LostBefore => return ChangeEvent::WriteResultUnknown,
-            CallFate::Late => {
-                self.late.push(write);
+    fn write(&mut self, write: StoreWrite, call_outcome: CallOutcome) -> ChangeEvent {
+        match call_outcome {
+            CallOutcome::RequestLost => return ChangeEvent::WriteResultUnknown,
+            CallOutcome::Delayed => {
+                self.delayed_writes.push(write);
                 return ChangeEvent::WriteResultUnknown;
             }
-            CallFate::LostAfter => {
+            CallOutcome::ResponseLost => {
                 self.store.write(&write);
                 return ChangeEvent::WriteResultUnknown;
             }
-            CallFate::TriedTwice => {
+            CallOutcome::Retried => {
                 self.store.write(&write);
             }
-            CallFate::Answered => {}
+            CallOutcome::Answered => {}
         }
         match self.store.write(&write) {
             true => ChangeEvent::Written,
@@ -216,76 +229,77 @@
         }
     }
 
-    /// Carries out a write that was under way.
-    pub fn deliver_late(&mut self, pick: usize) {
-        if self.late.is_empty() {
+    /// Executes a delayed write. `pick` selects one of them.
+    pub fn execute_delayed(&mut self, pick: usize) {
+        if self.delayed_writes.is_empty() {
             return;
         }
-        let write = self.late.remove(pick % self.late.len());
+        let write = self.delayed_writes.remove(pick % self.delayed_writes.len());
         self.store.write(&write);
     }
 
-    /// Returns whether a write is under way.
-    pub fn has_late(&self) -> bool {
-        !self.late.is_empty()
+    /// Returns whether a delayed write is pending.
+    pub fn has_delayed(&self) -> bool {
+        !self.delayed_writes.is_empty()
     }
 
-    /// Lets time pass.
-    pub fn wait(&mut self, time: Duration) {
+    /// Advances the clock.
+    pub fn advance(&mut self, time: Duration) {
         self.now = self.now + time;
     }
 
-    /// Checks that a record differs from the one before only by what its change
-    /// is to do.
+    /// Checks that two consecutive records differ only by the lines that the change of
+    /// the second one adds and removes.
     pub fn check_edit(&self, before: &ConfigurationRecord, after: &ConfigurationRecord) {
         let id = after
             .changes
             .last()
-            .expect("each record names its change")
+            .expect("each record lists its change")
             .id;
         let (_, intent) = self
             .intents
             .iter()
             .find(|(other, _)| *other == id)
-            .expect("each change was asked for");
-        let (removed, added) = wanted_lines(intent, &before.text);
+            .expect("each listed change was requested");
+        let (removed, added) = changed_lines(intent, &before.text);
         for line in before.text.lines() {
-            let kept = after.text.lines().any(|other| other == line);
+            let is_kept = after.text.lines().any(|other| other == line);
             assert!(
-                kept || removed.iter().any(|other| other == line),
-                "lost: {line}"
+                is_kept || removed.iter().any(|other| other == line),
+                "unexpectedly removed line: {line}"
             );
         }
         for line in after.text.lines() {
-            let known = before.text.lines().any(|other| other == line);
+            let is_old = before.text.lines().any(|other| other == line);
             assert!(
-                known || added.iter().any(|other| other == line),
-                "came up: {line}"
+                is_old || added.iter().any(|other| other == line),
+                "unexpectedly added line: {line}"
             );
         }
         for line in &added {
             assert!(
                 after.text.lines().any(|other| other == line),
-                "not done: {line}"
+                "missing added line: {line}"
             );
         }
     }
 }
 
-fn intent(kind: EditKind, number: usize, base: &str) -> ChangeIntent {
+fn build_intent(kind: EditKind, number: usize, base: &str) -> ChangeIntent {
     let edited = |text: String| ChangeIntent::Text {
         base: base.to_owned(),
         text,
     };
-    let host = |count: usize| format!("127.1.2.{}:7000", 1 + number % count);
+    let host = |host_count: usize| format!("127.1.2.{}:7000", 1 + number % host_count);
     match kind {
         EditKind::AddLine => edited(format!("{base}idempotent leerplein GET /{number}  # K\n")),
         EditKind::ReplaceLine => edited(replace_deadline(base, number)),
         EditKind::RemoveLine => {
-            let victim = number % base.lines().count().max(1);
+            let removed_index = number % base.lines().count().max(1);
             let lines = base.lines().enumerate();
-            let kept = lines.filter(|(index, line)| *index != victim || !line.starts_with("drain"));
-            edited(kept.flat_map(|(_, line)| [line, "\n"]).collect())
+            let kept_lines =
+                lines.filter(|(index, line)| *index != removed_index || !line.starts_with("drain"));
+            edited(kept_lines.flat_map(|(_, line)| [line, "\n"]).collect())
         }
         EditKind::Drain => ChangeIntent::Drain {
             host: host(9).parse().expect("address"),
@@ -298,16 +312,16 @@
 }
 
 fn replace_deadline(base: &str, number: usize) -> String {
-    let service = ["deadline leerplein", "deadline diplomakluis"][number % 2];
-    let replace = |line: &str| match line.starts_with(service) {
-        true => format!("{service} {}  # K\n", 1_000 + number),
+    let rule_prefix = ["deadline leerplein", "deadline diplomakluis"][number % 2];
+    let replace = |line: &str| match line.starts_with(rule_prefix) {
+        true => format!("{rule_prefix} {}  # K\n", 1_000 + number),
         false => format!("{line}\n"),
     };
     base.lines().map(replace).collect()
 }
 
 /// Returns the lines that a change may remove and those that it must add.
-fn wanted_lines(intent: &ChangeIntent, before: &str) -> (Vec<String>, Vec<String>) {
+fn changed_lines(intent: &ChangeIntent, before: &str) -> (Vec<String>, Vec<String>) {
     match intent {
         ChangeIntent::Text { base, text } => {
             let base_lines: Vec<&str> = base.lines().collect();
@@ -324,8 +338,8 @@
             (Vec::new(), vec![format!("drain {host}  # {asked_by}")])
         }
         ChangeIntent::Undrain { host } => {
-            let word = format!("drain {host} ");
-            let lines = before.lines().filter(|line| line.starts_with(&word));
+            let prefix = format!("drain {host} ");
+            let lines = before.lines().filter(|line| line.starts_with(&prefix));
             (lines.map(str::to_owned).collect(), Vec::new())
         }
     }
--- a/crates/platform/tests/update.rs
+++ b/crates/platform/tests/update.rs
@@ -1,4 +1,4 @@
-//! Configurations that go from one process to another as line edits.
+//! Tests of configuration updates that are sent as line edits.
 
 use expect_test::expect;
 use hyssopstair_platform::record::deflate_text;
@@ -19,26 +19,26 @@
 use proptest::proptest;
 use proptest::test_runner::RngSeed;
 
-const FIRST: &str = "zone utr-a id 1\nservice a id 1\nservice b id 2\n";
-const SECOND: &str = "zone utr-a id 1\nservice a id 1\nservice b id 3\n";
-const THIRD: &str = "service a id 1\nservice b id 3\ndrain 10.0.0.1:7000\n";
+const FIRST_TEXT: &str = "zone utr-a id 1\nservice a id 1\nservice b id 2\n";
+const SECOND_TEXT: &str = "zone utr-a id 1\nservice a id 1\nservice b id 3\n";
+const THIRD_TEXT: &str = "service a id 1\nservice b id 3\ndrain 10.0.0.1:7000\n";
 
 fn at(version: u64, text: &str) -> VersionedText<'_> {
     VersionedText { version, text }
 }
 
-fn step(old: VersionedText<'_>, new: VersionedText<'_>) -> ConfigurationStep {
-    build_step(old, new, None).expect("a step")
+fn new_step(old: VersionedText<'_>, new: VersionedText<'_>) -> ConfigurationStep {
+    build_step(old, new, None).expect("texts that line edits can reproduce")
 }
 
 fn two_steps() -> Vec<ConfigurationStep> {
     vec![
-        step(at(4, FIRST), at(5, SECOND)),
-        step(at(5, SECOND), at(7, THIRD)),
+        new_step(at(4, FIRST_TEXT), at(5, SECOND_TEXT)),
+        new_step(at(5, SECOND_TEXT), at(7, THIRD_TEXT)),
     ]
 }
 
-fn log_of(steps: &[ConfigurationStep]) -> UpdateLog {
+fn new_log(steps: &[ConfigurationStep]) -> UpdateLog {
     let mut log = UpdateLog::default();
     for step in steps {
         log.add_step(step.clone());
@@ -47,10 +47,10 @@
 }
 
 #[test]
-fn steps_hold_only_what_changed() {
+fn a_step_contains_only_the_changed_lines() {
     let edits: Vec<Vec<LineEdit>> = two_steps()
         .iter()
-        .map(|step| postcard::from_bytes(&step.edits).expect("edits"))
+        .map(|step| postcard::from_bytes(&step.edits).expect("encoded edits"))
         .collect();
     expect![[r#"
         [
@@ -83,21 +83,26 @@
 }
 
 #[test]
-fn steps_make_the_text_in_force() {
-    let steps = log_of(&two_steps()).find_steps(4, 7).expect("both steps");
-    let content = apply_answer(at(4, FIRST), PeerAnswer::ConfigurationSteps(steps.clone()));
+fn steps_reproduce_the_current_text() {
+    let steps = new_log(&two_steps())
+        .find_steps(4, 7)
+        .expect("stored steps");
+    let update = apply_answer(
+        at(4, FIRST_TEXT),
+        PeerAnswer::ConfigurationSteps(steps.clone()),
+    );
     let expected = PeerUpdate::Newer {
         version: 7,
-        text: THIRD.to_owned(),
+        text: THIRD_TEXT.to_owned(),
         steps,
     };
-    assert_eq!(content, expected);
+    assert_eq!(update, expected);
 }
 
 #[test]
-fn versions_that_are_not_kept_have_no_steps() {
-    let log = log_of(&two_steps());
-    let found: Vec<Option<usize>> = [(4, 7), (5, 7), (4, 5), (3, 7), (6, 7), (4, 6), (4, 8)]
+fn there_are_no_steps_from_or_to_versions_that_are_not_stored() {
+    let log = new_log(&two_steps());
+    let step_counts: Vec<Option<usize>> = [(4, 7), (5, 7), (4, 5), (3, 7), (6, 7), (4, 6), (4, 8)]
         .into_iter()
         .map(|(from, to)| log.find_steps(from, to).map(|steps| steps.len()))
         .collect();
@@ -118,75 +123,87 @@
             None,
         ]
     "#]]
-    .assert_debug_eq(&found);
+    .assert_debug_eq(&step_counts);
 }
 
 #[test]
-fn steps_that_do_not_fit_call_for_the_whole_text() {
-    let answer = |change: fn(&mut Vec<ConfigurationStep>)| {
+fn steps_that_do_not_apply_are_a_mismatch() {
+    let apply_changed = |change: fn(&mut Vec<ConfigurationStep>)| {
         let mut steps = two_steps();
         change(&mut steps);
-        apply_answer(at(4, FIRST), PeerAnswer::ConfigurationSteps(steps))
+        apply_answer(at(4, FIRST_TEXT), PeerAnswer::ConfigurationSteps(steps))
     };
-    let wrong: [(&str, PeerUpdate); 6] = [
-        ("first checksum", answer(|steps| steps[0].checksum ^= 1)),
-        ("last checksum", answer(|steps| steps[1].checksum ^= 1)),
-        ("other version", answer(|steps| steps[1].to += 1)),
-        ("gap", answer(|steps| drop(steps.remove(0)))),
-        ("back", answer(|steps| steps.swap(0, 1))),
-        ("no edits", answer(|steps| steps[0].edits.clear())),
+    let cases: [(&str, PeerUpdate); 6] = [
+        (
+            "first checksum",
+            apply_changed(|steps| steps[0].checksum ^= 1),
+        ),
+        (
+            "last checksum",
+            apply_changed(|steps| steps[1].checksum ^= 1),
+        ),
+        ("wrong version", apply_changed(|steps| steps[1].to += 1)),
+        ("missing step", apply_changed(|steps| drop(steps.remove(0)))),
+        ("wrong order", apply_changed(|steps| steps.swap(0, 1))),
+        ("no edits", apply_changed(|steps| steps[0].edits.clear())),
     ];
-    for (name, content) in wrong {
-        assert_eq!(content, PeerUpdate::Mismatch, "{name}");
+    for (name, update) in cases {
+        assert_eq!(update, PeerUpdate::Mismatch, "{name}");
     }
-    let other_text = FIRST.replace("utr-a", "utr-b");
-    let content = apply_answer(
+    let other_text = FIRST_TEXT.replace("utr-a", "utr-b");
+    let update = apply_answer(
         at(4, &other_text),
         PeerAnswer::ConfigurationSteps(two_steps()),
     );
-    assert_eq!(content, PeerUpdate::Mismatch);
+    assert_eq!(update, PeerUpdate::Mismatch);
 }
 
 #[test]
-fn the_whole_text_is_taken_when_it_is_newer() {
+fn a_complete_text_is_applied_if_it_is_newer() {
     let answer = |version| PeerAnswer::Configuration {
         version,
-        deflated_text: deflate_text(THIRD).expect("packed"),
+        deflated_text: deflate_text(THIRD_TEXT).expect("compressed text"),
     };
     let newer = PeerUpdate::Newer {
         version: 7,
-        text: THIRD.to_owned(),
+        text: THIRD_TEXT.to_owned(),
         steps: Vec::new(),
     };
-    assert_eq!(apply_answer(at(4, FIRST), answer(7)), newer);
-    assert_eq!(apply_answer(at(7, THIRD), answer(7)), PeerUpdate::Nothing);
-    assert_eq!(apply_answer(at(8, THIRD), answer(7)), PeerUpdate::Nothing);
+    assert_eq!(apply_answer(at(4, FIRST_TEXT), answer(7)), newer);
+    assert_eq!(
+        apply_answer(at(7, THIRD_TEXT), answer(7)),
+        PeerUpdate::Nothing
+    );
+    assert_eq!(
+        apply_answer(at(8, THIRD_TEXT), answer(7)),
+        PeerUpdate::Nothing
+    );
 }
 
 #[test]
-fn steps_that_were_made_meanwhile_change_nothing() {
+fn steps_that_are_already_applied_are_a_mismatch() {
     let answer = PeerAnswer::ConfigurationSteps(two_steps());
-    let content = apply_answer(at(7, THIRD), answer);
-    assert_eq!(content, PeerUpdate::Mismatch);
+    let update = apply_answer(at(7, THIRD_TEXT), answer);
+    assert_eq!(update, PeerUpdate::Mismatch);
 }
 
 #[test]
-fn texts_that_line_edits_cannot_make_have_no_step() {
+fn there_is_no_step_to_a_text_that_line_edits_cannot_reproduce() {
     let cases = ["a\r\nb\n", "a\nb", "\n\n\r\n"];
     for text in cases {
-        assert_eq!(build_step(at(1, FIRST), at(2, text), None), None);
+        assert_eq!(build_step(at(1, FIRST_TEXT), at(2, text), None), None);
     }
-    let long = "x\n".repeat(MAX_EDIT_BYTES);
-    assert_eq!(build_step(at(1, FIRST), at(2, &long), None), None);
+    let long_text = "x\n".repeat(MAX_EDIT_BYTES);
+    assert_eq!(build_step(at(1, FIRST_TEXT), at(2, &long_text), None), None);
 }
 
 #[test]
-fn kept_steps_are_bounded_in_number_and_bytes() {
+fn stored_steps_are_limited_in_number_and_size() {
     let mut log = UpdateLog::default();
     for version in 1..=100 {
         log.add_step(ConfigurationStep {
             edits: vec![0; 10],
-            ..step(at(version, FIRST), at(version + 1, SECOND))
+            ..new_step(at(version, FIRST_TEXT), at(version + 1, SECOND_TEXT))
         });
     }
     assert_eq!(log.edit_bytes(), MAX_KEPT_STEPS * 10);
@@ -195,7 +212,7 @@
     for version in 101..=104 {
         log.add_step(ConfigurationStep {
             edits: vec![0; MAX_EDIT_BYTES / 3],
-            ..step(at(version, FIRST), at(version + 1, SECOND))
+            ..new_step(at(version, FIRST_TEXT), at(version + 1, SECOND_TEXT))
         });
         assert!(log.edit_bytes() <= MAX_EDIT_BYTES);
     }
@@ -210,10 +227,10 @@
         ..ProptestConfig::with_cases(1_000)
     })]
 
-    /// Whatever the versions are, each that is kept leads to the last by its
-    /// steps, and one that was changed by one line is never taken for it.
+    /// Checks that the stored steps lead from each version to the last one, and that they
+    /// never turn a text with an additional line into another text than the last one.
     #[test]
-    fn any_sequence_of_edits_makes_the_same_text(
+    fn steps_reproduce_the_last_text_from_each_version(
         texts in vec(vec("[ab]{0,2}", 0..12), 2..8),
     ) {
         let texts: Vec<String> = texts
@@ -222,26 +239,26 @@
             .collect();
         let mut log = UpdateLog::default();
         for (version, pair) in (1..).zip(texts.windows(2)) {
-            log.add_step(step(at(version, &pair[0]), at(version + 1, &pair[1])));
+            log.add_step(new_step(at(version, &pair[0]), at(version + 1, &pair[1])));
         }
-        let last = texts.len() as u64;
-        for (version, text) in (1..last).zip(&texts) {
-            let steps = log.find_steps(version, last).expect("kept");
+        let last_version = texts.len() as u64;
+        for (version, text) in (1..last_version).zip(&texts) {
+            let steps = log.find_steps(version, last_version).expect("stored steps");
             let answer = PeerAnswer::ConfigurationSteps(steps);
-            let other = format!("{text}other\n");
+            let other_text = format!("{text}other\n");
             match apply_answer(at(version, text), answer.clone()) {
                 PeerUpdate::Newer { version, text, .. } => {
-                    prop_assert_eq!(version, last);
-                    prop_assert_eq!(&text, texts.last().expect("last"));
+                    prop_assert_eq!(version, last_version);
+                    prop_assert_eq!(&text, texts.last().expect("at least two texts"));
                 }
-                content => prop_assert!(false, "{:?}", content),
+                update => prop_assert!(false, "{:?}", update),
             }
-            // Edits of another text give the right text or none.
-            match apply_answer(at(version, &other), answer) {
+            // Applied to another text, the steps produce the last text or a mismatch.
+            match apply_answer(at(version, &other_text), answer) {
                 PeerUpdate::Newer { text, .. } => {
-                    prop_assert_eq!(&text, texts.last().expect("last"));
+                    prop_assert_eq!(&text, texts.last().expect("at least two texts"));
                 }
-                content => prop_assert_eq!(content, PeerUpdate::Mismatch),
+                update => prop_assert_eq!(update, PeerUpdate::Mismatch),
             }
         }
     }
