--- a/crates/hyssopstaird/src/carry/process.rs
+++ b/crates/hyssopstaird/src/carry/process.rs
@@ -113,7 +113,7 @@
     ) -> Result<Self, Report<DaemonError>> {
         let clock = ProcessClock::start();
         let status = ProcessStatus::default();
-        let peer_socket = DatagramSocket::bind(settings.inner())?;
+        let peer_socket = DatagramSocket::bind(settings.inner_address())?;
         let packet_socket = DatagramSocket::bind(packet_socket_address(&settings))?;
         let metrics = CarryMetrics::new()
             .change_context_lazy(|| DaemonError::new("failed to register the metrics"))?;
