--- a/crates/hyssopstaird/src/admin.rs
+++ b/crates/hyssopstaird/src/admin.rs
@@ -67,7 +67,7 @@
 async fn status(State(node): State<Arc<ControlNode>>) -> Json<StatusReport> {
     let view = node.view();
     Json(StatusReport {
-        process: node.me().to_string(),
+        process: node.process_id().to_string(),
         version: view.version,
         members: node.members(),
         candidates: view.candidate_count(),
@@ -87,11 +87,11 @@
 /// Ready means: there is a configuration, the members are known, and the process
 /// is not leaving.
 async fn ready(State(node): State<Arc<ControlNode>>) -> StatusCode {
-    let me = node.me();
+    let process_id = node.process_id();
     let leaving = node
         .members()
         .iter()
-        .any(|entry| entry.process == me && entry.state != MemberState::Alive);
+        .any(|entry| entry.process == process_id && entry.state != MemberState::Alive);
     let unsure = !node.is_joined() || !node.is_confirmed();
     if leaving || unsure || node.view().version == 0 {
         return StatusCode::SERVICE_UNAVAILABLE;
--- a/crates/hyssopstaird/src/balancer/mod.rs
+++ b/crates/hyssopstaird/src/balancer/mod.rs
@@ -98,7 +98,7 @@
 async fn forward(paths: &BalancerPaths, path: &EntryPath, datagram: &[u8], outgoing: &mut [u8]) {
     let view = paths.node.view();
     let context = BalancerContext {
-        address: paths.node.me().address,
+        address: paths.node.process_id().address,
         view: &view,
         loads: &paths.loads,
     };
--- a/crates/hyssopstaird/src/control/configuration.rs
+++ b/crates/hyssopstaird/src/control/configuration.rs
@@ -87,7 +87,7 @@
     };
     match ConfigurationRecord::decode(&stored.value) {
         Ok(record) => {
-            node.offer_config(record.version, &record.text, Vec::new());
+            node.apply_config(record.version, &record.text, Vec::new());
         }
         Err(error) => log::warn!(error:% = error; "config: the platform holds no record"),
     }
@@ -95,7 +95,7 @@
 }
 
 /// Notes the version that a peer has; runs for each control packet.
-pub fn hear_version(node: &ControlNode, from: SocketAddrV4, version: u64) {
+pub fn record_peer_version(node: &ControlNode, from: SocketAddrV4, version: u64) {
     if version <= node.view().version {
         return;
     }
@@ -137,7 +137,7 @@
             version,
             text,
             steps,
-        } => node.offer_config(version, &text, steps),
+        } => node.apply_config(version, &text, steps),
         UpdateContent::Nothing | UpdateContent::Mismatch => false,
     }
 }
@@ -147,7 +147,7 @@
     peer: SocketAddrV4,
     request: PeerRequest,
 ) -> UpdateContent {
-    match peer::ask(peer, request).await {
+    match peer::send_request(peer, request).await {
         Ok(answer) => {
             let config = node.config();
             let old = VersionText {
@@ -199,10 +199,10 @@
 }
 
 async fn balancer_version(node: &ControlNode, address: SocketAddrV4) -> BalancerVersion {
-    let version = if address == node.me().address {
+    let version = if address == node.process_id().address {
         Some(node.view().version)
     } else {
-        match peer::ask(address, PeerRequest::Version).await {
+        match peer::send_request(address, PeerRequest::Version).await {
             Ok(PeerAnswer::Version(version)) => Some(version),
             _ => None,
         }
--- a/crates/hyssopstaird/src/control/entries.rs
+++ b/crates/hyssopstaird/src/control/entries.rs
@@ -55,7 +55,7 @@
         return Ok(());
     }
     let revision = held.map_or(0, |entry| entry.stored.revision);
-    let value = node.me().address.to_string();
+    let value = node.process_id().address.to_string();
     client
         .compare_and_swap(&key, revision, value.as_bytes())
         .await?;
--- a/crates/hyssopstaird/src/control/gossip.rs
+++ b/crates/hyssopstaird/src/control/gossip.rs
@@ -30,6 +30,6 @@
     };
     node.receive_control(&message).await;
     if node.wants_config(message.version) {
-        configuration::hear_version(node, message.sender.address, message.version);
+        configuration::record_peer_version(node, message.sender.address, message.version);
     }
 }
--- a/crates/hyssopstaird/src/control/node.rs
+++ b/crates/hyssopstaird/src/control/node.rs
@@ -97,13 +97,13 @@
                     settings.inner
                 ))
             })?;
-        let me = ProcessId {
+        let process_id = ProcessId {
             address: settings.inner,
             incarnation: HostIncarnation::from_unix_millis(unix_millis()),
         };
         let (role, service_name) = initial_role(&settings.role);
         let entry = MemberEntry {
-            process: me,
+            process: process_id,
             counter: 0,
             role,
             state: MemberState::Alive,
@@ -123,8 +123,8 @@
             version_heard: Notify::new(),
             updates: Mutex::default(),
             zone_name: settings.zone.clone(),
-            address: me.address,
-            incarnation: AtomicU32::new(me.incarnation.0),
+            address: process_id.address,
+            incarnation: AtomicU32::new(process_id.incarnation.0),
             roster: Mutex::new(roster),
             config: Mutex::new(config),
             pacer: Mutex::default(),
@@ -134,7 +134,7 @@
 
     /// Returns the name of the process. Its incarnation grows when an earlier
     /// process at the address is found to have had a higher one.
-    pub fn me(&self) -> ProcessId {
+    pub fn process_id(&self) -> ProcessId {
         ProcessId {
             address: self.address,
             incarnation: HostIncarnation(self.incarnation.load(Ordering::Acquire)),
@@ -185,7 +185,7 @@
     /// Takes a configuration if it is newer, and returns whether it did. The
     /// steps that led to it are kept for peers; without any, they are found by
     /// comparing the texts.
-    pub fn offer_config(&self, version: u64, text: &str, steps: Vec<ConfigurationStep>) -> bool {
+    pub fn apply_config(&self, version: u64, text: &str, steps: Vec<ConfigurationStep>) -> bool {
         let (before, result) = self.change_config(version, text);
         match result {
             ApplyResult::Applied => {
--- a/crates/hyssopstaird/src/host/connection.rs
+++ b/crates/hyssopstaird/src/host/connection.rs
@@ -40,7 +40,7 @@
         let token = RouteToken {
             key: number,
             service: self.state.service_id().unwrap_or(ServiceId(0)),
-            host: self.state.node.me(),
+            host: self.state.node.process_id(),
             nonce: self.nonce.fetch_add(1, Ordering::Relaxed),
         };
         let bytes = match view.ring.find(number) {
--- a/crates/hyssopstaird/src/host/ingress.rs
+++ b/crates/hyssopstaird/src/host/ingress.rs
@@ -52,15 +52,15 @@
         telemetry::count_dropped(DropReason::Malformed);
         return;
     };
-    configuration::hear_version(&state.node, header.balancer, header.version);
+    configuration::record_peer_version(&state.node, header.balancer, header.version);
     let Some(service) = state.service_id() else {
         return;
     };
     let load = state.load();
     let now = state.node.clock.now();
     let gate = state.gate.get_or_init(|| HostRouter::new(service));
-    let me = state.node.me().incarnation;
-    match gate.receive(me, &header, datagram, &load, now) {
+    let incarnation = state.node.process_id().incarnation;
+    match gate.receive(incarnation, &header, datagram, &load, now) {
         HostAction::Accept => {
             state.returns.record(&header, now);
             state.queue.push(header.caller, datagram.to_vec());
@@ -69,7 +69,7 @@
             // The other host may have left a moment ago: it can send the flow
             // back to this one.
             header.second = Some(SecondHost {
-                process: state.node.me(),
+                process: state.node.process_id(),
                 weight: 1,
                 first_weight: 1,
                 load: Some(load.report()),
@@ -101,7 +101,7 @@
     COUNTS.resets_sent.increment();
     let back = ReturnHeader {
         service: header.service,
-        host: state.node.me(),
+        host: state.node.process_id(),
         load: state.load().report(),
         caller: header.caller,
         target: header.target,
--- a/crates/hyssopstaird/src/host/mod.rs
+++ b/crates/hyssopstaird/src/host/mod.rs
@@ -28,7 +28,7 @@
 use crate::control::node::ControlNode;
 use crate::error::DaemonError;
 use crate::host::state::HostState;
-use crate::peer::server::PeerDesk;
+use crate::peer::server::PeerResponder;
 
 pub use crate::host::server::HostHandle;
 
@@ -40,7 +40,7 @@
 pub async fn start(
     settings: &HostSettings,
     node: Arc<ControlNode>,
-    desk: &PeerDesk,
+    desk: &PeerResponder,
 ) -> Result<HostHandle, Report<DaemonError>> {
     let state = Arc::new(HostState::new(settings, node));
     let endpoint = server::open_endpoint(settings, &state)?;
--- a/crates/hyssopstaird/src/host/relay.rs
+++ b/crates/hyssopstaird/src/host/relay.rs
@@ -85,7 +85,7 @@
     let mut call = request.call.clone();
     name_trace(&mut call);
     let relay = PeerRequest::Relay(Box::new(RelayRequest {
-        sender: state.node.me(),
+        sender: state.node.process_id(),
         target: peer,
         number: state.relay_number.fetch_add(1, Ordering::Relaxed) + 1,
         service: service.id,
@@ -93,7 +93,10 @@
         remaining_millis: patience.as_millis() as u32,
         call,
     }));
-    state.peers.ask(peer.address, &relay, patience).await
+    state
+        .peers
+        .send_request(peer.address, &relay, patience)
+        .await
 }
 
 /// Puts the present span into a call that another host makes.
@@ -122,12 +125,12 @@
         return None;
     }
     let view = state.node.view();
-    let me = state.node.me();
+    let process_id = state.node.process_id();
     let peers: Vec<ProcessId> = view
         .candidates(service.id)
         .iter()
         .map(|candidate| candidate.host)
-        .filter(|host| *host != me)
+        .filter(|host| *host != process_id)
         .collect();
     let mut loads = lock(&state.peer_loads);
     loads.keep_only(&peers);
--- a/crates/hyssopstaird/src/host/settle.rs
+++ b/crates/hyssopstaird/src/host/settle.rs
@@ -21,7 +21,7 @@
 
 /// Asks the issuer of a ticket what became of it. An issuer that is gone or
 /// silent leaves it open whether the request ran.
-pub async fn ask(
+pub async fn ask_issuer(
     state: &HostState,
     ticket: &RequestTicket,
     text: &str,
@@ -37,7 +37,7 @@
     let timeout = SETTLE_TIMEOUT.min(patience);
     let answer = state
         .peers
-        .ask(ticket.issuer.address, &request, timeout)
+        .send_request(ticket.issuer.address, &request, timeout)
         .await;
     match answer {
         Ok(PeerAnswer::Settled(answer)) => result(answer),
--- a/crates/hyssopstaird/src/host/socket.rs
+++ b/crates/hyssopstaird/src/host/socket.rs
@@ -107,7 +107,7 @@
         };
         let header = ReturnHeader {
             service,
-            host: self.state.node.me(),
+            host: self.state.node.process_id(),
             load: self.state.load().report(),
             caller,
             target: route.target,
--- a/crates/hyssopstaird/src/host/state.rs
+++ b/crates/hyssopstaird/src/host/state.rs
@@ -69,7 +69,7 @@
     /// Creates the state.
     pub fn new(settings: &HostSettings, node: Arc<ControlNode>) -> Self {
         let first = TicketNumber(u64::from(rand::random::<u32>()));
-        let ledger = TicketLedger::new(node.me(), LedgerLimits::default(), first);
+        let ledger = TicketLedger::new(node.process_id(), LedgerLimits::default(), first);
         Self {
             backend: settings.backend,
             queue: PacketQueue::default(),
@@ -80,7 +80,7 @@
             peers: PeerPool::default(),
             peer_loads: Mutex::new(PeerLoads::new(rand::random())),
             budget: Mutex::default(),
-            relays: Mutex::new(RelayLog::new(node.me())),
+            relays: Mutex::new(RelayLog::new(node.process_id())),
             relay_number: AtomicU64::new(0),
             gate: OnceLock::new(),
             returns: ReturnTable::default(),
--- a/crates/hyssopstaird/src/host/tickets.rs
+++ b/crates/hyssopstaird/src/host/tickets.rs
@@ -146,7 +146,7 @@
         TicketDecision::OtherRequest => TicketResult::OtherRequest,
         TicketDecision::AskIssuer => {
             let patience = remaining(state, request);
-            settle::ask(state, ticket, &request.key, fingerprint, patience).await
+            settle::ask_issuer(state, ticket, &request.key, fingerprint, patience).await
         }
     }
 }
--- a/crates/hyssopstaird/src/ops/run.rs
+++ b/crates/hyssopstaird/src/ops/run.rs
@@ -19,7 +19,7 @@
 use crate::error::DaemonError;
 use crate::host;
 use crate::peer;
-use crate::peer::server::PeerDesk;
+use crate::peer::server::PeerResponder;
 use crate::telemetry::DaemonTelemetry;
 
 /// Runs a daemon until it is told to stop.
@@ -43,15 +43,15 @@
 
 async fn run_parts(settings: DaemonSettings) -> Result<(), Report<DaemonError>> {
     let node = Arc::new(ControlNode::start(&settings).await?);
-    log::info!(process:% = node.me(), zone = settings.zone.as_str(); "daemon: started");
+    log::info!(process:% = node.process_id(), zone = settings.zone.as_str(); "daemon: started");
     let telemetry = DaemonTelemetry::start(&settings, &node)?;
     tokio::spawn(admin::serve(
         admin::bind(settings.admin).await?,
         node.clone(),
         telemetry.metrics.clone(),
     ));
-    let desk = PeerDesk::new(node.clone());
-    let _peers = peer::serve(settings.inner, &desk)?;
+    let desk = PeerResponder::new(node.clone());
+    let _peers = peer::start_server(settings.inner, &desk)?;
     control::spawn_loops(&node, &settings.platform);
     match &settings.role {
         RoleSettings::Balancer(role) => {
--- a/crates/hyssopstaird/src/peer/client.rs
+++ b/crates/hyssopstaird/src/peer/client.rs
@@ -100,7 +100,7 @@
     /// # Errors
     ///
     /// Returns an error that says whether the question was sent.
-    pub async fn ask(
+    pub async fn send_request(
         &self,
         address: SocketAddrV4,
         request: &PeerRequest,
@@ -184,13 +184,13 @@
 /// # Errors
 ///
 /// Returns an error when no answer comes in time.
-pub async fn ask(
+pub async fn send_request(
     address: SocketAddrV4,
     request: PeerRequest,
 ) -> Result<PeerAnswer, Report<DaemonError>> {
     let context = || DaemonError::new(format!("failed to ask the peer at {address}"));
     PeerPool::default()
-        .ask(address, &request, PEER_TIMEOUT)
+        .send_request(address, &request, PEER_TIMEOUT)
         .await
         .change_context_lazy(context)
 }
--- a/crates/hyssopstaird/src/peer/mod.rs
+++ b/crates/hyssopstaird/src/peer/mod.rs
@@ -4,5 +4,5 @@
 pub mod client;
 pub mod server;
 
-pub use crate::peer::client::ask;
-pub use crate::peer::server::serve;
+pub use crate::peer::client::send_request;
+pub use crate::peer::server::start_server;
--- a/crates/hyssopstaird/src/peer/server.rs
+++ b/crates/hyssopstaird/src/peer/server.rs
@@ -32,12 +32,12 @@
 
 /// What answers are taken from.
 #[derive(Debug, Clone)]
-pub struct PeerDesk {
+pub struct PeerResponder {
     node: Arc<ControlNode>,
     host: Arc<OnceLock<Arc<HostState>>>,
 }
 
-impl PeerDesk {
+impl PeerResponder {
     /// Creates the desk of a process that is not a host yet.
     pub fn new(node: Arc<ControlNode>) -> Self {
         Self {
@@ -122,7 +122,10 @@
 /// # Errors
 ///
 /// Returns an error when the address is in use.
-pub fn serve(address: SocketAddrV4, desk: &PeerDesk) -> Result<PeerServer, Report<DaemonError>> {
+pub fn start_server(
+    address: SocketAddrV4,
+    desk: &PeerResponder,
+) -> Result<PeerServer, Report<DaemonError>> {
     let context = || {
         DaemonError::new(format!(
             "failed to listen for peers on the address of the field \"inner\", {address}"
@@ -152,7 +155,7 @@
     })
 }
 
-fn step(worker: &Context, aio: &Aio, result: AioResult, desk: &PeerDesk, handle: &Handle) {
+fn step(worker: &Context, aio: &Aio, result: AioResult, desk: &PeerResponder, handle: &Handle) {
     match result {
         AioResult::Recv(Ok(message)) => {
             let worker = worker.clone();
@@ -174,7 +177,7 @@
     }
 }
 
-async fn answer_message(desk: &PeerDesk, message: &Message) -> Message {
+async fn answer_message(desk: &PeerResponder, message: &Message) -> Message {
     let answer = match decode_request(message.as_slice()) {
         Some(request) => desk.answer(request).await,
         None => PeerAnswer::Refused,
--- a/crates/hyssopstaird/src/telemetry.rs
+++ b/crates/hyssopstaird/src/telemetry.rs
@@ -50,7 +50,7 @@
         settings: &DaemonSettings,
         node: &Arc<ControlNode>,
     ) -> Result<Self, Report<DaemonError>> {
-        let instance = node.me().to_string();
+        let instance = node.process_id().to_string();
         let names = ProcessNames {
             role: role_name(&settings.role),
             instance: &instance,
--- a/crates/hyssopstaird/tests/peers.rs
+++ b/crates/hyssopstaird/tests/peers.rs
@@ -67,7 +67,7 @@
     let pool = PeerPool::default();
     for number in 1..=3 {
         let request = question(number);
-        let (answer, heard) = tokio::join!(pool.ask(address, &request, TIMEOUT), async {
+        let (answer, heard) = tokio::join!(pool.send_request(address, &request, TIMEOUT), async {
             let heard = peer.hear().await;
             peer.answer();
             heard
@@ -82,14 +82,14 @@
     let peer = ManualPeer::listen(address);
     let pool = PeerPool::default();
     let first = question(1);
-    let (answer, _) = tokio::join!(pool.ask(address, &first, TIMEOUT), async {
+    let (answer, _) = tokio::join!(pool.send_request(address, &first, TIMEOUT), async {
         assert_eq!(peer.hear().await, 1);
         peer.socket.close();
     });
     assert_eq!(answer, Err(PeerError::NoAnswer));
     let peer = ManualPeer::listen(address);
     let second = question(2);
-    let (answer, heard) = tokio::join!(pool.ask(address, &second, TIMEOUT), async {
+    let (answer, heard) = tokio::join!(pool.send_request(address, &second, TIMEOUT), async {
         let heard = peer.hear().await;
         peer.answer();
         heard
@@ -101,6 +101,8 @@
 async fn question_to_nobody_is_known_as_not_sent() {
     let pool = PeerPool::default();
     let timeout = Duration::from_millis(200);
-    let answer = pool.ask(free_address(), &question(1), timeout).await;
+    let answer = pool
+        .send_request(free_address(), &question(1), timeout)
+        .await;
     assert_eq!(answer, Err(PeerError::NotSent));
 }
--- a/crates/hyssopstaird/tests/updates.rs
+++ b/crates/hyssopstaird/tests/updates.rs
@@ -18,9 +18,9 @@
 use hyssopstaird::control::configuration;
 use hyssopstaird::control::node::ControlNode;
 use hyssopstaird::control::node::lock;
-use hyssopstaird::peer::server::PeerDesk;
+use hyssopstaird::peer::server::PeerResponder;
 use hyssopstaird::peer::server::PeerServer;
-use hyssopstaird::peer::server::serve;
+use hyssopstaird::peer::server::start_server;
 
 const TIMEOUT: Duration = Duration::from_secs(10);
 
@@ -69,9 +69,10 @@
 async fn start_sender() -> (Arc<ControlNode>, PeerServer) {
     let node = start_node().await;
     for (version, text) in (1..).zip([FIRST, SECOND, THIRD]) {
-        assert!(node.offer_config(version, text, Vec::new()));
+        assert!(node.apply_config(version, text, Vec::new()));
     }
-    let server = serve(node.me().address, &PeerDesk::new(node.clone())).unwrap();
+    let server =
+        start_server(node.process_id().address, &PeerResponder::new(node.clone())).unwrap();
     (node, server)
 }
 
@@ -80,11 +81,11 @@
     let (sender, _server) = start_sender().await;
     let receiver = start_node().await;
     if version > 0 {
-        assert!(receiver.offer_config(version, text, Vec::new()));
+        assert!(receiver.apply_config(version, text, Vec::new()));
     }
     let platform = PlatformClient::new(&[]);
     let fetching = tokio::spawn(configuration::run(receiver.clone(), platform));
-    configuration::hear_version(&receiver, sender.me().address, 3);
+    configuration::record_peer_version(&receiver, sender.process_id().address, 3);
     let start = Instant::now();
     while receiver.view().version < 3 {
         assert!(start.elapsed() < TIMEOUT, "version 3 did not come");
@@ -145,9 +146,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn text_that_cannot_be_read_or_is_older_leaves_no_step() {
     let node = start_node().await;
-    assert!(node.offer_config(2, SECOND, Vec::new()));
-    assert!(!node.offer_config(3, BROKEN, Vec::new()));
-    assert!(!node.offer_config(1, FIRST, Vec::new()));
+    assert!(node.apply_config(2, SECOND, Vec::new()));
+    assert!(!node.apply_config(3, BROKEN, Vec::new()));
+    assert!(!node.apply_config(1, FIRST, Vec::new()));
     check_steps(
         &node,
         2,
