--- a/crates/hyssopstaird/src/admin.rs
+++ b/crates/hyssopstaird/src/admin.rs
@@ -1,4 +1,7 @@
-//! What operators and the fabric ask a daemon, over HTTP.
+//! The HTTP server on the admin address of a daemon.
+//!
+//! Operators read the status, the metrics and the configuration; the network fabric
+//! reads the readiness to decide whether to send traffic to a balancer.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -22,28 +25,28 @@
 use crate::control::node::ControlNode;
 use crate::error::DaemonError;
 
-/// Media type of metrics.
-const METRICS_TYPE: &str = "text/plain; version=0.0.4";
+/// Content type of the metrics, in the Prometheus text format.
+const METRICS_CONTENT_TYPE: &str = "text/plain; version=0.0.4";
 
-/// What a daemon reports about itself.
+/// The answer to `/status`.
 #[derive(Debug, Serialize)]
 pub struct StatusReport {
-    /// The process.
+    /// The ID of this process.
     pub process: String,
-    /// The version of the configuration in force.
+    /// The version of the configuration in force, or 0 if there is none.
     pub version: u64,
-    /// The members that it knows.
+    /// All known members, including this process and members that are gone.
     pub members: Vec<MemberEntry>,
-    /// Hosts of all services that the process would send new flows to.
+    /// The number of hosts, over all services, to which new flows can be routed.
     pub candidates: usize,
 }
 
-/// Opens the operators' address.
+/// Opens the listener on the admin address.
 ///
 /// # Errors
 ///
-/// Returns an error when the address is in use.
-pub async fn bind(address: SocketAddrV4) -> Result<TcpListener, Report<DaemonError>> {
+/// Returns an error if the address cannot be bound.
+pub async fn bind_listener(address: SocketAddrV4) -> Result<TcpListener, Report<DaemonError>> {
     TcpListener::bind(address).await.change_context_lazy(|| {
         DaemonError::new(format!(
             "failed to listen on the address of the field \"admin\", {address}"
@@ -51,20 +54,24 @@
     })
 }
 
-/// Answers until the process ends.
-pub async fn serve(listener: TcpListener, node: Arc<ControlNode>, metrics: Arc<MetricsReader>) {
+/// Serves HTTP requests until the process ends.
+pub async fn serve_requests(
+    listener: TcpListener,
+    node: Arc<ControlNode>,
+    metrics: Arc<MetricsReader>,
+) {
     let router = Router::new()
-        .route("/status", get(status))
-        .route("/ready", get(ready))
+        .route("/status", get(get_status))
+        .route("/ready", get(get_readiness))
         .merge(configuration::routes())
         .with_state(node)
-        .route("/metrics", get(show_metrics).with_state(metrics));
+        .route("/metrics", get(get_metrics).with_state(metrics));
     if let Err(error) = axum::serve(listener, router).await {
-        log::error!(error:% = error; "admin: stopped answering");
+        log::error!(error:% = error; "admin: the HTTP server stopped");
     }
 }
 
-async fn status(State(node): State<Arc<ControlNode>>) -> Json<StatusReport> {
+async fn get_status(State(node): State<Arc<ControlNode>>) -> Json<StatusReport> {
     let view = node.view();
     Json(StatusReport {
         process: node.process_id().to_string(),
@@ -74,26 +81,27 @@
     })
 }
 
-async fn show_metrics(
+async fn get_metrics(
     State(reader): State<Arc<MetricsReader>>,
 ) -> Result<impl IntoResponse, StatusCode> {
     let text = reader.render().map_err(|error| {
-        log::warn!(error:? = error; "admin: metrics cannot be shown");
+        log::warn!(error:? = error; "admin: failed to render the metrics");
         StatusCode::INTERNAL_SERVER_ERROR
     })?;
-    Ok(([(CONTENT_TYPE, METRICS_TYPE)], text))
+    Ok(([(CONTENT_TYPE, METRICS_CONTENT_TYPE)], text))
 }
 
-/// Ready means: there is a configuration, the members are known, and the process
-/// is not leaving.
-async fn ready(State(node): State<Arc<ControlNode>>) -> StatusCode {
+/// Returns 200 if the process can take new work, otherwise 503. It can if it has a
+/// configuration, has joined the fleet, is confirmed ([`ControlNode::is_confirmed`]) and is
+/// neither draining nor suspected by other members.
+async fn get_readiness(State(node): State<Arc<ControlNode>>) -> StatusCode {
     let process_id = node.process_id();
-    let leaving = node
+    let is_not_alive = node
         .members()
         .iter()
         .any(|entry| entry.process == process_id && entry.state != MemberState::Alive);
-    let unsure = !node.is_joined() || !node.is_confirmed();
-    if leaving || unsure || node.view().version == 0 {
+    let is_unconfirmed = !node.is_joined() || !node.is_confirmed();
+    if is_not_alive || is_unconfirmed || node.view().version == 0 {
         return StatusCode::SERVICE_UNAVAILABLE;
     }
     StatusCode::OK
--- a/crates/hyssopstaird/src/balancer/mod.rs
+++ b/crates/hyssopstaird/src/balancer/mod.rs
@@ -33,18 +33,18 @@
 use crate::telemetry;
 
 /// Tasks that read each socket.
-const READERS: usize = 2;
+const READER_TASKS: usize = 2;
 
 /// How long a balancer goes on after it has told the fabric that it leaves.
-const LEAVE_TIME: Duration = Duration::from_secs(2);
+const DRAIN_TIME: Duration = Duration::from_secs(2);
 
 /// Goes on until the fabric has turned to other balancers.
-pub async fn drain() {
+pub async fn wait_for_drain() {
     log::info!("balancer: leaving");
-    tokio::time::sleep(LEAVE_TIME).await;
+    tokio::time::sleep(DRAIN_TIME).await;
 }
 
-struct BalancerPaths {
+struct BalancerState {
     node: Arc<ControlNode>,
     entry: UdpSocket,
     fabric: SocketAddr,
@@ -60,7 +60,7 @@
     settings: &BalancerSettings,
     node: Arc<ControlNode>,
 ) -> Result<(), Report<DaemonError>> {
-    let entry = datagram::open(settings.entry)
+    let entry = datagram::open_socket(settings.entry)
         .await
         .change_context_lazy(|| {
             DaemonError::new(format!(
@@ -68,96 +68,105 @@
                 settings.entry
             ))
         })?;
-    let paths = Arc::new(BalancerPaths {
+    let state = Arc::new(BalancerState {
         node,
         entry,
         fabric: settings.fabric,
         loads: LoadTable::default(),
     });
-    for _ in 0..READERS {
-        tokio::spawn(read_entry(paths.clone()));
-        tokio::spawn(read_inner(paths.clone()));
+    for _ in 0..READER_TASKS {
+        tokio::spawn(read_entry(state.clone()));
+        tokio::spawn(read_inner(state.clone()));
     }
     Ok(())
 }
 
-async fn read_entry(paths: Arc<BalancerPaths>) {
+async fn read_entry(state: Arc<BalancerState>) {
     let mut buffer = vec![0; MAX_PACKET_LENGTH];
     let mut outgoing = vec![0; MAX_PACKET_LENGTH];
     loop {
-        let Ok((length, _)) = paths.entry.recv_from(&mut buffer).await else {
+        let Ok((length, _)) = state.entry.recv_from(&mut buffer).await else {
             continue;
         };
         match split_entry(&buffer[..length]) {
-            Some((path, datagram)) => forward(&paths, &path, datagram, &mut outgoing).await,
-            None => telemetry::count_dropped(DropReason::Malformed),
+            Some((path, datagram)) => {
+                forward_datagram(&state, &path, datagram, &mut outgoing).await
+            }
+            None => telemetry::count_dropped_packet(DropReason::Malformed),
         }
     }
 }
 
-async fn forward(paths: &BalancerPaths, path: &EntryPath, datagram: &[u8], outgoing: &mut [u8]) {
-    let view = paths.node.view();
+async fn forward_datagram(
+    state: &BalancerState,
+    path: &EntryPath,
+    datagram: &[u8],
+    outgoing: &mut [u8],
+) {
+    let view = state.node.view();
     let context = BalancerContext {
-        address: paths.node.process_id().address,
+        address: state.node.process_id().address,
         view: &view,
-        loads: &paths.loads,
+        loads: &state.loads,
     };
-    match route_packet(&context, path, datagram, paths.node.clock.now()) {
+    match route_packet(&context, path, datagram, state.node.clock.now()) {
         RouteAction::Forward { host, header } => {
-            telemetry::count_forwarded(&header);
+            telemetry::count_forwarded_packet(&header);
             if let Ok(length) = write_packet(outgoing, PacketKind::Forward, &header, datagram) {
                 let packet = &outgoing[..length];
-                let _ = paths.node.socket.send_to(packet, host.address).await;
+                let _ = state.node.socket.send_to(packet, host.address).await;
             }
         }
         RouteAction::Reset { connection_id } => {
             let key = view.reset_secret();
             if let Some(packet) = reset_packet(key, connection_id, datagram.len(), rand::random()) {
                 COUNTS.resets_sent.increment();
-                let back = EntryPath {
+                let return_path = EntryPath {
                     source: path.destination,
                     destination: path.source,
                 };
-                paths.send_to_caller(&back, &packet).await;
+                state.send_to_caller(&return_path, &packet).await;
             }
         }
-        RouteAction::Drop(reason) => telemetry::count_dropped(reason),
+        RouteAction::Drop(reason) => telemetry::count_dropped_packet(reason),
     }
 }
 
-async fn read_inner(paths: Arc<BalancerPaths>) {
+async fn read_inner(state: Arc<BalancerState>) {
     let mut buffer = vec![0; MAX_PACKET_LENGTH];
     loop {
-        let Ok((length, _)) = paths.node.socket.recv_from(&mut buffer).await else {
+        let Ok((length, _)) = state.node.socket.recv_from(&mut buffer).await else {
             continue;
         };
         match split_kind(&buffer[..length]) {
-            Ok((PacketKind::Return, rest)) => give_back(&paths, rest).await,
-            Ok((PacketKind::Control, rest)) => gossip::receive(&paths.node, rest).await,
+            Ok((PacketKind::Return, payload)) => return_datagram(&state, payload).await,
+            Ok((PacketKind::Control, payload)) => {
+                gossip::receive_packet(&state.node, payload).await
+            }
             Ok((PacketKind::Forward, _)) | Err(_) => {
-                telemetry::count_dropped(DropReason::Malformed)
+                telemetry::count_dropped_packet(DropReason::Malformed)
             }
         }
     }
 }
 
-async fn give_back(paths: &BalancerPaths, rest: &[u8]) {
-    let Ok((header, datagram)) = split_message::<ReturnHeader>(rest) else {
-        telemetry::count_dropped(DropReason::Malformed);
+async fn return_datagram(state: &BalancerState, payload: &[u8]) {
+    let Ok((header, datagram)) = split_message::<ReturnHeader>(payload) else {
+        telemetry::count_dropped_packet(DropReason::Malformed);
         return;
     };
-    let now = paths.node.clock.now();
-    paths.loads.record(header.host, header.load, now);
+    let now = state.node.clock.now();
+    state.loads.record(header.host, header.load, now);
     COUNTS.packets_returned.increment();
     note_returned(header.trace, now);
     let path = EntryPath {
         source: header.target,
         destination: header.caller,
     };
-    paths.send_to_caller(&path, datagram).await;
+    state.send_to_caller(&path, datagram).await;
 }
 
-impl BalancerPaths {
+impl BalancerState {
     /// Sends a datagram to a caller. A datagram that cannot be sent is lost.
     async fn send_to_caller(&self, path: &EntryPath, datagram: &[u8]) {
         let packet = encode_entry(path, datagram);
--- a/crates/hyssopstaird/src/clock.rs
+++ b/crates/hyssopstaird/src/clock.rs
@@ -1,4 +1,7 @@
-//! The clocks of the process, read at its edges only.
+//! The monotonic clock and the wall clock of the process.
+//!
+//! Only this crate reads clocks. The decision crates receive the time as an argument,
+//! so that tests can set it.
 
 use std::time::Instant;
 use std::time::SystemTime;
@@ -6,27 +9,28 @@
 
 use hyssopstair_wire::time::MonotonicTime;
 
-/// The monotonic clock of the process.
+/// A monotonic clock that counts from its creation.
 #[derive(Debug, Clone, Copy)]
 pub struct ProcessClock {
     origin: Instant,
 }
 
 impl ProcessClock {
-    /// Starts the clock at zero.
+    /// Creates a clock that reads zero now.
     pub fn start() -> Self {
         Self {
             origin: Instant::now(),
         }
     }
 
-    /// Reads the clock.
+    /// Returns the time since the clock was created, with a resolution of 1 µs.
     pub fn now(&self) -> MonotonicTime {
         MonotonicTime(self.origin.elapsed().as_micros() as u64)
     }
 }
 
-/// Returns milliseconds since the Unix epoch.
+/// Returns the wall clock time in milliseconds since the Unix epoch, or 0 if the clock
+/// is set to an earlier time.
 pub fn unix_millis() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/crates/hyssopstaird/src/commands/mod.rs
+++ b/crates/hyssopstaird/src/commands/mod.rs
@@ -1,3 +1,3 @@
-//! The command line of the daemon.
+//! Command line parsing of the daemon.
 
 pub mod run;
--- a/crates/hyssopstaird/src/commands/run.rs
+++ b/crates/hyssopstaird/src/commands/run.rs
@@ -1,4 +1,4 @@
-//! `hyssopstaird [SETTINGS]`: runs the daemon.
+//! `hyssopstaird [SETTINGS]`: checks the settings file and runs the daemon.
 
 use std::env;
 use std::fs;
@@ -15,36 +15,38 @@
 
 use crate::error::DaemonError;
 #[cfg(feature = "carry")]
-use crate::ops::carry::run_carrier;
+use crate::ops::carry::run_carry;
 #[cfg(feature = "terminate")]
 use crate::ops::run::run_daemon;
 
-/// Variable that holds the path of the settings where the command line has none.
+/// Environment variable with the path of the settings file, used if the command line
+/// names none.
 const SETTINGS_VARIABLE: &str = "HYSSOPSTAIR_CONFIG";
 
-/// Runs a balancer, or the local process beside a backend server.
+/// Run a balancer, or the host process beside a backend server.
 #[derive(Debug, FromArgs)]
 pub struct RunArgs {
-    /// check the settings and stop
+    /// check the settings file and exit
     #[argh(switch)]
     pub check: bool,
 
-    /// carry flows that callers and backend servers end themselves
+    /// forward flows without terminating them; callers and backend servers are their endpoints
     #[argh(switch)]
     pub carry: bool,
 
-    /// path of the settings file, in YAML; by default that in HYSSOPSTAIR_CONFIG
+    /// path of the settings file (YAML); defaults to the value of HYSSOPSTAIR_CONFIG
     #[argh(positional)]
     pub settings: Option<PathBuf>,
 }
 
-/// Runs the command.
+/// Runs the daemon until it is stopped, or only checks its settings file.
 ///
 /// # Errors
 ///
-/// Returns an error when the settings are wrong or an address is in use.
+/// Returns an error if the settings file cannot be read or is invalid, if the program
+/// was built without the requested mode, or if the daemon fails to start.
 pub fn exec(args: &RunArgs) -> Result<(), Report<DaemonError>> {
-    let path = settings_path(args)?;
+    let path = find_settings_path(args)?;
     let text = fs::read_to_string(&path)
         .change_context_lazy(|| DaemonError::new(format!("failed to read {}", path.display())))?;
     if args.carry {
@@ -56,56 +58,58 @@
 
 #[cfg(feature = "carry")]
 fn exec_carry(args: &RunArgs, path: &Path, text: &str) -> Result<(), Report<DaemonError>> {
-    let settings = CarrySettings::parse(text).map_err(|mistake| wrong(path, &mistake))?;
+    let settings = CarrySettings::parse(text).map_err(|message| settings_error(path, &message))?;
     if args.check {
-        return say_valid(path);
+        return report_valid(path);
     }
-    run_carrier(settings, path)
+    run_carry(settings, path)
 }
 
 #[cfg(not(feature = "carry"))]
 fn exec_carry(_: &RunArgs, _: &Path, _: &str) -> Result<(), Report<DaemonError>> {
-    Err(left_out("carry"))
+    Err(missing_feature_error("carry"))
 }
 
 #[cfg(feature = "terminate")]
 fn exec_terminate(args: &RunArgs, path: &Path, text: &str) -> Result<(), Report<DaemonError>> {
-    let settings = DaemonSettings::parse(text).map_err(|mistake| wrong(path, &mistake))?;
+    let settings = DaemonSettings::parse(text).map_err(|message| settings_error(path, &message))?;
     if args.check {
-        return say_valid(path);
+        return report_valid(path);
     }
     run_daemon(settings)
 }
 
 #[cfg(not(feature = "terminate"))]
 fn exec_terminate(_: &RunArgs, _: &Path, _: &str) -> Result<(), Report<DaemonError>> {
-    Err(left_out("terminate"))
+    Err(missing_feature_error("terminate"))
 }
 
 #[cfg(not(all(feature = "carry", feature = "terminate")))]
-fn left_out(feature: &str) -> Report<DaemonError> {
-    let text = format!("this program was built without the feature \"{feature}\"");
+fn missing_feature_error(feature: &str) -> Report<DaemonError> {
+    let text = format!("this program was built without the Cargo feature \"{feature}\"");
     Report::new(DaemonError::new(text))
 }
 
-fn settings_path(args: &RunArgs) -> Result<PathBuf, Report<DaemonError>> {
+fn find_settings_path(args: &RunArgs) -> Result<PathBuf, Report<DaemonError>> {
     if let Some(path) = &args.settings {
         return Ok(path.clone());
     }
     env::var_os(SETTINGS_VARIABLE)
         .map(PathBuf::from)
         .ok_or_else(|| {
-            let text = format!("no settings file: give its path, or set {SETTINGS_VARIABLE}");
+            let text = format!("no settings file: pass its path or set {SETTINGS_VARIABLE}");
             Report::new(DaemonError::new(text))
         })
 }
 
-fn wrong(path: &Path, mistake: &str) -> Report<DaemonError> {
+fn settings_error(path: &Path, message: &str) -> Report<DaemonError> {
     let path = path.display();
-    Report::new(DaemonError::new(format!("in {path}: {mistake}")))
+    Report::new(DaemonError::new(format!(
+        "invalid settings in {path}: {message}"
+    )))
 }
 
-fn say_valid(path: &Path) -> Result<(), Report<DaemonError>> {
+fn report_valid(path: &Path) -> Result<(), Report<DaemonError>> {
     println!("{}: settings are valid", path.display());
     Ok(())
 }
--- a/crates/hyssopstaird/src/control/configuration.rs
+++ b/crates/hyssopstaird/src/control/configuration.rs
@@ -1,8 +1,9 @@
-//! Fetches newer configurations from the platform and from peers.
+//! Fetching of newer configurations from the platform and from peers.
 //!
-//! Two loops run side by side: one reads the platform at the fleet's fixed rate,
-//! the other asks peers that were heard with a higher version. So neither a
-//! stalled platform nor a silent peer holds up the other way.
+//! Two loops run concurrently. One polls the platform, at a rate that is fixed for the
+//! whole fleet; the other requests the configuration from peers whose packets name a
+//! higher version. A stalled platform therefore does not delay updates from peers, and a
+//! peer that does not answer does not delay updates from the platform.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -35,23 +36,25 @@
 use crate::control::node::lock;
 use crate::peer;
 
-/// Balancers that are asked for their versions at once.
-const VERSION_QUESTIONS: usize = 32;
+/// Maximum number of concurrent requests for the versions of balancers.
+const MAX_CONCURRENT_VERSION_REQUESTS: usize = 32;
 
-/// Runs until the process ends.
+/// Fetches newer configurations until the process ends.
 pub async fn run(node: Arc<ControlNode>, client: PlatformClient) {
-    futures::join!(poll_platform(&node, &client), ask_peers(&node));
+    futures::join!(poll_platform(&node, &client), run_peer_fetches(&node));
 }
 
+/// Polls the platform periodically. The interval grows with the number of members and
+/// with consecutive failures.
 async fn poll_platform(node: &ControlNode, client: &PlatformClient) {
     let mut limiter = RepeatLimiter::default();
     let mut failures = 0;
     loop {
-        match read_platform(node, client).await {
+        match fetch_from_platform(node, client).await {
             Ok(()) => {
                 failures = 0;
                 if let Some(unreported) = limiter.recover() {
-                    log::info!(unreported; "config: the platform answers again");
+                    log::info!(unreported; "config: the platform is reachable again");
                 }
             }
             Err(error) => {
@@ -59,7 +62,7 @@
                 if let Some(held_back) = limiter.warn(node.clock.now()) {
                     log::warn!(
                         error:% = error, held_back;
-                        "config: the platform is unreachable; trying on, and asking peers"
+                        "config: the platform is unreachable; retrying, and fetching from peers"
                     );
                 }
             }
@@ -70,8 +73,12 @@
     }
 }
 
-/// Reads the version, and the configuration if its version is higher.
-async fn read_platform(node: &ControlNode, client: &PlatformClient) -> Result<(), PlatformError> {
+/// Reads the stored version and, if it is higher than the one in force, the configuration.
+/// A version that is not a number counts as higher.
+async fn fetch_from_platform(
+    node: &ControlNode,
+    client: &PlatformClient,
+) -> Result<(), PlatformError> {
     let Some(stored) = client.get(VERSION_KEY).await? else {
         return Ok(());
     };
@@ -89,46 +96,52 @@
         Ok(record) => {
             node.apply_config(record.version, &record.text, Vec::new());
         }
-        Err(error) => log::warn!(error:% = error; "config: the platform holds no record"),
+        Err(error) => {
+            log::warn!(error:% = error; "config: failed to decode the configuration record on the platform")
+        }
     }
     Ok(())
 }
 
-/// Notes the version that a peer has; runs for each control packet.
+/// Records that the peer at `from` has the given version. Called for each received packet
+/// that names a version.
 pub fn record_peer_version(node: &ControlNode, from: SocketAddrV4, version: u64) {
     if version <= node.view().version {
         return;
     }
     if lock(&node.fetch).hear(from, version) {
-        node.version_heard.notify_one();
+        node.version_notify.notify_one();
     }
 }
 
-async fn ask_peers(node: &ControlNode) {
+/// Fetches the configuration from the peer with the highest known version, one request at
+/// a time, whenever that version is higher than the one in force.
+async fn run_peer_fetches(node: &ControlNode) {
     loop {
         let step = lock(&node.fetch).next(node.view().version, node.clock.now());
         match step {
-            FetchStep::Idle | FetchStep::Wait => node.version_heard.notified().await,
+            FetchStep::Idle | FetchStep::Wait => node.version_notify.notified().await,
             FetchStep::WaitUntil(time) => {
                 let pause = time.since(node.clock.now());
-                // A version that is newer still may be heard meanwhile.
-                let _ = tokio::time::timeout(pause, node.version_heard.notified()).await;
+                // A still newer version may be recorded before the pause ends.
+                let _ = tokio::time::timeout(pause, node.version_notify.notified()).await;
             }
             FetchStep::Ask(peer) => {
-                let fetched = ask_peer(node, peer).await;
+                let fetched = fetch_from_peer(node, peer).await;
                 lock(&node.fetch).finish(fetched, node.clock.now());
             }
         }
     }
 }
 
-async fn ask_peer(node: &ControlNode, peer: SocketAddrV4) -> bool {
+/// Requests a newer configuration from a peer and returns whether one was applied.
+async fn fetch_from_peer(node: &ControlNode, peer: SocketAddrV4) -> bool {
     let above = node.view().version;
-    let content = ask_content(node, peer, PeerRequest::Configuration { above }).await;
+    let content = request_update(node, peer, PeerRequest::Configuration { above }).await;
     let content = match content {
         UpdateContent::Mismatch => {
-            log::warn!(above; "config: the edits of {peer} do not fit; asking for the whole text");
-            ask_content(node, peer, PeerRequest::WholeConfiguration { above }).await
+            log::warn!(above; "config: the edits from {peer} do not apply; requesting the complete text");
+            request_update(node, peer, PeerRequest::WholeConfiguration { above }).await
         }
         UpdateContent::Nothing | UpdateContent::Newer { .. } => content,
     };
@@ -142,7 +155,9 @@
     }
 }
 
-async fn ask_content(
+/// Sends a request for the configuration and decodes the answer. Returns
+/// [`UpdateContent::Nothing`] if the peer does not answer.
+async fn request_update(
     node: &ControlNode,
     peer: SocketAddrV4,
     request: PeerRequest,
@@ -157,35 +172,35 @@
             read_answer(old, answer)
         }
         Err(error) => {
-            log::debug!(error:% = error; "config: a peer does not answer");
+            log::debug!(error:% = error; "config: no answer from a peer");
             UpdateContent::Nothing
         }
     }
 }
 
-/// Returns what operators may ask about the configuration.
+/// Returns the routes of the admin server that show the configuration.
 pub fn routes() -> Router<Arc<ControlNode>> {
     Router::new()
-        .route("/rules", get(rules))
-        .route("/versions", get(versions))
+        .route("/rules", get(get_rules))
+        .route("/versions", get(get_versions))
 }
 
-/// Returns the rule file in force; it holds no secrets.
-async fn rules(State(node): State<Arc<ControlNode>>) -> String {
+/// Returns the rule file in force, which contains no secrets.
+async fn get_rules(State(node): State<Arc<ControlNode>>) -> String {
     node.config().text().to_string()
 }
 
-/// The version in force on one balancer.
+/// The version in force on a balancer.
 #[derive(Debug, Serialize)]
 struct BalancerVersion {
     /// The inner address of the balancer.
     address: SocketAddrV4,
-    /// The version, or nothing when the balancer does not answer.
+    /// The version, or `None` if the balancer does not answer.
     version: Option<u64>,
 }
 
-/// Asks all balancers that this process knows for their versions.
-async fn versions(State(node): State<Arc<ControlNode>>) -> Json<Vec<BalancerVersion>> {
+/// Returns the version in forces of all known balancers that are not gone.
+async fn get_versions(State(node): State<Arc<ControlNode>>) -> Json<Vec<BalancerVersion>> {
     let balancers: Vec<SocketAddrV4> = node
         .members()
         .iter()
@@ -193,12 +208,13 @@
         .map(|entry| entry.process.address)
         .collect();
     let answers = stream::iter(balancers)
-        .map(|address| balancer_version(&node, address))
-        .buffered(VERSION_QUESTIONS);
+        .map(|address| fetch_balancer_version(&node, address))
+        .buffered(MAX_CONCURRENT_VERSION_REQUESTS);
     Json(answers.collect().await)
 }
 
-async fn balancer_version(node: &ControlNode, address: SocketAddrV4) -> BalancerVersion {
+/// Returns the version of this process or requests that of another balancer.
+async fn fetch_balancer_version(node: &ControlNode, address: SocketAddrV4) -> BalancerVersion {
     let version = if address == node.process_id().address {
         Some(node.view().version)
     } else {
--- a/crates/hyssopstaird/src/control/entries.rs
+++ b/crates/hyssopstaird/src/control/entries.rs
@@ -1,8 +1,9 @@
-//! Finds the first members through the platform.
+//! Discovery of the first members through the platform.
 //!
-//! The platform keeps a bounded number of addresses. A process reads them until
-//! it has found others, and takes over a slot whose holder is unknown to it. A
-//! write whose answer is lost does no harm: a slot only names an address.
+//! The platform stores a bounded number of entry addresses, each in a slot. Every process
+//! reads them periodically and contacts the members that they name, and replaces the
+//! address in a random slot if its holder is not an alive member. A write whose answer is
+//! lost does no harm, because a slot contains only an address.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -20,12 +21,13 @@
 
 use crate::control::node::ControlNode;
 
-/// Runs until the process ends.
+/// Refreshes the entry addresses periodically until the process ends. The interval grows
+/// with the number of live members and with consecutive failures.
 pub async fn run(node: Arc<ControlNode>, client: PlatformClient) {
     let mut limiter = RepeatLimiter::default();
     let mut failures = 0;
     loop {
-        match refresh(&node, &client).await {
+        match refresh_entries(&node, &client).await {
             Ok(()) => {
                 failures = 0;
                 limiter.recover();
@@ -38,23 +40,25 @@
             }
         }
         let jitter = rand::rng().random_range(0.0..1.0);
-        let members = node.live_members();
+        let members = node.live_member_count();
         tokio::time::sleep(poll_interval(members, failures, jitter)).await;
     }
 }
 
-async fn refresh(node: &ControlNode, client: &PlatformClient) -> Result<(), PlatformError> {
+/// Adds all entry addresses as contacts, and writes the own address into a random slot
+/// that is empty or whose holder is not an alive member.
+async fn refresh_entries(node: &ControlNode, client: &PlatformClient) -> Result<(), PlatformError> {
     let entries = client.get_prefix(ENTRY_PREFIX).await?;
-    for address in entries.iter().filter_map(entry_address) {
+    for address in entries.iter().filter_map(parse_entry_address) {
         node.add_contact(address);
     }
     let slot = rand::rng().random_range(0..ENTRY_SLOTS);
     let key = entry_key(slot);
-    let held = entries.iter().find(|entry| entry.key == key);
-    if held.is_some_and(|entry| is_live(node, entry)) {
+    let slot_entry = entries.iter().find(|entry| entry.key == key);
+    if slot_entry.is_some_and(|entry| is_holder_alive(node, entry)) {
         return Ok(());
     }
-    let revision = held.map_or(0, |entry| entry.stored.revision);
+    let revision = slot_entry.map_or(0, |entry| entry.stored.revision);
     let value = node.process_id().address.to_string();
     client
         .compare_and_swap(&key, revision, value.as_bytes())
@@ -62,15 +66,17 @@
     Ok(())
 }
 
-fn entry_address(entry: &StoredKey) -> Option<SocketAddrV4> {
+/// Returns the address in an entry, or `None` if it is malformed.
+fn parse_entry_address(entry: &StoredKey) -> Option<SocketAddrV4> {
     std::str::from_utf8(&entry.stored.value).ok()?.parse().ok()
 }
 
-fn is_live(node: &ControlNode, entry: &StoredKey) -> bool {
-    let Some(address) = entry_address(entry) else {
+/// Returns whether the address in an entry belongs to a member in the state `Alive`.
+fn is_holder_alive(node: &ControlNode, entry: &StoredKey) -> bool {
+    let Some(address) = parse_entry_address(entry) else {
         return false;
     };
     let members = node.members();
-    let found = members.binary_search_by_key(&address, |member| member.process.address);
-    found.is_ok_and(|index| members[index].state == MemberState::Alive)
+    let position = members.binary_search_by_key(&address, |member| member.process.address);
+    position.is_ok_and(|index| members[index].state == MemberState::Alive)
 }
--- a/crates/hyssopstaird/src/control/gossip.rs
+++ b/crates/hyssopstaird/src/control/gossip.rs
@@ -1,4 +1,4 @@
-//! Exchanges members with other processes.
+//! Exchange of the member list with other processes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,26 +10,27 @@
 use crate::control::configuration;
 use crate::control::node::ControlNode;
 
-/// Time between two looks at what is due.
-const TICK: Duration = Duration::from_millis(50);
+/// Interval between two ticks of the roster.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Runs until the process ends.
+/// Ticks the roster until the process ends.
 pub async fn run(node: Arc<ControlNode>) {
-    let mut interval = tokio::time::interval(TICK);
+    let mut interval = tokio::time::interval(TICK_INTERVAL);
     loop {
         interval.tick().await;
         node.tick().await;
     }
 }
 
-/// Takes in the message of a control packet.
-pub async fn receive(node: &Arc<ControlNode>, bytes: &[u8]) {
+/// Processes a received control packet, of which `bytes` is the part after the packet
+/// kind. Malformed packets are ignored.
+pub async fn receive_packet(node: &Arc<ControlNode>, bytes: &[u8]) {
     COUNTS.control_received.add(bytes.len() as u64);
     let Ok((message, _)) = split_message::<ControlMessage>(bytes) else {
         return;
     };
-    node.receive_control(&message).await;
-    if node.wants_config(message.version) {
+    node.receive_message(&message).await;
+    if node.needs_config_version(message.version) {
         configuration::record_peer_version(node, message.sender.address, message.version);
     }
 }
--- a/crates/hyssopstaird/src/control/mod.rs
+++ b/crates/hyssopstaird/src/control/mod.rs
@@ -1,8 +1,8 @@
-//! Members and configuration, as both roles keep them.
+//! The member list and the configuration, which both roles maintain.
 //!
-//! [`node`] holds the state. Three loops feed it: [`gossip`] exchanges members,
-//! [`entries`] finds the first members through the platform, and
-//! [`configuration`] fetches newer configurations.
+//! [`node`] contains the shared state. Three background tasks update it: [`gossip`]
+//! exchanges the member list with other processes, [`entries`] finds the first members
+//! through the platform, and [`configuration`] fetches newer configurations.
 
 pub mod configuration;
 pub mod entries;
@@ -15,7 +15,7 @@
 
 use crate::control::node::ControlNode;
 
-/// Starts the loops of a daemon.
+/// Starts the background tasks. `platform` lists the URLs of the platform.
 pub fn spawn_loops(node: &Arc<ControlNode>, platform: &[String]) {
     let client = PlatformClient::new(platform);
     tokio::spawn(gossip::run(node.clone()));
--- a/crates/hyssopstaird/src/control/node.rs
+++ b/crates/hyssopstaird/src/control/node.rs
@@ -1,4 +1,7 @@
-//! The state that all parts of a daemon share.
+//! The state that all components of a daemon share.
+//!
+//! Packets are routed with an immutable [`RoutingView`], which is rebuilt whenever the
+//! roster or the configuration changes and read without a lock.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -46,31 +49,32 @@
 use crate::error::DaemonError;
 use crate::secret::read_secret;
 
-/// Rounds in which a last word is sent to other members.
-const FAREWELL_ROUNDS: usize = 3;
+/// Number of times that a new state of this process is sent to other members, so that
+/// the loss of a message does not hide it.
+const STATE_ANNOUNCEMENT_ROUNDS: usize = 3;
 
-/// Longest search for short edits between two versions.
-const DIFF_LIMIT: Duration = Duration::from_millis(250);
+/// Maximum time of the search for a short list of edits between two versions.
+const DIFF_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// What a host announces before its configuration names its service.
+/// The service that a host announces until a configuration names its own.
 const UNKNOWN_SERVICE: ServiceId = ServiceId(0);
 
-/// The state that all parts of a daemon share.
+/// The state that all components of a daemon share.
 #[derive(Debug)]
 pub struct ControlNode {
-    /// The clock that decisions are given.
+    /// The clock that provides the time for all decisions.
     pub clock: ProcessClock,
     /// The socket for packets and control messages.
     pub socket: Arc<UdpSocket>,
     /// The secret of the fleet.
     pub secret: FleetSecret,
-    /// The name of the service, for a host.
+    /// The name of the service of a host; `None` for a balancer.
     pub service_name: Option<String>,
-    /// The newest version that a peer was heard with.
+    /// The newest version that a peer has, and the progress of fetching it.
     pub fetch: Mutex<FetchState>,
-    /// Woken when a newer version is heard.
-    pub version_heard: Notify,
-    /// What peers that lag are sent.
+    /// Notified when a newer version is recorded in `fetch`.
+    pub version_notify: Notify,
+    /// The steps between recent versions, which are sent to peers with an older version.
     pub updates: Mutex<UpdateLog>,
     zone_name: String,
     address: SocketAddrV4,
@@ -82,14 +86,14 @@
 }
 
 impl ControlNode {
-    /// Opens the inner socket and creates the state.
+    /// Opens the socket on the inner address and creates the state.
     ///
     /// # Errors
     ///
-    /// Returns an error when the address is in use or there is no secret.
+    /// Returns an error if the secret cannot be read or the address cannot be bound.
     pub async fn start(settings: &DaemonSettings) -> Result<Self, Report<DaemonError>> {
         let secret = read_secret(&settings.secret)?;
-        let socket = datagram::open(settings.inner)
+        let socket = datagram::open_socket(settings.inner)
             .await
             .change_context_lazy(|| {
                 DaemonError::new(format!(
@@ -120,7 +124,7 @@
             secret,
             service_name,
             fetch: Mutex::default(),
-            version_heard: Notify::new(),
+            version_notify: Notify::new(),
             updates: Mutex::default(),
             zone_name: settings.zone.clone(),
             address: process_id.address,
@@ -132,8 +136,9 @@
         })
     }
 
-    /// Returns the name of the process. Its incarnation grows when an earlier
-    /// process at the address is found to have had a higher one.
+    /// Returns the address and the current incarnation of this process. The incarnation
+    /// is raised if another member knows an earlier process at this address with the same
+    /// or a higher one.
     pub fn process_id(&self) -> ProcessId {
         ProcessId {
             address: self.address,
@@ -141,117 +146,123 @@
         }
     }
 
-    /// Returns whether the process may take new work: another member has
-    /// answered since it started or was paused, or there is none to ask.
+    /// Returns whether the process may take new work. It may if another member has
+    /// answered since the process started or was last paused, or if no other member is
+    /// reachable.
     pub fn is_confirmed(&self) -> bool {
         lock(&self.roster).is_confirmed(self.clock.now())
     }
 
-    /// Returns whether the process knows all that the others know.
+    /// Returns whether the process has received the whole member list of another process,
+    /// or found no other process.
     pub fn is_joined(&self) -> bool {
         lock(&self.roster).is_joined()
     }
 
-    /// Returns whether a configuration of this version would be news.
-    pub fn wants_config(&self, version: u64) -> bool {
+    /// Returns whether a configuration with this version is newer than the one in force
+    /// and is not the last one that was rejected.
+    pub fn needs_config_version(&self, version: u64) -> bool {
         lock(&self.config).needs_version(version)
     }
 
-    /// Returns the number of members that are not gone.
-    pub fn live_members(&self) -> usize {
+    /// Returns the number of members that are alive or draining.
+    pub fn live_member_count(&self) -> usize {
         lock(&self.roster).live_count()
     }
 
-    /// Returns the present view.
+    /// Returns the current routing view.
     pub fn view(&self) -> Arc<RoutingView> {
         self.view.load_full()
     }
 
-    /// Returns the configuration in force.
+    /// Returns a copy of the configuration in force.
     pub fn config(&self) -> ConfigState {
         lock(&self.config).clone()
     }
 
-    /// Returns the members that are known.
+    /// Returns all known members, sorted by address.
     pub fn members(&self) -> Vec<MemberEntry> {
         lock(&self.roster).members().to_vec()
     }
 
-    /// Adds an address where a member may be found.
+    /// Adds an address at which another member may be reachable.
     pub fn add_contact(&self, address: SocketAddrV4) {
         lock(&self.roster).add_contact(address);
     }
 
-    /// Takes a configuration if it is newer, and returns whether it did. The
-    /// steps that led to it are kept for peers; without any, they are found by
-    /// comparing the texts.
+    /// Applies a configuration if it is valid and newer than the one in force, and returns
+    /// whether it was applied. `steps` lead from the version in force to `version` and are
+    /// stored for peers; if empty, they are computed by comparing the two texts.
     pub fn apply_config(&self, version: u64, text: &str, steps: Vec<ConfigurationStep>) -> bool {
-        let (before, result) = self.change_config(version, text);
+        let (old_config, result) = self.update_config(version, text);
         match result {
             ApplyResult::Applied => {
                 log::info!(version, steps = steps.len(); "config: a new version is in force");
-                self.announce_role();
+                self.update_role();
                 self.rebuild_view();
-                self.keep_steps(&before, VersionText { version, text }, steps);
+                self.record_steps(&old_config, VersionText { version, text }, steps);
                 true
             }
             ApplyResult::Rejected => {
-                self.report_refused();
+                self.log_rejected_config();
                 false
             }
             ApplyResult::Ignored => false,
         }
     }
 
-    /// Takes in a control message.
-    pub async fn receive_control(&self, message: &ControlMessage) {
-        let actions = self.change_roster(|roster, node| roster.receive(message, node.clock.now()));
-        self.carry_out(&actions).await;
+    /// Processes a control message and sends the messages that result from it.
+    pub async fn receive_message(&self, message: &ControlMessage) {
+        let actions = self.update_roster(|roster, node| roster.receive(message, node.clock.now()));
+        self.execute_actions(&actions).await;
     }
 
-    /// Does what is due.
+    /// Sends the messages that are due, and rebuilds the routing view if a delayed build is
+    /// due.
     pub async fn tick(&self) {
         let version = lock(&self.config).version();
-        let actions = self.change_roster(|roster, node| roster.tick(version, node.clock.now()));
+        let actions = self.update_roster(|roster, node| roster.tick(version, node.clock.now()));
         if lock(&self.pacer).take_due_build(self.clock.now()) {
             self.rebuild_view();
         }
-        self.carry_out(&actions).await;
+        self.execute_actions(&actions).await;
     }
 
-    /// Changes what the process says about itself and tells other members.
-    pub async fn declare(&self, state: MemberState) {
-        self.change_roster(|roster, node| roster.set_state(state, node.clock.now()));
-        for _ in 0..FAREWELL_ROUNDS {
+    /// Changes the announced state of this process and sends it to other members at once.
+    pub async fn announce_state(&self, state: MemberState) {
+        self.update_roster(|roster, node| roster.set_state(state, node.clock.now()));
+        for _ in 0..STATE_ANNOUNCEMENT_ROUNDS {
             let version = lock(&self.config).version();
             let actions = lock(&self.roster).announce_immediately(version, self.clock.now());
-            self.carry_out(&actions).await;
+            self.execute_actions(&actions).await;
         }
     }
 
-    fn change_config(&self, version: u64, text: &str) -> (ConfigState, ApplyResult) {
+    /// Applies a configuration and returns the previous one with the result.
+    fn update_config(&self, version: u64, text: &str) -> (ConfigState, ApplyResult) {
         let mut config = lock(&self.config);
-        let before = config.clone();
+        let old_config = config.clone();
         let result = config.apply(version, text);
-        (before, result)
+        (old_config, result)
     }
 
-    fn keep_steps(
+    /// Stores the steps from the previous to the new configuration for peers.
+    fn record_steps(
         &self,
-        before: &ConfigState,
+        old_config: &ConfigState,
         new: VersionText<'_>,
         steps: Vec<ConfigurationStep>,
     ) {
-        // The first configuration shares no line with the empty one.
-        if before.version() == 0 {
+        // The first configuration has no line in common with the empty one.
+        if old_config.version() == 0 {
             return;
         }
         let steps = if steps.is_empty() {
             let old = VersionText {
-                version: before.version(),
-                text: before.text(),
+                version: old_config.version(),
+                text: old_config.text(),
             };
-            let deadline = Instant::now() + DIFF_LIMIT;
+            let deadline = Instant::now() + DIFF_TIMEOUT;
             Vec::from_iter(step_between(old, new, Some(deadline)))
         } else {
             steps
@@ -262,7 +273,9 @@
         }
     }
 
-    fn announce_role(&self) {
+    /// Announces the service, zone and weight of a host as the configuration defines them.
+    /// Has no effect on a balancer or if the configuration does not name the service.
+    fn update_role(&self) {
         let Some(name) = &self.service_name else {
             return;
         };
@@ -275,45 +288,51 @@
             zone: rules.zone(&self.zone_name).unwrap_or(0),
             weight: 1,
         };
-        self.change_roster(|roster, node| roster.set_role(role, node.clock.now()));
+        self.update_roster(|roster, node| roster.set_role(role, node.clock.now()));
     }
 
-    fn change_roster<T>(&self, change: impl FnOnce(&mut RosterState, &Self) -> T) -> T {
+    /// Changes the roster. If members changed, the view is rebuilt at once or, after a
+    /// recent build, by a later tick.
+    fn update_roster<T>(&self, change: impl FnOnce(&mut RosterState, &Self) -> T) -> T {
         let mut roster = lock(&self.roster);
-        let before = roster.change_count();
+        let old_change_count = roster.change_count();
         let result = change(&mut roster, self);
-        let changed = roster.change_count() != before;
+        let has_changed = roster.change_count() != old_change_count;
         let incarnation = roster.own_entry().process.incarnation;
         drop(roster);
-        self.note_incarnation(incarnation);
-        if changed && lock(&self.pacer).record_change(self.clock.now()) {
+        self.update_incarnation(incarnation);
+        if has_changed && lock(&self.pacer).record_change(self.clock.now()) {
             self.rebuild_view();
         }
         result
     }
 
-    fn note_incarnation(&self, incarnation: HostIncarnation) {
-        let before = self.incarnation.swap(incarnation.0, Ordering::AcqRel);
-        if before != incarnation.0 {
+    /// Stores the incarnation that the roster has for this process.
+    fn update_incarnation(&self, incarnation: HostIncarnation) {
+        let old_incarnation = self.incarnation.swap(incarnation.0, Ordering::AcqRel);
+        if old_incarnation != incarnation.0 {
             log::warn!(
-                "gossip: took incarnation {incarnation}, as one above {before} was known here"
+                "gossip: took incarnation {incarnation}, as one above {old_incarnation} was known here"
             );
         }
     }
 
-    fn report_refused(&self) {
+    fn log_rejected_config(&self) {
         let config = lock(&self.config).clone();
-        let Some(refused) = config.rejected() else {
+        let Some(rejected_config) = config.rejected() else {
             return;
         };
-        for error in refused.errors.iter() {
-            log::error!("config: version {} is refused: {error}", refused.version);
+        for error in rejected_config.errors.iter() {
+            log::error!(
+                "config: rejected version {}: {error}",
+                rejected_config.version
+            );
         }
     }
 
     fn rebuild_view(&self) {
-        // The roster lock is held to the end, so that of two rebuilds the later
-        // one is the one that stays.
+        // The roster stays locked until the view is stored; otherwise, of two concurrent
+        // rebuilds, the one with the older members could be stored last.
         let roster = lock(&self.roster);
         let config = lock(&self.config).clone();
         let view = RoutingView::build(
@@ -329,20 +348,23 @@
         self.view.store(Arc::new(view));
     }
 
-    async fn carry_out(&self, actions: &[RosterAction]) {
+    /// Sends the messages that the roster requests.
+    async fn execute_actions(&self, actions: &[RosterAction]) {
         for action in actions {
             let RosterAction::Send { to, message } = action;
             let Ok(packet) = encode_packet(PacketKind::Control, message, &[]) else {
-                log::warn!("gossip: a message is too long");
+                log::warn!("gossip: failed to encode a message: it is too long");
                 continue;
             };
             COUNTS.control_sent.add(packet.len() as u64);
-            // A lost message is repaired by later rounds.
+            // Later gossip rounds make up for a lost message.
             let _ = self.socket.send_to(&packet, to).await;
         }
     }
 }
 
+/// Returns the role that is announced before a configuration is applied, and the name of
+/// the service of a host.
 fn initial_role(settings: &RoleSettings) -> (MemberRole, Option<String>) {
     match settings {
         RoleSettings::Balancer(_) => (MemberRole::Balancer, None),
@@ -357,7 +379,8 @@
     }
 }
 
-/// Locks a mutex; a panic elsewhere leaves its state usable.
+/// Locks a mutex, ignoring that a thread may have panicked while it held the lock. The
+/// state of this daemon stays usable after a panic.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/hyssopstaird/src/datagram.rs
+++ b/crates/hyssopstaird/src/datagram.rs
@@ -1,4 +1,4 @@
-//! Opens the UDP sockets of a daemon.
+//! UDP sockets with large kernel buffers.
 
 use std::io;
 use std::net::SocketAddrV4;
@@ -6,21 +6,21 @@
 use socket2::SockRef;
 use tokio::net::UdpSocket;
 
-/// Space for datagrams that wait in the kernel, in bytes. Many flows that open
-/// at once bring more than the usual default of 208 KiB holds, and a lost first
-/// packet is repeated only after a second.
-const BUFFER_LENGTH: usize = 4 << 20;
+/// Requested size of the receive buffer and of the send buffer in the kernel, in bytes.
+/// The usual default of 208 KiB overflows when many flows open at once, and a caller
+/// retransmits a lost first packet only after a second.
+const SOCKET_BUFFER_BYTES: usize = 4 << 20;
 
-/// Opens a UDP socket with large buffers. The kernel may grant less; that is no
-/// error.
+/// Opens a UDP socket that is bound to `address`. The kernel may grant smaller buffers
+/// than requested, which is not an error.
 ///
 /// # Errors
 ///
-/// Returns an error when the address cannot be used.
-pub async fn open(address: SocketAddrV4) -> io::Result<UdpSocket> {
+/// Returns an error if the socket cannot be bound.
+pub async fn open_socket(address: SocketAddrV4) -> io::Result<UdpSocket> {
     let socket = UdpSocket::bind(address).await?;
     let options = SockRef::from(&socket);
-    let _ = options.set_recv_buffer_size(BUFFER_LENGTH);
-    let _ = options.set_send_buffer_size(BUFFER_LENGTH);
+    let _ = options.set_recv_buffer_size(SOCKET_BUFFER_BYTES);
+    let _ = options.set_send_buffer_size(SOCKET_BUFFER_BYTES);
     Ok(socket)
 }
--- a/crates/hyssopstaird/src/host/answer.rs
+++ b/crates/hyssopstaird/src/host/answer.rs
@@ -43,7 +43,7 @@
     }
 
     /// The request is wrong and did not run.
-    pub fn wrong(status: StatusCode, text: &'static str) -> Self {
+    pub fn rejected(status: StatusCode, text: &'static str) -> Self {
         let verdict = RequestVerdict::NotRun {
             retry_after: Duration::ZERO,
         };
@@ -86,42 +86,44 @@
     }
 
     /// Gives an answer of the host.
-    pub async fn give(self, answer: HostAnswer) {
+    pub async fn send_answer(self, answer: HostAnswer) {
         let body = format!("{}: {}\n", answer.verdict.header_value(), answer.text);
         let mut response = Response::new(());
         *response.status_mut() = answer.status;
         let headers = response.headers_mut();
         headers.insert(header::CONTENT_LENGTH, body.len().into());
         if let RequestVerdict::NotRun { retry_after } = answer.verdict {
-            headers.insert(header::RETRY_AFTER, whole_seconds(retry_after).into());
+            headers.insert(header::RETRY_AFTER, ceil_seconds(retry_after).into());
         }
-        self.send_whole(response, answer.verdict, body.into()).await;
+        self.send_complete(response, answer.verdict, body.into())
+            .await;
     }
 
     /// Gives a whole answer of the backend server.
-    pub async fn give_reply(self, reply: BackendReply) {
+    pub async fn send_reply(self, reply: BackendReply) {
         let status = StatusCode::from_u16(reply.status).unwrap_or(StatusCode::BAD_GATEWAY);
-        let response = response_head(status, &reply.headers);
+        let response = build_response(status, &reply.headers);
         let verdict = reply_verdict(status);
-        self.send_whole(response, verdict, reply.body.into()).await;
+        self.send_complete(response, verdict, reply.body.into())
+            .await;
     }
 
     /// Gives an answer of the backend server as it comes, and returns whether
     /// all of it came.
-    pub async fn give_live(mut self, mut answer: Box<BackendAnswer>) -> bool {
-        let mut response = response_head(answer.head.status, &answer.header_fields());
+    pub async fn stream_answer(mut self, mut answer: Box<BackendAnswer>) -> bool {
+        let mut response = build_response(answer.head.status, &answer.header_fields());
         self.add_headers(&mut response, reply_verdict(answer.head.status));
         if self.stream.send_response(response).await.is_err() {
             return false;
         }
-        let has_certain_end = answer.has_certain_end();
-        let start = std::mem::take(&mut answer.start);
-        if !start.is_empty() && self.stream.send_data(start.into()).await.is_err() {
+        let has_detectable_end = answer.has_detectable_end();
+        let buffered = std::mem::take(&mut answer.buffered);
+        if !buffered.is_empty() && self.stream.send_data(buffered.into()).await.is_err() {
             return false;
         }
         while let Some(frame) = answer.body.frame().await {
             let Ok(frame) = frame else {
-                self.cut();
+                self.reset_stream();
                 return false;
             };
             let Ok(data) = frame.into_data() else {
@@ -131,8 +133,8 @@
                 return false;
             }
         }
-        if !has_certain_end {
-            self.cut();
+        if !has_detectable_end {
+            self.reset_stream();
             return false;
         }
         if let Some(slot) = answer.slot {
@@ -143,11 +145,11 @@
     }
 
     /// Resets the stream, because the answer is not whole and must not look so.
-    fn cut(&mut self) {
+    fn reset_stream(&mut self) {
         self.stream.stop_stream(Code::H3_INTERNAL_ERROR);
     }
 
-    async fn send_whole(self, mut response: Response<()>, verdict: RequestVerdict, body: Bytes) {
+    async fn send_complete(self, mut response: Response<()>, verdict: RequestVerdict, body: Bytes) {
         self.add_headers(&mut response, verdict);
         if self.stream.send_response(response).await.is_err() {
             return;
@@ -182,7 +184,7 @@
     }
 }
 
-fn response_head(status: StatusCode, fields: &[HeaderField]) -> Response<()> {
+fn build_response(status: StatusCode, fields: &[HeaderField]) -> Response<()> {
     let mut response = Response::new(());
     *response.status_mut() = status;
     for field in fields {
@@ -195,6 +197,6 @@
     response
 }
 
-fn whole_seconds(time: Duration) -> u64 {
+fn ceil_seconds(time: Duration) -> u64 {
     time.as_millis().div_ceil(1_000) as u64
 }
--- a/crates/hyssopstaird/src/host/backend.rs
+++ b/crates/hyssopstaird/src/host/backend.rs
@@ -30,7 +30,7 @@
 use tokio::net::TcpStream;
 
 use crate::host::request::DEADLINE_HEADER;
-use crate::host::request::header_fields;
+use crate::host::request::forwarded_header_fields;
 use crate::host::slots::SlotGuard;
 use crate::host::state::HostState;
 use crate::host::tickets::TicketClaim;
@@ -43,14 +43,14 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// When a request may be tried again that the backend server did not take.
-const RETRY_AFTER: Duration = Duration::from_secs(1);
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// Longest answer that is kept whole, in bytes.
-const MAX_REPLY: usize = 256 << 10;
+const MAX_REPLY_BYTES: usize = 256 << 10;
 
 /// What came of the hand-over of a request.
 #[derive(Debug)]
-pub enum BackendEnd {
+pub enum BackendResult {
     /// An answer begins.
     Answer(Box<BackendAnswer>),
     /// The request provably did not run.
@@ -70,7 +70,7 @@
     /// Status and headers.
     pub head: Parts,
     /// The part of the body that is there.
-    pub start: Vec<u8>,
+    pub buffered: Vec<u8>,
     /// The rest.
     pub body: Incoming,
     /// The slot, for requests that take one.
@@ -81,92 +81,92 @@
 #[derive(Debug)]
 pub enum CollectedAnswer {
     /// The answer is whole.
-    Whole(BackendReply),
+    Complete(BackendReply),
     /// It is longer than is kept.
-    Long(Box<BackendAnswer>),
+    TooLong(Box<BackendAnswer>),
     /// It broke off.
-    Cut,
+    Truncated,
 }
 
 /// Limits the warning that the backend server cannot be reached.
-static UNREACHABLE: SharedLimiter = SharedLimiter::new();
+static UNREACHABLE_LIMITER: SharedLimiter = SharedLimiter::new();
 
 /// Limits the warning that the backend server breaks off.
-static BROKEN: SharedLimiter = SharedLimiter::new();
+static INTERRUPTED_LIMITER: SharedLimiter = SharedLimiter::new();
 
 /// Hands a request to the backend server, and returns when its answer begins.
-pub async fn run(
+pub async fn run_call(
     state: &HostState,
     call: &BackendCall,
     slot: Option<SlotGuard>,
     deadline: Option<MonotonicTime>,
     claim: Option<&mut TicketClaim>,
-) -> BackendEnd {
-    let connecting = TcpStream::connect(state.backend);
-    let Ok(Ok(connection)) = tokio::time::timeout(CONNECT_TIMEOUT, connecting).await else {
-        if let Some(held_back) = UNREACHABLE.warn(state.node.clock.now()) {
+) -> BackendResult {
+    let connect = TcpStream::connect(state.backend);
+    let Ok(Ok(stream)) = tokio::time::timeout(CONNECT_TIMEOUT, connect).await else {
+        if let Some(held_back) = UNREACHABLE_LIMITER.warn(state.node.clock.now()) {
             log::warn!(held_back; "proxy: the backend server cannot be reached");
         }
-        return fail(slot);
+        return fail_call(slot);
     };
     let remaining = deadline.map(|deadline| deadline.since(state.node.clock.now()));
     // The wait for the connection may have been long: ask again right here.
-    let refused = match (claim, deadline) {
+    let is_refused = match (claim, deadline) {
         (Some(claim), Some(deadline)) => claim.hand_over(deadline).is_err(),
         _ => remaining.is_some_and(|remaining| remaining.is_zero()),
     };
-    if refused {
-        return BackendEnd::NotRun {
+    if is_refused {
+        return BackendResult::NotRun {
             retry_after: Duration::ZERO,
         };
     }
-    let sending = hop(BACKEND_SPAN, send(connection, call, remaining));
-    let longest = remaining.unwrap_or(Duration::MAX);
-    match tokio::time::timeout(longest, sending).await {
-        Ok(Ok(response)) => judge(response, slot),
-        Ok(Err(SendError::NotSent)) => fail(slot),
-        Ok(Err(SendError::Broken(error))) => {
-            if let Some(held_back) = BROKEN.warn(state.node.clock.now()) {
+    let exchange = hop(BACKEND_SPAN, send_call(stream, call, remaining));
+    let timeout = remaining.unwrap_or(Duration::MAX);
+    match tokio::time::timeout(timeout, exchange).await {
+        Ok(Ok(response)) => read_response(response, slot),
+        Ok(Err(SendError::NotSent)) => fail_call(slot),
+        Ok(Err(SendError::Interrupted(error))) => {
+            if let Some(held_back) = INTERRUPTED_LIMITER.warn(state.node.clock.now()) {
                 log::warn!(error:% = error, held_back; "proxy: the backend server gave no answer");
             }
             if let Some(slot) = slot {
-                slot.end(SlotEnd::Failed);
+                slot.release(SlotEnd::Failed);
             }
-            BackendEnd::MayHaveRun
+            BackendResult::MayHaveRun
         }
         Err(_) => {
             if let Some(slot) = slot {
                 slot.time_out();
             }
-            BackendEnd::TimedOut
+            BackendResult::TimedOut
         }
     }
 }
 
-fn fail(slot: Option<SlotGuard>) -> BackendEnd {
+fn fail_call(slot: Option<SlotGuard>) -> BackendResult {
     if let Some(slot) = slot {
-        slot.end(SlotEnd::Failed);
+        slot.release(SlotEnd::Failed);
     }
-    BackendEnd::NotRun {
-        retry_after: RETRY_AFTER,
+    BackendResult::NotRun {
+        retry_after: RETRY_DELAY,
     }
 }
 
-fn judge(response: Response<Incoming>, slot: Option<SlotGuard>) -> BackendEnd {
+fn read_response(response: Response<Incoming>, slot: Option<SlotGuard>) -> BackendResult {
     let is_shed = response.status() == StatusCode::SERVICE_UNAVAILABLE
         && response.headers().contains_key(SHED_HEADER);
     if is_shed {
         if let Some(slot) = slot {
-            slot.end(SlotEnd::Shed);
+            slot.release(SlotEnd::Shed);
         }
-        return BackendEnd::NotRun {
-            retry_after: RETRY_AFTER,
+        return BackendResult::NotRun {
+            retry_after: RETRY_DELAY,
         };
     }
     let (head, body) = response.into_parts();
-    BackendEnd::Answer(Box::new(BackendAnswer {
+    BackendResult::Answer(Box::new(BackendAnswer {
         head,
-        start: Vec::new(),
+        buffered: Vec::new(),
         body,
         slot,
     }))
@@ -177,16 +177,16 @@
     /// Nothing was sent.
     NotSent,
     /// The request was sent, in part at least.
-    Broken(hyper::Error),
+    Interrupted(hyper::Error),
 }
 
-async fn send(
-    connection: TcpStream,
+async fn send_call(
+    stream: TcpStream,
     call: &BackendCall,
     remaining: Option<Duration>,
 ) -> Result<Response<Incoming>, SendError> {
     let request = build_request(call, remaining).ok_or(SendError::NotSent)?;
-    let (mut sender, driver) = hyper::client::conn::http1::handshake(TokioIo::new(connection))
+    let (mut sender, driver) = hyper::client::conn::http1::handshake(TokioIo::new(stream))
         .await
         .map_err(|_| SendError::NotSent)?;
     tokio::spawn(driver);
@@ -194,7 +194,7 @@
         if error.take_message().is_some() {
             return SendError::NotSent;
         }
-        SendError::Broken(error.into_error())
+        SendError::Interrupted(error.into_error())
     })
 }
 
@@ -218,40 +218,40 @@
 
 impl BackendAnswer {
     /// Returns whether the end of the body can be told from a lost connection.
-    pub fn has_certain_end(&self) -> bool {
+    pub fn has_detectable_end(&self) -> bool {
         self.body.size_hint().exact().is_some()
             || self.head.headers.contains_key(header::TRANSFER_ENCODING)
     }
 
     /// Returns the headers that go to the caller.
     pub fn header_fields(&self) -> Vec<HeaderField> {
-        header_fields(&self.head.headers)
+        forwarded_header_fields(&self.head.headers)
     }
 
     /// Reads the body to its end if it is short enough to be kept.
     pub async fn collect(mut self: Box<Self>) -> CollectedAnswer {
-        if !self.has_certain_end() {
-            return CollectedAnswer::Cut;
+        if !self.has_detectable_end() {
+            return CollectedAnswer::Truncated;
         }
         while let Some(frame) = self.body.frame().await {
             let Ok(frame) = frame else {
-                return CollectedAnswer::Cut;
+                return CollectedAnswer::Truncated;
             };
             if let Ok(data) = frame.into_data() {
-                self.start.extend_from_slice(&data);
+                self.buffered.extend_from_slice(&data);
             }
-            if self.start.len() > MAX_REPLY {
-                return CollectedAnswer::Long(self);
+            if self.buffered.len() > MAX_REPLY_BYTES {
+                return CollectedAnswer::TooLong(self);
             }
         }
         let headers = self.header_fields();
         if let Some(slot) = self.slot {
             slot.complete();
         }
-        CollectedAnswer::Whole(BackendReply {
+        CollectedAnswer::Complete(BackendReply {
             status: self.head.status.as_u16(),
             headers,
-            body: self.start,
+            body: self.buffered,
         })
     }
 }
--- a/crates/hyssopstaird/src/host/ingress.rs
+++ b/crates/hyssopstaird/src/host/ingress.rs
@@ -23,11 +23,11 @@
 use crate::telemetry;
 
 /// Tasks that read the inner socket.
-const READERS: usize = 2;
+const READER_TASKS: usize = 2;
 
 /// Starts the readers.
-pub fn spawn(state: &Arc<HostState>) {
-    for _ in 0..READERS {
+pub fn spawn_readers(state: &Arc<HostState>) {
+    for _ in 0..READER_TASKS {
         tokio::spawn(read_inner(state.clone()));
     }
 }
@@ -40,16 +40,22 @@
             continue;
         };
         match split_kind(&buffer[..length]) {
-            Ok((PacketKind::Forward, rest)) => receive(&state, rest, &mut outgoing).await,
-            Ok((PacketKind::Control, rest)) => gossip::receive(&state.node, rest).await,
-            Ok((PacketKind::Return, _)) | Err(_) => telemetry::count_dropped(DropReason::Malformed),
+            Ok((PacketKind::Forward, payload)) => {
+                receive_packet(&state, payload, &mut outgoing).await
+            }
+            Ok((PacketKind::Control, payload)) => {
+                gossip::receive_packet(&state.node, payload).await
+            }
+            Ok((PacketKind::Return, _)) | Err(_) => {
+                telemetry::count_dropped_packet(DropReason::Malformed)
+            }
         }
     }
 }
 
-async fn receive(state: &Arc<HostState>, rest: &[u8], outgoing: &mut [u8]) {
-    let Ok((header, datagram)) = split_message::<ForwardHeader>(rest) else {
-        telemetry::count_dropped(DropReason::Malformed);
+async fn receive_packet(state: &Arc<HostState>, payload: &[u8], outgoing: &mut [u8]) {
+    let Ok((header, datagram)) = split_message::<ForwardHeader>(payload) else {
+        telemetry::count_dropped_packet(DropReason::Malformed);
         return;
     };
     configuration::record_peer_version(&state.node, header.balancer, header.version);
@@ -58,12 +64,12 @@
     };
     let load = state.load();
     let now = state.node.clock.now();
-    let gate = state.gate.get_or_init(|| HostRouter::new(service));
+    let router = state.router.get_or_init(|| HostRouter::new(service));
     let incarnation = state.node.process_id().incarnation;
-    match gate.receive(incarnation, &header, datagram, &load, now) {
+    match router.receive(incarnation, &header, datagram, &load, now) {
         HostAction::Accept => {
-            state.returns.record(&header, now);
-            state.queue.push(header.caller, datagram.to_vec());
+            state.return_table.record(&header, now);
+            state.packet_queue.push(header.caller, datagram.to_vec());
         }
         HostAction::PassOn { host, mut header } => {
             // The other host may have left a moment ago: it can send the flow
@@ -83,7 +89,7 @@
         HostAction::Reset { connection_id } => {
             send_reset(state, &header, connection_id, datagram.len()).await;
         }
-        HostAction::Drop(reason) => telemetry::count_dropped(reason),
+        HostAction::Drop(reason) => telemetry::count_dropped_packet(reason),
     }
 }
 
@@ -99,7 +105,7 @@
         return;
     };
     COUNTS.resets_sent.increment();
-    let back = ReturnHeader {
+    let return_header = ReturnHeader {
         service: header.service,
         host: state.node.process_id(),
         load: state.load().report(),
@@ -108,7 +114,7 @@
         version: view.version,
         trace: None,
     };
-    if let Ok(packet) = encode_packet(PacketKind::Return, &back, &reset) {
+    if let Ok(packet) = encode_packet(PacketKind::Return, &return_header, &reset) {
         let _ = state.node.socket.send_to(&packet, header.balancer).await;
     }
 }
--- a/crates/hyssopstaird/src/host/mod.rs
+++ b/crates/hyssopstaird/src/host/mod.rs
@@ -40,12 +40,12 @@
 pub async fn start(
     settings: &HostSettings,
     node: Arc<ControlNode>,
-    desk: &PeerResponder,
+    responder: &PeerResponder,
 ) -> Result<HostHandle, Report<DaemonError>> {
     let state = Arc::new(HostState::new(settings, node));
     let endpoint = server::open_endpoint(settings, &state)?;
-    desk.open_host(state.clone());
-    ingress::spawn(&state);
+    responder.set_host_state(state.clone());
+    ingress::spawn_readers(&state);
     tokio::spawn(server::accept_flows(endpoint.clone(), state.clone()));
     Ok(HostHandle::new(endpoint, state))
 }
--- a/crates/hyssopstaird/src/host/proxy.rs
+++ b/crates/hyssopstaird/src/host/proxy.rs
@@ -21,10 +21,10 @@
 use crate::host::answer::HostAnswer;
 use crate::host::backend;
 use crate::host::backend::BackendAnswer;
-use crate::host::backend::BackendEnd;
+use crate::host::backend::BackendResult;
 use crate::host::backend::CollectedAnswer;
 use crate::host::relay;
-use crate::host::relay::RelayEnd;
+use crate::host::relay::RelayResult;
 use crate::host::request;
 use crate::host::request::BodyError;
 use crate::host::request::CallerRequest;
@@ -35,17 +35,17 @@
 use crate::host::tickets::TicketResult;
 
 /// What a caller is answered.
-enum ServedEnd {
+enum ServeResult {
     /// An answer of the backend server, as it comes.
-    Live(Box<BackendAnswer>),
+    Streamed(Box<BackendAnswer>),
     /// A whole answer of a backend server.
     Reply(BackendReply),
     /// An answer of the host.
-    Own(HostAnswer),
+    Host(HostAnswer),
     /// As before, with one fresh ticket at least.
     NeedsTicket,
     /// Nothing: the caller is gone.
-    Nobody,
+    CallerGone,
 }
 
 /// Serves one request of a caller.
@@ -55,10 +55,10 @@
     mut stream: RequestStream<S, Bytes>,
     flow: &quinn::Connection,
 ) {
-    let Some(service) = state.service() else {
+    let Some(service) = state.service_rule() else {
         let answer = HostAnswer::not_run(Duration::from_secs(1));
         AnswerWriter::new(&mut stream, Vec::new())
-            .give(answer)
+            .send_answer(answer)
             .await;
         return;
     };
@@ -67,19 +67,20 @@
         return;
     }
     let now = state.node.clock.now();
-    let patience = request::patience(head.headers(), &service);
-    let reading = request::read_body(head.headers(), &mut stream);
-    let body = match tokio::time::timeout(patience, reading).await {
+    let timeout = request::request_timeout(head.headers(), &service);
+    let read = request::read_body(head.headers(), &mut stream);
+    let body = match tokio::time::timeout(timeout, read).await {
         Ok(Ok(body)) => body,
         Ok(Err(BodyError::Cancelled)) => return,
         Ok(Err(error)) => {
-            refuse_body(&mut stream, error).await;
+            reject_body(&mut stream, error).await;
             return;
         }
         Err(_) => {
-            let answer = HostAnswer::wrong(StatusCode::REQUEST_TIMEOUT, "the request is not whole");
+            let answer =
+                HostAnswer::rejected(StatusCode::REQUEST_TIMEOUT, "the request is not whole");
             AnswerWriter::new(&mut stream, Vec::new())
-                .give(answer)
+                .send_answer(answer)
                 .await;
             return;
         }
@@ -95,23 +96,25 @@
             }
         }
         RequestClass::Once => {
-            let end = serve_once(state, &service, &request, flow).await;
-            give(state, &request, end, &mut stream).await;
+            let result = serve_once(state, &service, &request, flow).await;
+            send_result(state, &request, result, &mut stream).await;
         }
     }
 }
 
-async fn refuse_body<S: BidiStream<Bytes>>(stream: &mut RequestStream<S, Bytes>, error: BodyError) {
+async fn reject_body<S: BidiStream<Bytes>>(stream: &mut RequestStream<S, Bytes>, error: BodyError) {
     let answer = match error {
         BodyError::TooLong => {
-            HostAnswer::wrong(StatusCode::PAYLOAD_TOO_LARGE, "the request is too long")
+            HostAnswer::rejected(StatusCode::PAYLOAD_TOO_LARGE, "the request is too long")
         }
-        BodyError::WrongLength | BodyError::Cancelled => HostAnswer::wrong(
+        BodyError::LengthMismatch | BodyError::Cancelled => HostAnswer::rejected(
             StatusCode::BAD_REQUEST,
             "the request is not as long as it was announced",
         ),
     };
-    AnswerWriter::new(stream, Vec::new()).give(answer).await;
+    AnswerWriter::new(stream, Vec::new())
+        .send_answer(answer)
+        .await;
 }
 
 /// Serves an answer that lasts for hours: it takes no slot and has no deadline.
@@ -123,67 +126,71 @@
 ) {
     if state.is_draining() {
         let answer = HostAnswer::not_run(Duration::ZERO);
-        AnswerWriter::new(stream, Vec::new()).give(answer).await;
+        AnswerWriter::new(stream, Vec::new())
+            .send_answer(answer)
+            .await;
         return;
     }
-    let call = request::backend_call(head, &[]);
-    let serving = async {
-        let end = backend::run(state, &call, None, None, None).await;
+    let call = request::build_backend_call(head, &[]);
+    let serve = async {
+        let result = backend::run_call(state, &call, None, None, None).await;
         let writer = AnswerWriter::new(stream, Vec::new());
-        match end {
-            BackendEnd::Answer(answer) => {
-                writer.give_live(answer).await;
+        match result {
+            BackendResult::Answer(answer) => {
+                writer.stream_answer(answer).await;
             }
-            end => writer.give(own_answer(&end)).await,
+            result => writer.send_answer(to_host_answer(&result)).await,
         }
     };
     tokio::select! {
-        () = serving => {}
+        () = serve => {}
         _ = flow.closed() => {}
     }
 }
 
-async fn give<S: BidiStream<Bytes>>(
+async fn send_result<S: BidiStream<Bytes>>(
     state: &HostState,
     request: &CallerRequest,
-    end: ServedEnd,
+    result: ServeResult,
     stream: &mut RequestStream<S, Bytes>,
 ) {
-    let wanted = wanted_tickets(state, request, &end);
-    let writer = AnswerWriter::new(stream, tickets::issue(state, wanted));
-    match end {
-        ServedEnd::Live(answer) => {
-            writer.give_live(answer).await;
+    let ticket_count = count_tickets(state, request, &result);
+    let writer = AnswerWriter::new(stream, tickets::issue_tickets(state, ticket_count));
+    match result {
+        ServeResult::Streamed(answer) => {
+            writer.stream_answer(answer).await;
         }
-        ServedEnd::Reply(reply) => writer.give_reply(reply).await,
-        ServedEnd::Own(answer) => writer.give(answer).await,
-        ServedEnd::NeedsTicket if wanted == 0 => {
-            writer.give(HostAnswer::not_run(Duration::ZERO)).await;
+        ServeResult::Reply(reply) => writer.send_reply(reply).await,
+        ServeResult::Host(answer) => writer.send_answer(answer).await,
+        ServeResult::NeedsTicket if ticket_count == 0 => {
+            writer
+                .send_answer(HostAnswer::not_run(Duration::ZERO))
+                .await;
         }
-        ServedEnd::NeedsTicket => {
+        ServeResult::NeedsTicket => {
             let status = StatusCode::PRECONDITION_REQUIRED;
             let text = "the request needs the ticket that comes with this answer";
-            writer.give(HostAnswer::wrong(status, text)).await;
+            writer.send_answer(HostAnswer::rejected(status, text)).await;
         }
-        ServedEnd::Nobody => {}
+        ServeResult::CallerGone => {}
     }
 }
 
 /// Returns the number of tickets that go with an answer. A refusal has made the
 /// ticket of its request void, so that the caller needs another.
-fn wanted_tickets(state: &HostState, request: &CallerRequest, end: &ServedEnd) -> usize {
+fn count_tickets(state: &HostState, request: &CallerRequest, result: &ServeResult) -> usize {
     if state.is_draining() {
         return 0;
     }
-    let is_void = match end {
-        ServedEnd::NeedsTicket => true,
-        ServedEnd::Own(answer) => {
+    let needs_new_ticket = match result {
+        ServeResult::NeedsTicket => true,
+        ServeResult::Host(answer) => {
             let is_not_run = matches!(answer.verdict, RequestVerdict::NotRun { .. });
             is_not_run && request.class == RequestClass::Once
         }
-        ServedEnd::Live(_) | ServedEnd::Reply(_) | ServedEnd::Nobody => false,
+        ServeResult::Streamed(_) | ServeResult::Reply(_) | ServeResult::CallerGone => false,
     };
-    request.tickets.max(usize::from(is_void))
+    request.ticket_count.max(usize::from(needs_new_ticket))
 }
 
 async fn serve_idempotent<S: BidiStream<Bytes>>(
@@ -192,178 +199,182 @@
     request: &CallerRequest,
     stream: &mut RequestStream<S, Bytes>,
 ) {
-    let end = match run_here(state, service, request, None).await {
-        BackendEnd::Answer(answer) => {
-            lock(&state.budget).earn();
-            ServedEnd::Live(answer)
+    let result = match run_locally(state, service, request, None).await {
+        BackendResult::Answer(answer) => {
+            lock(&state.retry_budget).earn();
+            ServeResult::Streamed(answer)
         }
-        end => match relay::try_elsewhere(state, service, request, None).await {
-            RelayEnd::Reply(reply) => ServedEnd::Reply(reply),
-            RelayEnd::NotRun | RelayEnd::MayHaveRun => ServedEnd::Own(own_answer(&end)),
+        result => match relay::relay_request(state, service, request, None).await {
+            RelayResult::Reply(reply) => ServeResult::Reply(reply),
+            RelayResult::NotRun | RelayResult::MayHaveRun => {
+                ServeResult::Host(to_host_answer(&result))
+            }
         },
     };
-    let patience = remaining(state, request.deadline);
-    let giving = give(state, request, end, stream);
+    let timeout = remaining_time(state, request.deadline);
+    let send = send_result(state, request, result, stream);
     // An answer that is not whole at the deadline is broken off.
-    let _ = tokio::time::timeout(patience.max(MIN_ANSWER_TIME), giving).await;
+    let _ = tokio::time::timeout(timeout.max(MIN_SEND_TIME), send).await;
 }
 
 /// Time to send an answer that came at the deadline.
-const MIN_ANSWER_TIME: Duration = Duration::from_millis(100);
+const MIN_SEND_TIME: Duration = Duration::from_millis(100);
 
 async fn serve_once(
     state: &Arc<HostState>,
     service: &ServiceRule,
     request: &CallerRequest,
     flow: &quinn::Connection,
-) -> ServedEnd {
-    let mut claim = match tickets::claim(state, request).await {
+) -> ServeResult {
+    let mut claim = match tickets::claim_ticket(state, request).await {
         TicketResult::Claimed(claim) => claim,
-        result => return ticket_answer(result),
+        result => return to_serve_result(result),
     };
-    let waiting = slots::take_slot(state, service, request.class, request.deadline);
+    let acquire = slots::acquire_slot(state, service, request.class, request.deadline);
     // Until the hand-over a flow that ends cancels the request. Afterwards the
     // request runs to its end, and its outcome is kept for the next copy.
     let slot = if state.is_draining() {
         Err(Duration::ZERO)
     } else {
         tokio::select! {
-            slot = waiting => slot,
-            _ = flow.closed() => return ServedEnd::Nobody,
+            slot = acquire => slot,
+            _ = flow.closed() => return ServeResult::CallerGone,
         }
     };
-    let end = match slot {
+    let result = match slot {
         Ok(slot) => {
             let deadline = Some(request.deadline);
-            backend::run(state, &request.call, Some(slot), deadline, Some(&mut claim)).await
+            backend::run_call(state, &request.call, Some(slot), deadline, Some(&mut claim)).await
         }
-        Err(retry_after) => BackendEnd::NotRun { retry_after },
+        Err(retry_after) => BackendResult::NotRun { retry_after },
     };
-    match end {
-        BackendEnd::Answer(answer) => {
-            lock(&state.budget).earn();
-            keep_answer(state, request, claim, answer).await
+    match result {
+        BackendResult::Answer(answer) => {
+            lock(&state.retry_budget).earn();
+            store_answer(state, request, claim, answer).await
         }
-        BackendEnd::NotRun { retry_after } => {
+        BackendResult::NotRun { retry_after } => {
             claim.take_back();
-            once_elsewhere(state, service, request, claim, retry_after).await
+            relay_once(state, service, request, claim, retry_after).await
         }
-        end => {
+        result => {
             claim.finish(RunOutcome::MayHaveRun);
-            ServedEnd::Own(own_answer(&end))
+            ServeResult::Host(to_host_answer(&result))
         }
     }
 }
 
-async fn once_elsewhere(
+async fn relay_once(
     state: &HostState,
     service: &ServiceRule,
     request: &CallerRequest,
     mut claim: TicketClaim,
     retry_after: Duration,
-) -> ServedEnd {
-    match relay::try_elsewhere(state, service, request, Some(&mut claim)).await {
-        RelayEnd::Reply(reply) => {
-            claim.finish(stored(&reply));
-            ServedEnd::Reply(reply)
+) -> ServeResult {
+    match relay::relay_request(state, service, request, Some(&mut claim)).await {
+        RelayResult::Reply(reply) => {
+            claim.finish(stored_outcome(&reply));
+            ServeResult::Reply(reply)
         }
-        RelayEnd::NotRun => {
+        RelayResult::NotRun => {
             claim.finish(RunOutcome::NotRun);
-            ServedEnd::Own(HostAnswer::not_run(retry_after))
+            ServeResult::Host(HostAnswer::not_run(retry_after))
         }
-        RelayEnd::MayHaveRun => {
+        RelayResult::MayHaveRun => {
             claim.finish(RunOutcome::MayHaveRun);
-            ServedEnd::Own(own_answer(&BackendEnd::MayHaveRun))
+            ServeResult::Host(to_host_answer(&BackendResult::MayHaveRun))
         }
     }
 }
 
 /// Reads the answer to its end before the caller sees any of it, so that its
 /// outcome is known even if the caller is gone.
-async fn keep_answer(
+async fn store_answer(
     state: &HostState,
     request: &CallerRequest,
     claim: TicketClaim,
     answer: Box<BackendAnswer>,
-) -> ServedEnd {
-    let patience = remaining(state, request.deadline);
-    match tokio::time::timeout(patience, answer.collect()).await {
-        Ok(CollectedAnswer::Whole(reply)) => {
-            claim.finish(stored(&reply));
-            ServedEnd::Reply(reply)
+) -> ServeResult {
+    let timeout = remaining_time(state, request.deadline);
+    match tokio::time::timeout(timeout, answer.collect()).await {
+        Ok(CollectedAnswer::Complete(reply)) => {
+            claim.finish(stored_outcome(&reply));
+            ServeResult::Reply(reply)
         }
-        Ok(CollectedAnswer::Long(answer)) => {
+        Ok(CollectedAnswer::TooLong(answer)) => {
             claim.finish(RunOutcome::Done(None));
-            ServedEnd::Live(answer)
+            ServeResult::Streamed(answer)
         }
-        Ok(CollectedAnswer::Cut) => {
+        Ok(CollectedAnswer::Truncated) => {
             claim.finish(RunOutcome::MayHaveRun);
-            ServedEnd::Own(own_answer(&BackendEnd::MayHaveRun))
+            ServeResult::Host(to_host_answer(&BackendResult::MayHaveRun))
         }
         Err(_) => {
             claim.finish(RunOutcome::MayHaveRun);
-            ServedEnd::Own(own_answer(&BackendEnd::TimedOut))
+            ServeResult::Host(to_host_answer(&BackendResult::TimedOut))
         }
     }
 }
 
-fn stored(reply: &BackendReply) -> RunOutcome {
+fn stored_outcome(reply: &BackendReply) -> RunOutcome {
     RunOutcome::Done(Some(encode_reply(reply).into()))
 }
 
 /// Runs a request here, if there is a slot in time.
-async fn run_here(
+async fn run_locally(
     state: &Arc<HostState>,
     service: &ServiceRule,
     request: &CallerRequest,
     claim: Option<&mut TicketClaim>,
-) -> BackendEnd {
+) -> BackendResult {
     if state.is_draining() {
-        return BackendEnd::NotRun {
+        return BackendResult::NotRun {
             retry_after: Duration::ZERO,
         };
     }
     let deadline = request.deadline;
-    match slots::take_slot(state, service, request.class, deadline).await {
-        Ok(slot) => backend::run(state, &request.call, Some(slot), Some(deadline), claim).await,
-        Err(retry_after) => BackendEnd::NotRun { retry_after },
+    match slots::acquire_slot(state, service, request.class, deadline).await {
+        Ok(slot) => {
+            backend::run_call(state, &request.call, Some(slot), Some(deadline), claim).await
+        }
+        Err(retry_after) => BackendResult::NotRun { retry_after },
     }
 }
 
-fn remaining(state: &HostState, deadline: MonotonicTime) -> Duration {
+fn remaining_time(state: &HostState, deadline: MonotonicTime) -> Duration {
     deadline.since(state.node.clock.now())
 }
 
-fn ticket_answer(result: TicketResult) -> ServedEnd {
+fn to_serve_result(result: TicketResult) -> ServeResult {
     match result {
-        TicketResult::Reply(reply) => ServedEnd::Reply(reply),
-        TicketResult::NeedsTicket => ServedEnd::NeedsTicket,
-        TicketResult::DoneWithoutReply => ServedEnd::Own(HostAnswer::done_without_reply()),
+        TicketResult::Reply(reply) => ServeResult::Reply(reply),
+        TicketResult::NeedsTicket => ServeResult::NeedsTicket,
+        TicketResult::DoneWithoutReply => ServeResult::Host(HostAnswer::done_without_reply()),
         TicketResult::MayHaveRun | TicketResult::Claimed(_) => {
-            ServedEnd::Own(HostAnswer::may_have_run(
+            ServeResult::Host(HostAnswer::may_have_run(
                 StatusCode::GATEWAY_TIMEOUT,
                 "the host that issued the ticket does not know or does not answer",
             ))
         }
-        TicketResult::StillRunning => ServedEnd::Own(HostAnswer::may_have_run(
+        TicketResult::StillRunning => ServeResult::Host(HostAnswer::may_have_run(
             StatusCode::CONFLICT,
             "another copy of the request is still running",
         )),
-        TicketResult::OtherRequest => ServedEnd::Own(HostAnswer::wrong(
+        TicketResult::OtherRequest => ServeResult::Host(HostAnswer::rejected(
             StatusCode::CONFLICT,
             "the ticket was used for another request",
         )),
     }
 }
 
-fn own_answer(end: &BackendEnd) -> HostAnswer {
-    match end {
-        BackendEnd::NotRun { retry_after } => HostAnswer::not_run(*retry_after),
-        BackendEnd::Answer(_) | BackendEnd::MayHaveRun => HostAnswer::may_have_run(
+fn to_host_answer(result: &BackendResult) -> HostAnswer {
+    match result {
+        BackendResult::NotRun { retry_after } => HostAnswer::not_run(*retry_after),
+        BackendResult::Answer(_) | BackendResult::MayHaveRun => HostAnswer::may_have_run(
             StatusCode::BAD_GATEWAY,
             "the backend server broke off; the request may have run",
         ),
-        BackendEnd::TimedOut => HostAnswer::may_have_run(
+        BackendResult::TimedOut => HostAnswer::may_have_run(
             StatusCode::GATEWAY_TIMEOUT,
             "no answer came in time; the request may have run",
         ),
--- a/crates/hyssopstaird/src/host/relay.rs
+++ b/crates/hyssopstaird/src/host/relay.rs
@@ -25,7 +25,7 @@
 
 use crate::control::node::lock;
 use crate::host::backend;
-use crate::host::backend::BackendEnd;
+use crate::host::backend::BackendResult;
 use crate::host::backend::CollectedAnswer;
 use crate::host::request::CallerRequest;
 use crate::host::slots;
@@ -34,14 +34,14 @@
 use crate::peer::client::PeerError;
 
 /// How long a peer that does not answer is left alone.
-const SILENCE: Duration = Duration::from_secs(2);
+const PEER_RETRY_DELAY: Duration = Duration::from_secs(2);
 
 /// Longest body that is relayed, in bytes.
-const MAX_RELAY_BODY: usize = 256 << 10;
+const MAX_RELAY_BODY_BYTES: usize = 256 << 10;
 
 /// What came of a try at another host.
 #[derive(Debug)]
-pub enum RelayEnd {
+pub enum RelayResult {
     /// The request ran, with this answer.
     Reply(BackendReply),
     /// It did not run.
@@ -52,55 +52,55 @@
 
 /// Tries a request that did not run here at one other host, if the budget of
 /// the service allows it.
-pub async fn try_elsewhere(
+pub async fn relay_request(
     state: &HostState,
     service: &ServiceRule,
     request: &CallerRequest,
     mut claim: Option<&mut TicketClaim>,
-) -> RelayEnd {
-    let Some(peer) = choose(state, service, request) else {
-        return RelayEnd::NotRun;
+) -> RelayResult {
+    let Some(peer) = choose_peer(state, service, request) else {
+        return RelayResult::NotRun;
     };
     if let Some(claim) = claim.as_deref_mut()
         && claim.hand_over(request.deadline).is_err()
     {
-        return RelayEnd::NotRun;
+        return RelayResult::NotRun;
     }
     COUNTS.requests_relayed.increment();
-    let answer = hop(PEER_SPAN, ask_peer(state, service, request, peer)).await;
-    let end = read_answer(state, peer, answer);
-    if let (RelayEnd::NotRun, Some(claim)) = (&end, claim) {
+    let answer = hop(PEER_SPAN, send_relay(state, service, request, peer)).await;
+    let result = read_relay_answer(state, peer, answer);
+    if let (RelayResult::NotRun, Some(claim)) = (&result, claim) {
         claim.take_back();
     }
-    end
+    result
 }
 
-async fn ask_peer(
+async fn send_relay(
     state: &HostState,
     service: &ServiceRule,
     request: &CallerRequest,
     peer: ProcessId,
 ) -> Result<PeerAnswer, PeerError> {
-    let patience = request.deadline.since(state.node.clock.now());
+    let timeout = request.deadline.since(state.node.clock.now());
     let mut call = request.call.clone();
-    name_trace(&mut call);
-    let relay = PeerRequest::Relay(Box::new(RelayRequest {
+    set_trace_header(&mut call);
+    let peer_request = PeerRequest::Relay(Box::new(RelayRequest {
         sender: state.node.process_id(),
         target: peer,
-        number: state.relay_number.fetch_add(1, Ordering::Relaxed) + 1,
+        number: state.last_relay_number.fetch_add(1, Ordering::Relaxed) + 1,
         service: service.id,
         is_idempotent: request.class == RequestClass::Idempotent,
-        remaining_millis: patience.as_millis() as u32,
+        remaining_millis: timeout.as_millis() as u32,
         call,
     }));
     state
-        .peers
-        .send_request(peer.address, &relay, patience)
+        .peer_pool
+        .send_request(peer.address, &peer_request, timeout)
         .await
 }
 
 /// Puts the present span into a call that another host makes.
-fn name_trace(call: &mut BackendCall) {
+fn set_trace_header(call: &mut BackendCall) {
     if let Some(value) = trace_header() {
         call.headers.retain(|field| field.name != TRACE_HEADER);
         call.headers.push(HeaderField {
@@ -111,7 +111,7 @@
 }
 
 /// Returns the span that a call of another host belongs to.
-fn named_trace(call: &BackendCall) -> Option<&str> {
+fn find_trace_header(call: &BackendCall) -> Option<&str> {
     let field = call
         .headers
         .iter()
@@ -119,9 +119,13 @@
     std::str::from_utf8(&field.value).ok()
 }
 
-fn choose(state: &HostState, service: &ServiceRule, request: &CallerRequest) -> Option<ProcessId> {
+fn choose_peer(
+    state: &HostState,
+    service: &ServiceRule,
+    request: &CallerRequest,
+) -> Option<ProcessId> {
     let now = state.node.clock.now();
-    if request.call.body.len() > MAX_RELAY_BODY || request.deadline <= now {
+    if request.call.body.len() > MAX_RELAY_BODY_BYTES || request.deadline <= now {
         return None;
     }
     let view = state.node.view();
@@ -135,69 +139,70 @@
     let mut loads = lock(&state.peer_loads);
     loads.keep_only(&peers);
     let peer = loads.choose(&peers, now)?;
-    lock(&state.budget).try_spend().then_some(peer)
+    lock(&state.retry_budget).try_spend().then_some(peer)
 }
 
-fn read_answer(
+fn read_relay_answer(
     state: &HostState,
     peer: ProcessId,
     answer: Result<PeerAnswer, PeerError>,
-) -> RelayEnd {
+) -> RelayResult {
     let now = state.node.clock.now();
     let mut loads = lock(&state.peer_loads);
     let answer = match answer {
         Ok(PeerAnswer::Relayed(answer)) => answer,
         Ok(PeerAnswer::Refused) | Err(PeerError::NotSent) => {
-            loads.avoid(peer, SILENCE, now);
-            return RelayEnd::NotRun;
+            loads.avoid(peer, PEER_RETRY_DELAY, now);
+            return RelayResult::NotRun;
         }
         Ok(_) | Err(PeerError::NoAnswer) => {
-            loads.avoid(peer, SILENCE, now);
-            return RelayEnd::MayHaveRun;
+            loads.avoid(peer, PEER_RETRY_DELAY, now);
+            return RelayResult::MayHaveRun;
         }
     };
     loads.hear(peer, answer.load_percent, now);
     match answer.outcome {
-        RelayOutcome::Done(reply) => RelayEnd::Reply(reply),
+        RelayOutcome::Done(reply) => RelayResult::Reply(reply),
         RelayOutcome::NotRun { retry_after_millis } => {
             let pause = Duration::from_millis(u64::from(retry_after_millis));
             loads.avoid(peer, pause, now);
-            RelayEnd::NotRun
+            RelayResult::NotRun
         }
-        RelayOutcome::MayHaveRun => RelayEnd::MayHaveRun,
+        RelayOutcome::MayHaveRun => RelayResult::MayHaveRun,
     }
 }
 
 /// Runs a request that another host has handed over, or refuses it at once.
-pub async fn answer(state: &Arc<HostState>, request: RelayRequest) -> RelayAnswer {
-    let Some(service) = state.service() else {
+pub async fn answer_relay_request(state: &Arc<HostState>, request: RelayRequest) -> RelayAnswer {
+    let Some(service) = state.service_rule() else {
         return RelayAnswer {
-            outcome: not_run(Duration::ZERO),
+            outcome: not_run_outcome(Duration::ZERO),
             load_percent: u16::MAX,
         };
     };
-    let running = run(state, &service, &request);
-    let outcome = serve_relayed(named_trace(&request.call), running).await;
+    let running = run_relayed(state, &service, &request);
+    let outcome = serve_relayed(find_trace_header(&request.call), running).await;
     RelayAnswer {
         outcome,
         load_percent: slots::load_percent(state, &service),
     }
 }
 
-async fn run(
+async fn run_relayed(
     state: &Arc<HostState>,
     service: &ServiceRule,
     request: &RelayRequest,
 ) -> RelayOutcome {
     let now = state.node.clock.now();
-    let seen = lock(&state.relays).receive(request.sender, request.target, request.number, now);
-    match seen {
+    let decision =
+        lock(&state.relay_log).receive(request.sender, request.target, request.number, now);
+    match decision {
         RelayDecision::Fresh => {}
         RelayDecision::Repeated => return RelayOutcome::MayHaveRun,
-        RelayDecision::Refused => return not_run(SILENCE),
+        RelayDecision::Refused => return not_run_outcome(PEER_RETRY_DELAY),
     }
     if request.service != service.id || state.is_draining() {
-        return not_run(SILENCE);
+        return not_run_outcome(PEER_RETRY_DELAY);
     }
     let class = if request.is_idempotent {
         RequestClass::Idempotent
@@ -205,21 +210,21 @@
         RequestClass::Once
     };
     let deadline = now + Duration::from_millis(u64::from(request.remaining_millis));
-    let slot = match slots::take_free_slot(state, service, class, deadline) {
+    let slot = match slots::try_acquire_slot(state, service, class, deadline) {
         Ok(slot) => slot,
-        Err(retry_after) => return not_run(retry_after),
+        Err(retry_after) => return not_run_outcome(retry_after),
     };
-    match backend::run(state, &request.call, Some(slot), Some(deadline), None).await {
-        BackendEnd::Answer(answer) => match answer.collect().await {
-            CollectedAnswer::Whole(reply) => RelayOutcome::Done(reply),
-            CollectedAnswer::Long(_) | CollectedAnswer::Cut => RelayOutcome::MayHaveRun,
+    match backend::run_call(state, &request.call, Some(slot), Some(deadline), None).await {
+        BackendResult::Answer(answer) => match answer.collect().await {
+            CollectedAnswer::Complete(reply) => RelayOutcome::Done(reply),
+            CollectedAnswer::TooLong(_) | CollectedAnswer::Truncated => RelayOutcome::MayHaveRun,
         },
-        BackendEnd::NotRun { retry_after } => not_run(retry_after),
-        BackendEnd::MayHaveRun | BackendEnd::TimedOut => RelayOutcome::MayHaveRun,
+        BackendResult::NotRun { retry_after } => not_run_outcome(retry_after),
+        BackendResult::MayHaveRun | BackendResult::TimedOut => RelayOutcome::MayHaveRun,
     }
 }
 
-fn not_run(retry_after: Duration) -> RelayOutcome {
+fn not_run_outcome(retry_after: Duration) -> RelayOutcome {
     RelayOutcome::NotRun {
         retry_after_millis: retry_after.as_millis() as u32,
     }
--- a/crates/hyssopstaird/src/host/request.rs
+++ b/crates/hyssopstaird/src/host/request.rs
@@ -16,7 +16,7 @@
 use hyssopstair_wire::time::MonotonicTime;
 
 /// Request header that carries a ticket.
-pub const KEY_HEADER: &str = "idempotency-key";
+pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 
 /// Request header that gives the time that the caller waits, in milliseconds;
 /// backend servers are given the time that is left in it.
@@ -32,7 +32,7 @@
 const MAX_TICKETS: usize = 32;
 
 /// Longest request body in bytes.
-const MAX_BODY: usize = 1 << 20;
+const MAX_BODY_BYTES: usize = 1 << 20;
 
 /// A whole request of a caller.
 #[derive(Debug)]
@@ -46,7 +46,7 @@
     /// When the caller stops waiting.
     pub deadline: MonotonicTime,
     /// Tickets that the caller wants with the answer.
-    pub tickets: usize,
+    pub ticket_count: usize,
 }
 
 /// Why the body of a request is not there.
@@ -57,7 +57,7 @@
     /// The body is longer than a host takes.
     TooLong,
     /// The body is not as long as the caller announced.
-    WrongLength,
+    LengthMismatch,
 }
 
 impl CallerRequest {
@@ -71,35 +71,36 @@
         };
         let headers = head.headers();
         Self {
-            call: backend_call(head, body),
-            key: text(headers, KEY_HEADER).to_owned(),
+            call: build_backend_call(head, body),
+            key: header_text(headers, IDEMPOTENCY_KEY_HEADER).to_owned(),
             class,
-            deadline: now + patience(headers, service),
-            tickets: wanted_tickets(headers),
+            deadline: now + request_timeout(headers, service),
+            ticket_count: requested_ticket_count(headers),
         }
     }
 }
 
 /// Returns how long the caller of a request waits at most.
-pub fn patience(headers: &HeaderMap, service: &ServiceRule) -> Duration {
-    let longest = Duration::from_millis(u64::from(service.deadline_millis));
-    let own = text(headers, DEADLINE_HEADER)
+pub fn request_timeout(headers: &HeaderMap, service: &ServiceRule) -> Duration {
+    let max_timeout = Duration::from_millis(u64::from(service.deadline_millis));
+    let own_timeout = header_text(headers, DEADLINE_HEADER)
         .parse()
         .ok()
         .map(Duration::from_millis);
-    let grpc = parse_grpc_timeout(text(headers, GRPC_TIMEOUT_HEADER));
-    own.or(grpc)
-        .map_or(longest, |patience| patience.min(longest))
+    let grpc_timeout = parse_grpc_timeout(header_text(headers, GRPC_TIMEOUT_HEADER));
+    own_timeout
+        .or(grpc_timeout)
+        .map_or(max_timeout, |timeout| timeout.min(max_timeout))
 }
 
 /// Returns the number of tickets that a caller wants with the answer.
-pub fn wanted_tickets(headers: &HeaderMap) -> usize {
-    let wanted = text(headers, TICKETS_HEADER).parse().unwrap_or(0);
-    MAX_TICKETS.min(wanted)
+pub fn requested_ticket_count(headers: &HeaderMap) -> usize {
+    let requested = header_text(headers, TICKETS_HEADER).parse().unwrap_or(0);
+    MAX_TICKETS.min(requested)
 }
 
 /// Returns what the backend server is asked for a request.
-pub fn backend_call(head: &Request<()>, body: &[u8]) -> BackendCall {
+pub fn build_backend_call(head: &Request<()>, body: &[u8]) -> BackendCall {
     let path = head
         .uri()
         .path_and_query()
@@ -108,16 +109,16 @@
         method: head.method().to_string(),
         path: path.to_owned(),
         authority: head.uri().host().unwrap_or("backend").to_owned(),
-        headers: header_fields(head.headers()),
+        headers: forwarded_header_fields(head.headers()),
         body: body.to_vec(),
     }
 }
 
 /// Copies headers that concern more than one connection.
-pub fn header_fields(headers: &HeaderMap) -> Vec<HeaderField> {
+pub fn forwarded_header_fields(headers: &HeaderMap) -> Vec<HeaderField> {
     headers
         .iter()
-        .filter(|(name, _)| !is_dropped(name.as_str()))
+        .filter(|(name, _)| !is_hop_by_hop(name.as_str()))
         .map(|(name, value)| HeaderField {
             name: name.as_str().to_owned(),
             value: value.as_bytes().to_vec(),
@@ -125,7 +126,7 @@
         .collect()
 }
 
-fn is_dropped(name: &str) -> bool {
+fn is_hop_by_hop(name: &str) -> bool {
     let names = [
         header::CONNECTION.as_str(),
         header::HOST.as_str(),
@@ -151,21 +152,21 @@
 ) -> Result<Vec<u8>, BodyError> {
     let mut body = Vec::new();
     while let Some(mut chunk) = stream.recv_data().await.map_err(|_| BodyError::Cancelled)? {
-        if body.len() + chunk.remaining() > MAX_BODY {
+        if body.len() + chunk.remaining() > MAX_BODY_BYTES {
             return Err(BodyError::TooLong);
         }
         body.extend_from_slice(&chunk.copy_to_bytes(chunk.remaining()));
     }
-    let announced = headers.get(header::CONTENT_LENGTH);
-    let is_right =
-        announced.is_none_or(|value| value.as_bytes() == body.len().to_string().as_bytes());
-    if !is_right {
-        return Err(BodyError::WrongLength);
+    let content_length = headers.get(header::CONTENT_LENGTH);
+    let has_expected_length =
+        content_length.is_none_or(|value| value.as_bytes() == body.len().to_string().as_bytes());
+    if !has_expected_length {
+        return Err(BodyError::LengthMismatch);
     }
     Ok(body)
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> &'a str {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> &'a str {
     headers
         .get(name)
         .and_then(|value| value.to_str().ok())
--- a/crates/hyssopstaird/src/host/server.rs
+++ b/crates/hyssopstaird/src/host/server.rs
@@ -35,18 +35,18 @@
 const IDLE_TIMEOUT_MILLIS: u32 = 30_000;
 
 /// Time between two heartbeats of a flow.
-const KEEP_ALIVE: Duration = Duration::from_secs(5);
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Requests of one flow that run at once.
-const MAX_STREAMS: u32 = 256;
+const MAX_STREAMS_PER_FLOW: u32 = 256;
 
 /// Time for which an unused flow stays open after its caller was told to go
 /// elsewhere: requests that were sent before the caller heard of it arrive, and
 /// are refused as not run, in place of being lost with the connection.
-const LEAVE_GRACE: Duration = Duration::from_secs(5);
+const GOAWAY_GRACE: Duration = Duration::from_secs(5);
 
 /// Time between two looks at what a leaving host still waits for.
-const DRAIN_LOOK: Duration = Duration::from_millis(500);
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// A host at work.
 #[derive(Debug)]
@@ -65,13 +65,13 @@
     pub async fn drain(&self) {
         self.state.start_draining();
         loop {
-            let flows = self.state.flows();
-            let requests = lock(&self.state.tickets).unfinished();
+            let flows = self.state.flow_count();
+            let requests = lock(&self.state.ledger).unfinished();
             if flows == 0 && requests == 0 {
                 break;
             }
             log::info!(flows, requests; "host: leaving, waiting for flows and requests");
-            tokio::time::sleep(DRAIN_LOOK).await;
+            tokio::time::sleep(DRAIN_CHECK_INTERVAL).await;
         }
         self.endpoint.wait_idle().await;
     }
@@ -135,8 +135,8 @@
     config.max_idle_timeout(Some(IdleTimeout::from(VarInt::from_u32(
         IDLE_TIMEOUT_MILLIS,
     ))));
-    config.keep_alive_interval(Some(KEEP_ALIVE));
-    config.max_concurrent_bidi_streams(VarInt::from_u32(MAX_STREAMS));
+    config.keep_alive_interval(Some(KEEP_ALIVE_INTERVAL));
+    config.max_concurrent_bidi_streams(VarInt::from_u32(MAX_STREAMS_PER_FLOW));
     // The inner header takes space in front of each datagram.
     config.mtu_discovery_config(None);
     config
@@ -152,12 +152,12 @@
                 state.end_handshake(&first_connection);
                 return;
             };
-            state.open_flow();
+            state.add_flow();
             state.end_handshake(&first_connection);
             COUNTS.flows_opened.increment();
             let _open = COUNTS.flows_open.enter();
             serve_flow(connection, &state).await;
-            state.close_flow();
+            state.remove_flow();
         });
     }
 }
@@ -169,9 +169,9 @@
     let Ok(mut server) = server else {
         return;
     };
-    let tasks = TaskCount::default();
-    let mut look = tokio::time::interval(DRAIN_LOOK);
-    let mut told: Option<MonotonicTime> = None;
+    let counter = TaskCounter::default();
+    let mut drain_check = tokio::time::interval(DRAIN_CHECK_INTERVAL);
+    let mut goaway_sent_at: Option<MonotonicTime> = None;
     loop {
         tokio::select! {
             accepted = server.accept() => {
@@ -180,7 +180,7 @@
                 };
                 let state = state.clone();
                 let connection = connection.clone();
-                let task = tasks.start();
+                let task = counter.start_task();
                 tokio::spawn(async move {
                     if let Ok((request, stream)) = resolver.resolve_request().await {
                         let scope = RequestScope::begin(&request);
@@ -193,13 +193,13 @@
                     drop(task);
                 });
             }
-            _ = look.tick() => {
+            _ = drain_check.tick() => {
                 let now = state.node.clock.now();
-                match told {
-                    Some(told) if tasks.is_zero() && now.since(told) >= LEAVE_GRACE => return,
+                match goaway_sent_at {
+                    Some(goaway_sent_at) if counter.is_idle() && now.since(goaway_sent_at) >= GOAWAY_GRACE => return,
                     Some(_) => {}
                     None if state.is_draining() => {
-                        told = Some(now);
+                        goaway_sent_at = Some(now);
                         if server.shutdown(0).await.is_err() {
                             return;
                         }
@@ -213,16 +213,16 @@
 
 /// Counts the requests of one flow that are served.
 #[derive(Debug, Default)]
-struct TaskCount {
+struct TaskCounter {
     shared: Arc<()>,
 }
 
-impl TaskCount {
-    fn start(&self) -> Arc<()> {
+impl TaskCounter {
+    fn start_task(&self) -> Arc<()> {
         self.shared.clone()
     }
 
-    fn is_zero(&self) -> bool {
+    fn is_idle(&self) -> bool {
         Arc::strong_count(&self.shared) == 1
     }
 }
--- a/crates/hyssopstaird/src/host/settle.rs
+++ b/crates/hyssopstaird/src/host/settle.rs
@@ -26,7 +26,7 @@
     ticket: &RequestTicket,
     text: &str,
     fingerprint: RequestFingerprint,
-    patience: Duration,
+    remaining: Duration,
 ) -> TicketResult {
     // An issuer that the roster takes for gone may have been paused: it is asked
     // all the same, and answers for its own incarnation only.
@@ -34,13 +34,13 @@
         ticket: text.to_owned(),
         fingerprint: fingerprint.0,
     });
-    let timeout = SETTLE_TIMEOUT.min(patience);
+    let timeout = SETTLE_TIMEOUT.min(remaining);
     let answer = state
-        .peers
+        .peer_pool
         .send_request(ticket.issuer.address, &request, timeout)
         .await;
     match answer {
-        Ok(PeerAnswer::Settled(answer)) => result(answer),
+        Ok(PeerAnswer::Settled(answer)) => to_ticket_result(answer),
         Ok(_) | Err(_) => {
             log::warn!("proxy: {} did not settle a ticket", ticket.issuer);
             TicketResult::MayHaveRun
@@ -48,7 +48,7 @@
     }
 }
 
-fn result(answer: SettleAnswer) -> TicketResult {
+fn to_ticket_result(answer: SettleAnswer) -> TicketResult {
     match answer {
         SettleAnswer::Done(reply) => match reply.and_then(|bytes| decode_reply(&bytes)) {
             Some(reply) => TicketResult::Reply(reply),
@@ -62,13 +62,13 @@
 }
 
 /// Tells another host what became of a ticket of this one.
-pub fn answer(state: &Arc<HostState>, request: &SettleRequest) -> SettleAnswer {
+pub fn answer_settle_request(state: &Arc<HostState>, request: &SettleRequest) -> SettleAnswer {
     let Ok(ticket) = state.ticket_key.open(&request.ticket) else {
         return SettleAnswer::MayHaveRun;
     };
     let fingerprint = RequestFingerprint(request.fingerprint);
     let now = state.node.clock.now();
-    let decision = lock(&state.tickets).settle(&ticket, fingerprint, now);
+    let decision = lock(&state.ledger).settle(&ticket, fingerprint, now);
     match decision {
         SettleDecision::Done(reply) => SettleAnswer::Done(reply.map(|bytes| bytes.to_vec())),
         SettleDecision::Running => SettleAnswer::Running,
--- a/crates/hyssopstaird/src/host/slots.rs
+++ b/crates/hyssopstaird/src/host/slots.rs
@@ -22,7 +22,7 @@
 use crate::host::state::HostState;
 
 /// Shortest time between two looks at the queue.
-const MIN_SLEEP: Duration = Duration::from_millis(1);
+const MIN_WAIT: Duration = Duration::from_millis(1);
 
 /// A request that waits, and where it hears what became of it.
 #[derive(Debug)]
@@ -33,40 +33,45 @@
 
 /// The slots of a host and the channels of the requests that wait.
 #[derive(Debug, Default)]
-pub struct SlotDesk {
+pub struct SlotScheduler {
     admission: AdmissionState,
     /// Sorted by key.
     waiters: Vec<SlotWaiter>,
-    next_key: u64,
+    last_key: u64,
 }
 
-impl SlotDesk {
+impl SlotScheduler {
     /// Returns the slots and the queue.
     pub fn admission(&mut self) -> &mut AdmissionState {
         &mut self.admission
     }
 
-    fn next_key(&mut self) -> RequestKey {
-        self.next_key += 1;
-        RequestKey(self.next_key)
+    fn allocate_key(&mut self) -> RequestKey {
+        self.last_key += 1;
+        RequestKey(self.last_key)
     }
 
     /// Tells waiting requests what became of them.
-    fn dispatch(&mut self, changes: &[SlotChange], rules: &AdmissionRules, now: MonotonicTime) {
+    fn send_decisions(
+        &mut self,
+        changes: &[SlotChange],
+        rules: &AdmissionRules,
+        now: MonotonicTime,
+    ) {
         for change in changes {
-            let sent = self
-                .take_waiter(change.key)
+            let is_sent = self
+                .remove_waiter(change.key)
                 .is_some_and(|sender| sender.send(change.decision).is_ok());
-            if !sent && change.decision == SlotDecision::Run {
-                let more = self.admission.release(SlotEnd::Unused, rules, now);
-                self.dispatch(&more, rules, now);
+            if !is_sent && change.decision == SlotDecision::Run {
+                let follow_up_changes = self.admission.release(SlotEnd::Unused, rules, now);
+                self.send_decisions(&follow_up_changes, rules, now);
             }
         }
     }
 
-    fn take_waiter(&mut self, key: RequestKey) -> Option<Sender<SlotDecision>> {
-        let found = self.waiters.binary_search_by_key(&key, |waiter| waiter.key);
-        Some(self.waiters.remove(found.ok()?).sender)
+    fn remove_waiter(&mut self, key: RequestKey) -> Option<Sender<SlotDecision>> {
+        let position = self.waiters.binary_search_by_key(&key, |waiter| waiter.key);
+        Some(self.waiters.remove(position.ok()?).sender)
     }
 }
 
@@ -83,8 +88,8 @@
 pub struct SlotGuard {
     state: Arc<HostState>,
     rules: AdmissionRules,
-    start: MonotonicTime,
-    ended: bool,
+    acquired_at: MonotonicTime,
+    is_released: bool,
 }
 
 impl SlotGuard {
@@ -92,45 +97,45 @@
         Self {
             state: state.clone(),
             rules: *rules,
-            start: state.node.clock.now(),
-            ended: false,
+            acquired_at: state.node.clock.now(),
+            is_released: false,
         }
     }
 
     /// Gives the slot back after a whole answer.
     pub fn complete(self) {
         let time = self.elapsed();
-        self.end(SlotEnd::Completed(time));
+        self.release(SlotEnd::Completed(time));
     }
 
     /// Gives the slot back after the deadline passed without an answer.
     pub fn time_out(self) {
         let time = self.elapsed();
-        self.end(SlotEnd::TimedOut(time));
+        self.release(SlotEnd::TimedOut(time));
     }
 
     /// Gives the slot back.
-    pub fn end(mut self, end: SlotEnd) {
-        self.ended = true;
-        self.release(end);
+    pub fn release(mut self, end: SlotEnd) {
+        self.is_released = true;
+        self.release_slot(end);
     }
 
     fn elapsed(&self) -> Duration {
-        self.state.node.clock.now().since(self.start)
+        self.state.node.clock.now().since(self.acquired_at)
     }
 
-    fn release(&self, end: SlotEnd) {
+    fn release_slot(&self, end: SlotEnd) {
         let now = self.state.node.clock.now();
-        let mut desk = lock(&self.state.slots);
-        let changes = desk.admission.release(end, &self.rules, now);
-        desk.dispatch(&changes, &self.rules, now);
+        let mut scheduler = lock(&self.state.scheduler);
+        let changes = scheduler.admission.release(end, &self.rules, now);
+        scheduler.send_decisions(&changes, &self.rules, now);
     }
 }
 
 impl Drop for SlotGuard {
     fn drop(&mut self) {
-        if !self.ended {
-            self.release(SlotEnd::Unused);
+        if !self.is_released {
+            self.release_slot(SlotEnd::Unused);
         }
     }
 }
@@ -145,14 +150,16 @@
 
 impl Drop for WaitGuard<'_> {
     fn drop(&mut self) {
-        let mut desk = lock(&self.state.slots);
-        desk.take_waiter(self.key);
-        desk.admission.cancel(self.key);
+        let mut scheduler = lock(&self.state.scheduler);
+        scheduler.remove_waiter(self.key);
+        scheduler.admission.cancel(self.key);
         // Decisions are sent under the lock, so that none can come after this.
         if self.receiver.try_recv() == Ok(SlotDecision::Run) {
             let now = self.state.node.clock.now();
-            let changes = desk.admission.release(SlotEnd::Unused, self.rules, now);
-            desk.dispatch(&changes, self.rules, now);
+            let changes = scheduler
+                .admission
+                .release(SlotEnd::Unused, self.rules, now);
+            scheduler.send_decisions(&changes, self.rules, now);
         }
     }
 }
@@ -162,41 +169,43 @@
 /// # Errors
 ///
 /// Returns the time after which the caller may ask again.
-pub async fn take_slot(
+pub async fn acquire_slot(
     state: &Arc<HostState>,
     service: &ServiceRule,
     class: RequestClass,
     deadline: MonotonicTime,
 ) -> Result<SlotGuard, Duration> {
     let rules = admission_rules(service);
-    let (decision, mut wait) = {
-        let mut desk = lock(&state.slots);
+    let (decision, mut guard) = {
+        let mut scheduler = lock(&state.scheduler);
         let now = state.node.clock.now();
         let request = SlotRequest {
-            key: desk.next_key(),
+            key: scheduler.allocate_key(),
             class,
             deadline,
         };
         let mut changes = Vec::new();
-        let decision = desk.admission.arrive(request, &rules, now, &mut changes);
-        desk.dispatch(&changes, &rules, now);
+        let decision = scheduler
+            .admission
+            .arrive(request, &rules, now, &mut changes);
+        scheduler.send_decisions(&changes, &rules, now);
         let (sender, receiver) = oneshot::channel();
         if decision == SlotDecision::Wait {
-            desk.waiters.push(SlotWaiter {
+            scheduler.waiters.push(SlotWaiter {
                 key: request.key,
                 sender,
             });
         }
-        let wait = WaitGuard {
+        let guard = WaitGuard {
             state,
             rules: &rules,
             key: request.key,
             receiver,
         };
-        (decision, wait)
+        (decision, guard)
     };
     let decision = match decision {
-        SlotDecision::Wait => wait_for_admission(wait_for_slot(&mut wait)).await,
+        SlotDecision::Wait => wait_for_admission(wait_for_decision(&mut guard)).await,
         decision => decision,
     };
     match decision {
@@ -206,17 +215,17 @@
     }
 }
 
-async fn wait_for_slot(wait: &mut WaitGuard<'_>) -> SlotDecision {
+async fn wait_for_decision(guard: &mut WaitGuard<'_>) -> SlotDecision {
     loop {
-        let now = wait.state.node.clock.now();
-        let next = {
-            let mut desk = lock(&wait.state.slots);
-            let changes = desk.admission.advance(wait.rules, now);
-            desk.dispatch(&changes, wait.rules, now);
-            desk.admission.next_advance(now).unwrap_or(now)
+        let now = guard.state.node.clock.now();
+        let next_advance_at = {
+            let mut scheduler = lock(&guard.state.scheduler);
+            let changes = scheduler.admission.advance(guard.rules, now);
+            scheduler.send_decisions(&changes, guard.rules, now);
+            scheduler.admission.next_advance(now).unwrap_or(now)
         };
-        let sleep = next.since(now).max(MIN_SLEEP);
-        if let Ok(decision) = tokio::time::timeout(sleep, &mut wait.receiver).await {
+        let timeout = next_advance_at.since(now).max(MIN_WAIT);
+        if let Ok(decision) = tokio::time::timeout(timeout, &mut guard.receiver).await {
             return decision.unwrap_or(SlotDecision::Wait);
         }
     }
@@ -227,23 +236,23 @@
 /// # Errors
 ///
 /// Returns the time after which the other host may ask again.
-pub fn take_free_slot(
+pub fn try_acquire_slot(
     state: &Arc<HostState>,
     service: &ServiceRule,
     class: RequestClass,
     deadline: MonotonicTime,
 ) -> Result<SlotGuard, Duration> {
     let rules = admission_rules(service);
-    let mut desk = lock(&state.slots);
+    let mut scheduler = lock(&state.scheduler);
     let now = state.node.clock.now();
     let request = SlotRequest {
-        key: desk.next_key(),
+        key: scheduler.allocate_key(),
         class,
         deadline,
     };
-    match desk.admission.arrive_relayed(request, &rules, now) {
+    match scheduler.admission.arrive_relayed(request, &rules, now) {
         SlotDecision::Run => {
-            drop(desk);
+            drop(scheduler);
             Ok(SlotGuard::new(state, &rules))
         }
         SlotDecision::Refuse { retry_after } => Err(retry_after),
@@ -254,7 +263,7 @@
 /// Returns the load of a host, in percent of what can run at once.
 pub fn load_percent(state: &HostState, service: &ServiceRule) -> u16 {
     let now = state.node.clock.now();
-    lock(&state.slots)
+    lock(&state.scheduler)
         .admission
         .load_percent(&admission_rules(service), now)
 }
--- a/crates/hyssopstaird/src/host/socket.rs
+++ b/crates/hyssopstaird/src/host/socket.rs
@@ -32,7 +32,7 @@
 
 /// Datagrams that wait for QUIC at most; later ones are dropped, as by a
 /// kernel whose buffer is full.
-const MAX_QUEUED: usize = 8_192;
+const MAX_QUEUED_DATAGRAMS: usize = 8_192;
 
 /// Datagrams on their way to QUIC.
 #[derive(Debug, Default)]
@@ -50,7 +50,7 @@
     /// Adds a datagram of a caller.
     pub fn push(&self, caller: SocketAddrV4, datagram: Vec<u8>) {
         let mut state = lock(&self.inner);
-        if state.packets.len() >= MAX_QUEUED {
+        if state.packets.len() >= MAX_QUEUED_DATAGRAMS {
             return;
         }
         state.packets.push_back((caller, datagram));
@@ -99,7 +99,7 @@
             return Ok(());
         };
         let now = self.state.node.clock.now();
-        let Some(route) = self.state.returns.find_route(caller, now) else {
+        let Some(route) = self.state.return_table.find_route(caller, now) else {
             return Ok(());
         };
         let Some(service) = self.state.service_id() else {
@@ -115,8 +115,8 @@
             trace: CALLERS.find(caller, now),
         };
         let mut buffer = [0; MAX_PACKET_LENGTH];
-        let written = write_packet(&mut buffer, PacketKind::Return, &header, transmit.contents);
-        let Ok(length) = written else {
+        let result = write_packet(&mut buffer, PacketKind::Return, &header, transmit.contents);
+        let Ok(length) = result else {
             return Ok(());
         };
         let target = SocketAddr::V4(route.balancer);
@@ -127,7 +127,7 @@
             .try_send_to(&buffer[..length], target)
         {
             Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => {
-                self.state.returns.remove_balancer(route.balancer);
+                self.state.return_table.remove_balancer(route.balancer);
                 Ok(())
             }
             // A full buffer loses the datagram, as a network would.
@@ -141,7 +141,7 @@
         buffers: &mut [IoSliceMut<'_>],
         meta: &mut [RecvMeta],
     ) -> Poll<io::Result<usize>> {
-        let (caller, datagram) = match self.state.queue.poll_pop(context) {
+        let (caller, datagram) = match self.state.packet_queue.poll_pop(context) {
             Poll::Ready(packet) => packet,
             Poll::Pending => return Poll::Pending,
         };
--- a/crates/hyssopstaird/src/host/state.rs
+++ b/crates/hyssopstaird/src/host/state.rs
@@ -26,7 +26,7 @@
 
 use crate::control::node::ControlNode;
 use crate::control::node::lock;
-use crate::host::slots::SlotDesk;
+use crate::host::slots::SlotScheduler;
 use crate::host::socket::PacketQueue;
 use crate::peer::client::PeerPool;
 
@@ -38,30 +38,30 @@
     /// The address of the backend server.
     pub backend: SocketAddrV4,
     /// Packets on their way to QUIC.
-    pub queue: PacketQueue,
+    pub packet_queue: PacketQueue,
     /// Slots of the backend server.
-    pub slots: Mutex<SlotDesk>,
+    pub scheduler: Mutex<SlotScheduler>,
     /// Tickets that this process has issued.
-    pub tickets: Mutex<TicketLedger>,
+    pub ledger: Mutex<TicketLedger>,
     /// The key of tickets.
     pub ticket_key: TicketKey,
     /// Notified when a request that holds a ticket ends.
     pub ticket_ended: Notify,
     /// Connections to other hosts.
-    pub peers: PeerPool,
+    pub peer_pool: PeerPool,
     /// What other hosts said of their load.
     pub peer_loads: Mutex<PeerLoads>,
     /// Second tries that are left.
-    pub budget: Mutex<RetryBudget>,
+    pub retry_budget: Mutex<RetryBudget>,
     /// Requests that other hosts have handed over.
-    pub relays: Mutex<RelayLog>,
+    pub relay_log: Mutex<RelayLog>,
     /// The number of the last relay that was sent.
-    pub relay_number: AtomicU64,
+    pub last_relay_number: AtomicU64,
     /// The decisions about packets, from the time that the service is known.
-    pub gate: OnceLock<HostRouter>,
+    pub router: OnceLock<HostRouter>,
     /// The ways back to callers.
-    pub returns: ReturnTable,
-    flows: AtomicU32,
+    pub return_table: ReturnTable,
+    flow_count: AtomicU32,
     draining: AtomicBool,
 }
 
@@ -72,90 +72,90 @@
         let ledger = TicketLedger::new(node.process_id(), LedgerLimits::default(), first);
         Self {
             backend: settings.backend,
-            queue: PacketQueue::default(),
-            slots: Mutex::default(),
-            tickets: Mutex::new(ledger),
+            packet_queue: PacketQueue::default(),
+            scheduler: Mutex::default(),
+            ledger: Mutex::new(ledger),
             ticket_key: TicketKey::derive(&node.secret),
             ticket_ended: Notify::new(),
-            peers: PeerPool::default(),
+            peer_pool: PeerPool::default(),
             peer_loads: Mutex::new(PeerLoads::new(rand::random())),
-            budget: Mutex::default(),
-            relays: Mutex::new(RelayLog::new(node.process_id())),
-            relay_number: AtomicU64::new(0),
-            gate: OnceLock::new(),
-            returns: ReturnTable::default(),
-            flows: AtomicU32::new(0),
+            retry_budget: Mutex::default(),
+            relay_log: Mutex::new(RelayLog::new(node.process_id())),
+            last_relay_number: AtomicU64::new(0),
+            router: OnceLock::new(),
+            return_table: ReturnTable::default(),
+            flow_count: AtomicU32::new(0),
             draining: AtomicBool::new(false),
             node,
         }
     }
 
     /// Returns the rules of the service, when a configuration names it.
-    pub fn service(&self) -> Option<ServiceRule> {
+    pub fn service_rule(&self) -> Option<ServiceRule> {
         let view = self.node.view();
-        let own = view.own_rule?;
-        view.rules.service(own.service).cloned()
+        let own_rule = view.own_rule?;
+        view.rules.service(own_rule.service).cloned()
     }
 
     /// Returns the number of the service, when a configuration names it.
     pub fn service_id(&self) -> Option<ServiceId> {
-        self.node.view().own_rule.map(|own| own.service)
+        self.node.view().own_rule.map(|own_rule| own_rule.service)
     }
 
     /// Returns the present load.
     pub fn load(&self) -> HostLoad {
-        let own = self.node.view().own_rule;
+        let own_rule = self.node.view().own_rule;
         HostLoad {
-            flows: self.flows(),
-            pending: self.pending(),
-            limit: own.map_or(0, |own| own.connections),
+            flows: self.flow_count(),
+            pending: self.pending_flow_count(),
+            limit: own_rule.map_or(0, |own_rule| own_rule.connections),
             draining: self.is_draining(),
         }
     }
 
     /// Returns the number of open flows.
-    pub fn flows(&self) -> u32 {
-        self.flows.load(Ordering::Relaxed)
+    pub fn flow_count(&self) -> u32 {
+        self.flow_count.load(Ordering::Relaxed)
     }
 
     /// Returns the number of flows whose handshake is under way.
-    fn pending(&self) -> u32 {
+    fn pending_flow_count(&self) -> u32 {
         let now = self.node.clock.now();
-        self.gate.get().map_or(0, |gate| gate.pending(now))
+        self.router.get().map_or(0, |router| router.pending(now))
     }
 
     /// Notes that a handshake has ended, well or not. `connection` is the
     /// connection ID that the caller chose for its first packets.
     pub fn end_handshake(&self, connection: &[u8]) {
-        if let Some(gate) = self.gate.get() {
-            gate.end_handshake(connection);
+        if let Some(router) = self.router.get() {
+            router.end_handshake(connection);
         }
     }
 
     /// Counts a flow that opens.
-    pub fn open_flow(&self) {
-        self.flows.fetch_add(1, Ordering::Relaxed);
+    pub fn add_flow(&self) {
+        self.flow_count.fetch_add(1, Ordering::Relaxed);
     }
 
     /// Counts a flow that ends.
-    pub fn close_flow(&self) {
-        self.flows.fetch_sub(1, Ordering::Relaxed);
+    pub fn remove_flow(&self) {
+        self.flow_count.fetch_sub(1, Ordering::Relaxed);
     }
 
     /// Returns whether the host takes nothing new.
     pub fn is_draining(&self) -> bool {
-        let takes_new = self
+        let accepts_new_flows = self
             .node
             .view()
             .own_rule
-            .is_none_or(|own| own.accepts_new_flows);
-        !takes_new || self.draining.load(Ordering::Relaxed)
+            .is_none_or(|own_rule| own_rule.accepts_new_flows);
+        !accepts_new_flows || self.draining.load(Ordering::Relaxed)
     }
 
     /// Takes nothing new from now on. Tickets that were not shown yet are void,
     /// so that other hosts can settle them while this process still answers.
     pub fn start_draining(&self) {
-        lock(&self.tickets).void_unused();
+        lock(&self.ledger).void_unused();
         self.draining.store(true, Ordering::Relaxed);
     }
 }
--- a/crates/hyssopstaird/src/host/tickets.rs
+++ b/crates/hyssopstaird/src/host/tickets.rs
@@ -56,14 +56,14 @@
     /// Returns an error when the request must not run.
     pub fn hand_over(&mut self, deadline: MonotonicTime) -> Result<(), HandOverError> {
         let now = self.state.node.clock.now();
-        lock(&self.state.tickets).hand_over(self.number, deadline, now)?;
+        lock(&self.state.ledger).hand_over(self.number, deadline, now)?;
         self.is_handed_over = true;
         Ok(())
     }
 
     /// Takes back a hand-over that provably sent nothing.
     pub fn take_back(&mut self) {
-        lock(&self.state.tickets).take_back(self.number);
+        lock(&self.state.ledger).take_back(self.number);
         self.is_handed_over = false;
     }
 
@@ -74,7 +74,7 @@
 
     fn record(&mut self, outcome: RunOutcome) {
         self.is_finished = true;
-        lock(&self.state.tickets).finish(self.number, outcome);
+        lock(&self.state.ledger).finish(self.number, outcome);
         self.state.ticket_ended.notify_waiters();
     }
 }
@@ -94,16 +94,16 @@
 }
 
 /// Issues tickets in their text form.
-pub fn issue(state: &HostState, count: usize) -> Vec<String> {
+pub fn issue_tickets(state: &HostState, count: usize) -> Vec<String> {
     let now = state.node.clock.now();
-    let mut ledger = lock(&state.tickets);
+    let mut ledger = lock(&state.ledger);
     (0..count)
         .map(|_| state.ticket_key.seal(&ledger.issue(now)))
         .collect()
 }
 
 /// Claims the ticket of a request, waiting for another copy of it to end.
-pub async fn claim(state: &Arc<HostState>, request: &CallerRequest) -> TicketResult {
+pub async fn claim_ticket(state: &Arc<HostState>, request: &CallerRequest) -> TicketResult {
     let Ok(ticket) = state.ticket_key.open(&request.key) else {
         return TicketResult::NeedsTicket;
     };
@@ -114,18 +114,18 @@
     loop {
         let ended = state.ticket_ended.notified();
         let now = state.node.clock.now();
-        let decision = lock(&state.tickets).present(&ticket, fingerprint, now);
+        let decision = lock(&state.ledger).present(&ticket, fingerprint, now);
         if decision != TicketDecision::Wait {
-            return carry_out(state, request, &ticket, fingerprint, decision).await;
+            return apply_decision(state, request, &ticket, fingerprint, decision).await;
         }
-        let patience = request.deadline.since(now);
-        if patience.is_zero() || tokio::time::timeout(patience, ended).await.is_err() {
+        let timeout = request.deadline.since(now);
+        if timeout.is_zero() || tokio::time::timeout(timeout, ended).await.is_err() {
             return TicketResult::StillRunning;
         }
     }
 }
 
-async fn carry_out(
+async fn apply_decision(
     state: &Arc<HostState>,
     request: &CallerRequest,
     ticket: &RequestTicket,
@@ -140,22 +140,22 @@
             is_finished: false,
         }),
         TicketDecision::Wait => TicketResult::StillRunning,
-        TicketDecision::Replay(reply) => replay(reply.as_ref()),
+        TicketDecision::Replay(reply) => to_ticket_result(reply.as_ref()),
         TicketDecision::NotRun => TicketResult::NeedsTicket,
         TicketDecision::MayHaveRun => TicketResult::MayHaveRun,
         TicketDecision::OtherRequest => TicketResult::OtherRequest,
         TicketDecision::AskIssuer => {
-            let patience = remaining(state, request);
-            settle::ask_issuer(state, ticket, &request.key, fingerprint, patience).await
+            let timeout = remaining_time(state, request);
+            settle::ask_issuer(state, ticket, &request.key, fingerprint, timeout).await
         }
     }
 }
 
-fn remaining(state: &HostState, request: &CallerRequest) -> Duration {
+fn remaining_time(state: &HostState, request: &CallerRequest) -> Duration {
     request.deadline.since(state.node.clock.now())
 }
 
-fn replay(reply: Option<&StoredReply>) -> TicketResult {
+fn to_ticket_result(reply: Option<&StoredReply>) -> TicketResult {
     match reply.and_then(|bytes| decode_reply(bytes)) {
         Some(reply) => TicketResult::Reply(reply),
         None => TicketResult::DoneWithoutReply,
--- a/crates/hyssopstaird/src/lib.rs
+++ b/crates/hyssopstaird/src/lib.rs
@@ -1,15 +1,16 @@
-//! The daemon of hyssopstair, in the role of a balancer or of a host.
+//! The hyssopstair daemon, which runs as a balancer or as a host.
 //!
-//! A balancer forwards datagrams of callers to hosts. A host runs beside a
-//! backend server, ends the callers' QUIC connections and speaks HTTP to the
-//! backend server. Both run the modules of [`control`], which keep members and
-//! configuration. The decisions are in the packages `routing`, `roster` and
-//! `requests`; the modules here connect them with sockets.
+//! A balancer forwards datagrams from callers to hosts. A host runs beside a
+//! backend server, terminates the callers' QUIC connections and forwards their
+//! requests to the backend server over HTTP. Both roles run the tasks of
+//! [`control`], which maintain the member list and the configuration. The crates
+//! `routing`, `roster` and `requests` make the decisions and perform no I/O; the
+//! modules of this crate connect them to sockets and clocks.
 //!
-//! A second way to run, [`carry`], forwards flows that callers and backend servers
-//! end themselves.
+//! The second mode, [`carry`], forwards flows without terminating them; callers
+//! and backend servers are their endpoints.
 //!
-//! Read [`ops::run`] next: it starts the parts of each role.
+//! Read [`ops::run`] next: it starts the components of each role.
 
 #[cfg(feature = "terminate")]
 pub mod admin;
@@ -36,7 +37,8 @@
 
 use std::process::ExitCode;
 
-/// Runs the command line and returns the exit code of the process.
+/// Parses the command line, runs the daemon and returns the exit code of the process.
+/// An error is printed to standard error.
 pub fn main() -> ExitCode {
     let args: commands::run::RunArgs = argh::from_env();
     match commands::run::exec(&args) {
--- a/crates/hyssopstaird/src/main.rs
+++ b/crates/hyssopstaird/src/main.rs
@@ -1,4 +1,4 @@
-//! The daemon's entry point; see the library for everything else.
+//! Entry point of the `hyssopstaird` program, which calls [`hyssopstaird::main`].
 
 use std::process::ExitCode;
 
--- a/crates/hyssopstaird/src/ops/carry.rs
+++ b/crates/hyssopstaird/src/ops/carry.rs
@@ -1,4 +1,4 @@
-//! Starts a process that carries flows, and waits for its end.
+//! Runs a process in the mode `--carry`.
 
 use std::path::Path;
 
@@ -9,13 +9,15 @@
 use crate::carry::process;
 use crate::error::DaemonError;
 
-/// Runs a balancer or a host until it is told to stop.
+/// Runs a balancer or a host that forwards flows without terminating them, until the
+/// process receives a signal to stop. `path` is the settings file, which is read again
+/// on SIGHUP.
 ///
 /// # Errors
 ///
-/// Returns an error when an address is in use.
-pub fn run_carrier(settings: CarrySettings, path: &Path) -> Result<(), Report<DaemonError>> {
-    // One thread: packets are handled in order, and nothing waits for a lock.
+/// Returns an error if the event loop cannot be started or an address cannot be bound.
+pub fn run_carry(settings: CarrySettings, path: &Path) -> Result<(), Report<DaemonError>> {
+    // A single thread processes packets in order and needs no locks.
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
--- a/crates/hyssopstaird/src/ops/mod.rs
+++ b/crates/hyssopstaird/src/ops/mod.rs
@@ -1,4 +1,4 @@
-//! What the commands do.
+//! Start and stop of a daemon in each mode.
 
 #[cfg(feature = "carry")]
 pub mod carry;
--- a/crates/hyssopstaird/src/ops/run.rs
+++ b/crates/hyssopstaird/src/ops/run.rs
@@ -1,4 +1,4 @@
-//! Starts the parts of a daemon and waits for the signal to stop.
+//! Starts the components of a daemon, waits for a signal to stop and drains it.
 
 use std::sync::Arc;
 
@@ -22,11 +22,11 @@
 use crate::peer::server::PeerResponder;
 use crate::telemetry::DaemonTelemetry;
 
-/// Runs a daemon until it is told to stop.
+/// Runs a balancer or a host until it receives SIGTERM or SIGINT and has drained.
 ///
 /// # Errors
 ///
-/// Returns an error when a part cannot start.
+/// Returns an error if a component cannot be started.
 pub fn run_daemon(settings: DaemonSettings) -> Result<(), Report<DaemonError>> {
     let format =
         LogFormat::from_environment().map_err(|text| Report::new(DaemonError::new(text)))?;
@@ -34,45 +34,49 @@
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build()
-        .change_context_lazy(|| DaemonError::new("failed to start threads"))?;
-    let result = runtime.block_on(run_parts(settings));
-    // A thread may wait for a peer that is frozen; nothing depends on it now.
+        .change_context_lazy(|| DaemonError::new("failed to start the worker threads"))?;
+    let result = runtime.block_on(run_components(settings));
+    // A blocking thread may still wait for a peer that does not respond. Its result is
+    // no longer needed.
     runtime.shutdown_background();
     result
 }
 
-async fn run_parts(settings: DaemonSettings) -> Result<(), Report<DaemonError>> {
+/// Starts all components, waits for a signal to stop, and announces to the other members
+/// first that the process is draining and then that it is gone.
+async fn run_components(settings: DaemonSettings) -> Result<(), Report<DaemonError>> {
     let node = Arc::new(ControlNode::start(&settings).await?);
     log::info!(process:% = node.process_id(), zone = settings.zone.as_str(); "daemon: started");
     let telemetry = DaemonTelemetry::start(&settings, &node)?;
-    tokio::spawn(admin::serve(
-        admin::bind(settings.admin).await?,
+    tokio::spawn(admin::serve_requests(
+        admin::bind_listener(settings.admin).await?,
         node.clone(),
         telemetry.metrics.clone(),
     ));
-    let desk = PeerResponder::new(node.clone());
-    let _peers = peer::start_server(settings.inner, &desk)?;
+    let responder = PeerResponder::new(node.clone());
+    let _peer_server = peer::start_server(settings.inner, &responder)?;
     control::spawn_loops(&node, &settings.platform);
     match &settings.role {
         RoleSettings::Balancer(role) => {
             balancer::start(role, node.clone()).await?;
             wait_for_stop().await?;
-            node.declare(MemberState::Draining).await;
-            balancer::drain().await;
+            node.announce_state(MemberState::Draining).await;
+            balancer::wait_for_drain().await;
         }
         RoleSettings::Host(role) => {
-            let handle = host::start(role, node.clone(), &desk).await?;
+            let handle = host::start(role, node.clone(), &responder).await?;
             wait_for_stop().await?;
-            node.declare(MemberState::Draining).await;
+            node.announce_state(MemberState::Draining).await;
             handle.drain().await;
         }
     }
-    node.declare(MemberState::Gone).await;
+    node.announce_state(MemberState::Gone).await;
     log::info!("daemon: stopped");
     telemetry.stop(&node).await;
     Ok(())
 }
 
+/// Waits for SIGTERM or SIGINT.
 async fn wait_for_stop() -> Result<(), Report<DaemonError>> {
     let context = || DaemonError::new("failed to wait for signals");
     let mut terminate = signal(SignalKind::terminate()).change_context_lazy(context)?;
--- a/crates/hyssopstaird/src/peer/client.rs
+++ b/crates/hyssopstaird/src/peer/client.rs
@@ -23,10 +23,10 @@
 use crate::error::DaemonError;
 
 /// Longest wait for an answer about the configuration.
-const PEER_TIMEOUT: Duration = Duration::from_secs(1);
+const CONFIGURATION_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Links that are kept open.
-const MAX_LINKS: usize = 64;
+const MAX_IDLE_CONNECTIONS: usize = 64;
 
 /// Why there is no answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
@@ -41,11 +41,11 @@
 
 /// Time after which nng would connect again by itself: never, for a question
 /// that went out on the new connection could be acted upon twice.
-const NEVER: Duration = Duration::from_secs(24 * 60 * 60);
+const RECONNECT_DELAY: Duration = Duration::from_secs(24 * 60 * 60);
 
 /// A connection to one peer that nobody uses at the moment.
 #[derive(Debug)]
-struct IdleLink {
+struct IdleConnection {
     address: SocketAddrV4,
     socket: Socket,
 }
@@ -54,13 +54,13 @@
 /// question at a time.
 #[derive(Debug, Default)]
 pub struct PeerPool {
-    idle: Mutex<Vec<IdleLink>>,
+    idle: Mutex<Vec<IdleConnection>>,
 }
 
 /// Settles whether a question was sent, between the one that waits for the
 /// answer and the thread that sends.
 #[derive(Debug, Default)]
-struct SendGate {
+struct SendLatch {
     state: Mutex<SendState>,
 }
 
@@ -69,14 +69,14 @@
     #[default]
     Open,
     Sent,
-    GivenUp,
+    Abandoned,
 }
 
-impl SendGate {
+impl SendLatch {
     /// Returns whether the question may be sent.
-    fn send(&self) -> bool {
+    fn try_start(&self) -> bool {
         let mut state = lock(&self.state);
-        if *state == SendState::GivenUp {
+        if *state == SendState::Abandoned {
             return false;
         }
         *state = SendState::Sent;
@@ -84,12 +84,12 @@
     }
 
     /// Returns what is known of the question once nobody waits for its answer.
-    fn give_up(&self) -> PeerError {
+    fn abandon(&self) -> PeerError {
         let mut state = lock(&self.state);
         if *state == SendState::Sent {
             return PeerError::NoAnswer;
         }
-        *state = SendState::GivenUp;
+        *state = SendState::Abandoned;
         PeerError::NotSent
     }
 }
@@ -106,64 +106,64 @@
         request: &PeerRequest,
         timeout: Duration,
     ) -> Result<PeerAnswer, PeerError> {
-        let kept = self.take(address);
+        let idle_socket = self.take_idle(address);
         let bytes = encode_request(request);
         // The blocking calls of nng are used, because its asynchronous
         // operations wait for their own end when the last handle goes in one.
-        let gate = Arc::new(SendGate::default());
-        let sender_gate = gate.clone();
-        let asking = tokio::task::spawn_blocking(move || {
-            let socket = match kept {
+        let latch = Arc::new(SendLatch::default());
+        let sender_latch = latch.clone();
+        let task = tokio::task::spawn_blocking(move || {
+            let socket = match idle_socket {
                 Some(socket) => socket,
-                None => open(address)?,
+                None => open_socket(address)?,
             };
-            if !sender_gate.send() {
+            if !sender_latch.try_start() {
                 return Err(PeerError::NotSent);
             }
-            let answer = ask_blocking(&socket, &bytes, timeout)?;
+            let answer = exchange_blocking(&socket, &bytes, timeout)?;
             Ok((socket, answer))
         });
         // A connection to a frozen process opens only after nng's own limit of
         // 10 seconds, for which nobody waits here.
-        let Ok(asked) = tokio::time::timeout(timeout, asking).await else {
-            return Err(gate.give_up());
+        let Ok(result) = tokio::time::timeout(timeout, task).await else {
+            return Err(latch.abandon());
         };
-        let (socket, answer) = asked.map_err(|_| PeerError::NoAnswer)??;
-        self.keep(IdleLink { address, socket });
+        let (socket, answer) = result.map_err(|_| PeerError::NoAnswer)??;
+        self.store_idle(IdleConnection { address, socket });
         Ok(answer)
     }
 
-    fn take(&self, address: SocketAddrV4) -> Option<Socket> {
+    fn take_idle(&self, address: SocketAddrV4) -> Option<Socket> {
         let mut idle = lock(&self.idle);
         let index = idle
-            .binary_search_by_key(&address, |link| link.address)
+            .binary_search_by_key(&address, |connection| connection.address)
             .ok()?;
         Some(idle.remove(index).socket)
     }
 
-    fn keep(&self, link: IdleLink) {
+    fn store_idle(&self, connection: IdleConnection) {
         let mut idle = lock(&self.idle);
-        if idle.len() >= MAX_LINKS {
+        if idle.len() >= MAX_IDLE_CONNECTIONS {
             return;
         }
-        let index = idle.partition_point(|other| other.address < link.address);
-        idle.insert(index, link);
+        let index = idle.partition_point(|other| other.address < connection.address);
+        idle.insert(index, connection);
     }
 }
 
-fn open(address: SocketAddrV4) -> Result<Socket, PeerError> {
+fn open_socket(address: SocketAddrV4) -> Result<Socket, PeerError> {
     let connect = || -> Result<Socket, nng::Error> {
         let socket = Socket::new(Protocol::Req0)?;
         // A question that was sent again could be acted upon twice.
         socket.set_opt::<ResendTime>(None)?;
-        socket.set_opt::<ReconnectMinTime>(Some(NEVER))?;
+        socket.set_opt::<ReconnectMinTime>(Some(RECONNECT_DELAY))?;
         socket.dial(&format!("tcp://{address}"))?;
         Ok(socket)
     };
     connect().map_err(|_| PeerError::NotSent)
 }
 
-fn ask_blocking(
+fn exchange_blocking(
     socket: &Socket,
     request: &[u8],
     timeout: Duration,
@@ -190,7 +190,7 @@
 ) -> Result<PeerAnswer, Report<DaemonError>> {
     let context = || DaemonError::new(format!("failed to ask the peer at {address}"));
     PeerPool::default()
-        .send_request(address, &request, PEER_TIMEOUT)
+        .send_request(address, &request, CONFIGURATION_TIMEOUT)
         .await
         .change_context_lazy(context)
 }
--- a/crates/hyssopstaird/src/peer/server.rs
+++ b/crates/hyssopstaird/src/peer/server.rs
@@ -28,7 +28,7 @@
 use crate::host::state::HostState;
 
 /// Questions that are worked on at once.
-const WORKERS: usize = 64;
+const WORKER_COUNT: usize = 64;
 
 /// What answers are taken from.
 #[derive(Debug, Clone)]
@@ -47,26 +47,28 @@
     }
 
     /// Lets peers ask about requests from now on.
-    pub fn open_host(&self, state: Arc<HostState>) {
+    pub fn set_host_state(&self, state: Arc<HostState>) {
         let _ = self.host.set(state);
     }
 
-    async fn answer(&self, request: PeerRequest) -> PeerAnswer {
+    async fn answer_request(&self, request: PeerRequest) -> PeerAnswer {
         match (request, self.host.get()) {
-            (PeerRequest::Configuration { above }, _) => self.configuration(above),
-            (PeerRequest::WholeConfiguration { above }, _) => self.whole_configuration(above),
+            (PeerRequest::Configuration { above }, _) => self.answer_configuration(above),
+            (PeerRequest::WholeConfiguration { above }, _) => {
+                self.answer_whole_configuration(above)
+            }
             (PeerRequest::Version, _) => PeerAnswer::Version(self.node.view().version),
             (PeerRequest::Settle(request), Some(host)) => {
-                PeerAnswer::Settled(settle::answer(host, &request))
+                PeerAnswer::Settled(settle::answer_settle_request(host, &request))
             }
             (PeerRequest::Relay(request), Some(host)) => {
-                PeerAnswer::Relayed(relay::answer(host, *request).await)
+                PeerAnswer::Relayed(relay::answer_relay_request(host, *request).await)
             }
             (PeerRequest::Settle(_) | PeerRequest::Relay(_), None) => PeerAnswer::Refused,
         }
     }
 
-    fn configuration(&self, above: u64) -> PeerAnswer {
+    fn answer_configuration(&self, above: u64) -> PeerAnswer {
         let version = self.node.config().version();
         if version <= above {
             return PeerAnswer::UpToDate;
@@ -75,17 +77,17 @@
         let steps = lock(&self.node.updates).steps(above, version);
         match steps {
             Some(steps) => PeerAnswer::ConfigurationSteps(steps),
-            None => self.whole_configuration(above),
+            None => self.answer_whole_configuration(above),
         }
     }
 
-    fn whole_configuration(&self, above: u64) -> PeerAnswer {
+    fn answer_whole_configuration(&self, above: u64) -> PeerAnswer {
         let config = self.node.config();
         let version = config.version();
         if version <= above {
             return PeerAnswer::UpToDate;
         }
-        match self.packed_text(&config) {
+        match self.compressed_text(&config) {
             Ok(packed) => PeerAnswer::Configuration {
                 version,
                 deflated_text: packed.to_vec(),
@@ -97,7 +99,7 @@
         }
     }
 
-    fn packed_text(&self, config: &ConfigState) -> std::io::Result<Arc<[u8]>> {
+    fn compressed_text(&self, config: &ConfigState) -> std::io::Result<Arc<[u8]>> {
         let version = config.version();
         if let Some(packed) = lock(&self.node.updates).packed(version) {
             return Ok(packed);
@@ -124,7 +126,7 @@
 /// Returns an error when the address is in use.
 pub fn start_server(
     address: SocketAddrV4,
-    desk: &PeerResponder,
+    responder: &PeerResponder,
 ) -> Result<PeerServer, Report<DaemonError>> {
     let context = || {
         DaemonError::new(format!(
@@ -134,13 +136,13 @@
     let socket = Socket::new(Protocol::Rep0).change_context_lazy(context)?;
     let handle = Handle::current();
     let mut workers = Vec::new();
-    for _ in 0..WORKERS {
+    for _ in 0..WORKER_COUNT {
         let worker = Context::new(&socket).change_context_lazy(context)?;
         let receiver = worker.clone();
-        let desk = desk.clone();
+        let responder = responder.clone();
         let handle = handle.clone();
         let aio = Aio::new(move |aio, result| {
-            step(&worker, &aio, result, &desk, &handle);
+            handle_event(&worker, &aio, result, &responder, &handle);
         })
         .change_context_lazy(context)?;
         receiver.recv(&aio).change_context_lazy(context)?;
@@ -155,14 +157,20 @@
     })
 }
 
-fn step(worker: &Context, aio: &Aio, result: AioResult, desk: &PeerResponder, handle: &Handle) {
+fn handle_event(
+    worker: &Context,
+    aio: &Aio,
+    result: AioResult,
+    responder: &PeerResponder,
+    handle: &Handle,
+) {
     match result {
         AioResult::Recv(Ok(message)) => {
             let worker = worker.clone();
             let aio = aio.clone();
-            let desk = desk.clone();
+            let responder = responder.clone();
             handle.spawn(async move {
-                let answer = answer_message(&desk, &message).await;
+                let answer = answer_message(&responder, &message).await;
                 if worker.send(&aio, answer).is_err() {
                     log::warn!("peer: an answer could not be sent");
                 }
@@ -177,9 +185,9 @@
     }
 }
 
-async fn answer_message(desk: &PeerResponder, message: &Message) -> Message {
+async fn answer_message(responder: &PeerResponder, message: &Message) -> Message {
     let answer = match decode_request(message.as_slice()) {
-        Some(request) => desk.answer(request).await,
+        Some(request) => responder.answer_request(request).await,
         None => PeerAnswer::Refused,
     };
     Message::from(encode_answer(&answer).as_slice())
--- a/crates/hyssopstaird/src/secret.rs
+++ b/crates/hyssopstaird/src/secret.rs
@@ -1,4 +1,4 @@
-//! Reads the secret of the fleet.
+//! Loading of the secret that all processes of a fleet share.
 
 use std::env;
 use std::fs;
@@ -11,18 +11,21 @@
 
 use crate::error::DaemonError;
 
-/// Reads the secret from where the settings say.
+/// Reads the fleet secret from the file or environment variable that the settings name.
 ///
 /// # Errors
 ///
-/// Returns an error when there is none or it is not 32 hexadecimal digits.
+/// Returns an error if the file or variable cannot be read, or if its content is not
+/// 32 hexadecimal digits.
 pub fn read_secret(source: &SecretSource) -> Result<FleetSecret, Report<DaemonError>> {
     let text = match source {
         SecretSource::File(path) => fs::read_to_string(path).change_context_lazy(|| {
             DaemonError::new(format!("failed to read the secret from {}", path.display()))
         })?,
         SecretSource::Environment(name) => env::var(name).change_context_lazy(|| {
-            DaemonError::new(format!("failed to read the secret from variable {name}"))
+            DaemonError::new(format!(
+                "failed to read the secret from environment variable {name}"
+            ))
         })?,
     };
     decode_hex(text.trim())
@@ -30,6 +33,8 @@
         .ok_or_else(|| Report::new(DaemonError::new("the secret is not 32 hexadecimal digits")))
 }
 
+/// Decodes exactly [`SECRET_LENGTH`] bytes, or returns `None` if `text` has another
+/// length or contains other characters than hexadecimal digits.
 fn decode_hex(text: &str) -> Option<[u8; SECRET_LENGTH]> {
     if text.len() != 2 * SECRET_LENGTH || !text.is_ascii() {
         return None;
--- a/crates/hyssopstaird/src/telemetry.rs
+++ b/crates/hyssopstaird/src/telemetry.rs
@@ -1,4 +1,4 @@
-//! Connects the parts of a daemon with logs, metrics and traces.
+//! Metrics and traces of a daemon, with counters for its packets.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -29,23 +29,24 @@
 use crate::error::DaemonError;
 use crate::host::state::HostState;
 
-/// Time between two looks at the balancer's spans that are due.
-const RELAY_TICK: Duration = Duration::from_millis(250);
+/// Interval between two exports of the balancer's finished spans.
+const RELAY_EXPORT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The metrics and traces of a daemon.
+/// The metrics reader and the trace export of a daemon.
 #[derive(Debug)]
 pub struct DaemonTelemetry {
-    /// The metrics.
+    /// The reader that renders the metrics for `/metrics`.
     pub metrics: Arc<MetricsReader>,
     traces: Option<TraceExport>,
 }
 
 impl DaemonTelemetry {
-    /// Starts metrics, and traces when the settings name a collector.
+    /// Starts the metrics and, if the settings name a collector, the trace export.
     ///
     /// # Errors
     ///
-    /// Returns an error when the collector's URL cannot be used.
+    /// Returns an error if the metrics cannot be created or the collector's URL is
+    /// invalid.
     pub fn start(
         settings: &DaemonSettings,
         node: &Arc<ControlNode>,
@@ -56,18 +57,18 @@
             instance: &instance,
             zone: &settings.zone,
         };
-        let source = node.clone();
-        let gauges = Arc::new(move || read_gauges(&source));
+        let gauge_node = node.clone();
+        let gauges = Arc::new(move || read_gauges(&gauge_node));
         let metrics = MetricsReader::start(names.resource(), gauges)
-            .change_context_lazy(|| DaemonError::new("failed to start metrics"))?;
+            .change_context_lazy(|| DaemonError::new("failed to start the metrics"))?;
         let traces = settings
             .traces
             .as_deref()
             .map(|url| TraceExport::start(url, names.resource()))
             .transpose()
-            .change_context_lazy(|| DaemonError::new("failed to start traces"))?;
+            .change_context_lazy(|| DaemonError::new("failed to start the trace export"))?;
         if traces.is_some() {
-            tokio::spawn(export_relays(node.clone()));
+            tokio::spawn(run_relay_export(node.clone()));
         }
         Ok(Self {
             metrics: Arc::new(metrics),
@@ -75,7 +76,7 @@
         })
     }
 
-    /// Exports the spans that wait.
+    /// Exports the pending spans and stops the trace export.
     pub async fn stop(self, node: &ControlNode) {
         let Some(traces) = self.traces else {
             return;
@@ -85,8 +86,9 @@
     }
 }
 
-async fn export_relays(node: Arc<ControlNode>) {
-    let mut interval = tokio::time::interval(RELAY_TICK);
+/// Exports the balancer's finished spans periodically until the process ends.
+async fn run_relay_export(node: Arc<ControlNode>) {
+    let mut interval = tokio::time::interval(RELAY_EXPORT_INTERVAL);
     loop {
         interval.tick().await;
         relays::export_due(node.clock.now());
@@ -107,13 +109,14 @@
     }
 }
 
+/// Counts the members by role and state.
 fn count_members(members: &[MemberEntry]) -> Vec<MemberCount> {
     let mut counts: Vec<MemberCount> = Vec::new();
     for member in members {
-        let role = member_role(&member.role);
-        let state = member_state(member.state);
-        let found = counts.binary_search_by_key(&(role, state), |item| (item.role, item.state));
-        match found {
+        let role = member_role_name(&member.role);
+        let state = member_state_name(member.state);
+        let position = counts.binary_search_by_key(&(role, state), |item| (item.role, item.state));
+        match position {
             Ok(index) => counts[index].count += 1,
             Err(index) => {
                 let count = 1;
@@ -124,14 +127,14 @@
     counts
 }
 
-fn member_role(role: &MemberRole) -> &'static str {
+fn member_role_name(role: &MemberRole) -> &'static str {
     match role {
         MemberRole::Balancer => "balancer",
         MemberRole::Host { .. } => "host",
     }
 }
 
-fn member_state(state: MemberState) -> &'static str {
+fn member_state_name(state: MemberState) -> &'static str {
     match state {
         MemberState::Alive => "alive",
         MemberState::Suspect => "suspect",
@@ -140,16 +143,17 @@
     }
 }
 
-/// Counts a packet that is sent on to a host.
-pub fn count_forwarded(header: &ForwardHeader) {
+/// Counts a packet that is forwarded to a host. A header without an incarnation belongs
+/// to a packet that opens a flow, which is counted separately as well.
+pub fn count_forwarded_packet(header: &ForwardHeader) {
     COUNTS.packets_forwarded.increment();
     if header.incarnation.is_none() {
         COUNTS.packets_opening.increment();
     }
 }
 
-/// Counts a packet that is dropped.
-pub fn count_dropped(reason: DropReason) {
+/// Counts a dropped packet under its reason.
+pub fn count_dropped_packet(reason: DropReason) {
     COUNTS.packets_dropped.increment(drop_label(reason));
 }
 
@@ -167,14 +171,15 @@
     }
 }
 
-/// A request whose packets to the caller name its trace while it runs.
+/// A running request. If it is sampled, packets to its caller carry its trace context.
 pub struct TracedRequest<'a> {
     state: &'a HostState,
     traced: Option<(std::net::SocketAddrV4, TraceContext)>,
 }
 
 impl<'a> TracedRequest<'a> {
-    /// Begins; does nothing for a request that is not sampled.
+    /// Starts to attach the trace context of `scope` to packets to `caller`. Has no effect
+    /// if the request is not sampled or the caller has an IPv6 address.
     pub fn begin(state: &'a HostState, caller: SocketAddr, scope: &RequestScope) -> Self {
         let traced = to_ipv4(caller).zip(scope.trace());
         if let Some((caller, trace)) = traced {
@@ -183,7 +188,8 @@
         Self { state, traced }
     }
 
-    /// Ends: packets that are still under way belong to the trace for a while.
+    /// Marks the request as ended. Packets to the caller carry the trace context for a
+    /// short time longer, because the end of the answer is still being sent.
     pub fn end(self) {
         if let Some((caller, trace)) = self.traced {
             CALLERS.end(caller, trace, self.state.node.clock.now());
