--- a/crates/hyssopstaird/src/balancer/mod.rs
+++ b/crates/hyssopstaird/src/balancer/mod.rs
@@ -1,4 +1,8 @@
-//! The role of a balancer: datagrams between the fabric and the hosts.
+//! The balancer role, which forwards datagrams between the network fabric and hosts.
+//!
+//! Datagrams from callers are received on the entry address and forwarded to a host;
+//! datagrams that hosts return are received on the inner address and sent to the caller
+//! through the fabric. A datagram that cannot be sent is lost, as on any network.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -32,30 +36,33 @@
 use crate::error::DaemonError;
 use crate::telemetry;
 
-/// Tasks that read each socket.
+/// Number of tasks that read each socket.
 const READER_TASKS: usize = 2;
 
-/// How long a balancer goes on after it has told the fabric that it leaves.
+/// Time for which a balancer keeps forwarding after it has announced that it is draining,
+/// so that the fabric can switch to other balancers.
 const DRAIN_TIME: Duration = Duration::from_secs(2);
 
-/// Goes on until the fabric has turned to other balancers.
+/// Waits until the fabric sends datagrams only to other balancers.
 pub async fn wait_for_drain() {
-    log::info!("balancer: leaving");
+    log::info!("balancer: draining");
     tokio::time::sleep(DRAIN_TIME).await;
 }
 
+/// The sockets and tables of a balancer.
 struct BalancerState {
     node: Arc<ControlNode>,
     entry: UdpSocket,
+    /// The address to which datagrams for callers are sent.
     fabric: SocketAddr,
     loads: LoadTable,
 }
 
-/// Starts to forward.
+/// Opens the entry address and starts the tasks that forward datagrams.
 ///
 /// # Errors
 ///
-/// Returns an error when the entry address is in use.
+/// Returns an error if the entry address cannot be bound.
 pub async fn start(
     settings: &BalancerSettings,
     node: Arc<ControlNode>,
@@ -64,7 +71,7 @@
         .await
         .change_context_lazy(|| {
             DaemonError::new(format!(
-                "failed to listen on entry address {}",
+                "failed to listen on the address of the field \"entry\", {}",
                 settings.entry
             ))
         })?;
@@ -81,6 +88,7 @@
     Ok(())
 }
 
+/// Forwards the datagrams that are received on the entry address.
 async fn read_entry(state: Arc<BalancerState>) {
     let mut buffer = vec![0; MAX_PACKET_LENGTH];
     let mut outgoing = vec![0; MAX_PACKET_LENGTH];
@@ -97,6 +105,8 @@
     }
 }
 
+/// Forwards a caller's datagram to its host, or answers it with a stateless reset if its
+/// flow no longer exists.
 async fn forward_datagram(
     state: &BalancerState,
     path: &EntryPath,
@@ -132,6 +142,7 @@
     }
 }
 
+/// Processes the packets that are received on the inner address.
 async fn read_inner(state: Arc<BalancerState>) {
     let mut buffer = vec![0; MAX_PACKET_LENGTH];
     loop {
@@ -150,6 +161,8 @@
     }
 }
 
+/// Sends a datagram that a host returned to its caller, and records the load report of
+/// the host.
 async fn return_datagram(state: &BalancerState, payload: &[u8]) {
     let Ok((header, datagram)) = split_message::<ReturnHeader>(payload) else {
         telemetry::count_dropped_packet(DropReason::Malformed);
--- a/crates/hyssopstaird/src/peer/client.rs
+++ b/crates/hyssopstaird/src/peer/client.rs
@@ -1,4 +1,8 @@
-//! Asks other processes.
+//! Requests to other processes.
+//!
+//! Errors distinguish a request that was certainly not sent from one that the peer may
+//! have processed. A request is never sent a second time, because the peer could then
+//! process it twice.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -22,58 +26,60 @@
 use crate::control::node::lock;
 use crate::error::DaemonError;
 
-/// Longest wait for an answer about the configuration.
+/// Maximum time for the answer to a request of [`send_request`].
 const CONFIGURATION_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Links that are kept open.
+/// Maximum number of idle connections that a pool keeps open.
 const MAX_IDLE_CONNECTIONS: usize = 64;
 
-/// Why there is no answer.
+/// The reason why a request has no answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum PeerError {
-    /// The question was not sent.
-    #[error("the peer cannot be reached")]
+    /// The request was not sent.
+    #[error("the peer is unreachable")]
     NotSent,
-    /// The question was sent, and may have been acted upon.
+    /// The request was sent, and the peer may have processed it.
     #[error("the peer does not answer")]
     NoAnswer,
 }
 
-/// Time after which nng would connect again by itself: never, for a question
-/// that went out on the new connection could be acted upon twice.
+/// Delay before nng reconnects a broken connection, long enough that it never does. A
+/// request that is sent over the new connection could be processed a second time.
 const RECONNECT_DELAY: Duration = Duration::from_secs(24 * 60 * 60);
 
-/// A connection to one peer that nobody uses at the moment.
+/// An open connection to a peer that no request uses.
 #[derive(Debug)]
 struct IdleConnection {
     address: SocketAddrV4,
     socket: Socket,
 }
 
-/// Connections to peers, kept until a peer is silent. A connection carries one
-/// question at a time.
+/// A pool of connections to peers. Each connection carries one request at a time and is
+/// closed if its request fails.
 #[derive(Debug, Default)]
 pub struct PeerPool {
     idle: Mutex<Vec<IdleConnection>>,
 }
 
-/// Settles whether a question was sent, between the one that waits for the
-/// answer and the thread that sends.
+/// Decides whether a request is sent or abandoned. The thread that sends the request and
+/// the task that waits for the answer and may time out share it; the first of them wins.
 #[derive(Debug, Default)]
 struct SendLatch {
     state: Mutex<SendState>,
 }
 
+/// The state of a request in a [`SendLatch`].
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 enum SendState {
     #[default]
-    Open,
+    Pending,
     Sent,
     Abandoned,
 }
 
 impl SendLatch {
-    /// Returns whether the question may be sent.
+    /// Records the request as sent, unless it was abandoned. Returns whether the caller
+    /// may send it.
     fn try_start(&self) -> bool {
         let mut state = lock(&self.state);
         if *state == SendState::Abandoned {
@@ -83,7 +89,8 @@
         true
     }
 
-    /// Returns what is known of the question once nobody waits for its answer.
+    /// Prevents the request from being sent, and returns [`PeerError::NotSent`] if that
+    /// succeeds or [`PeerError::NoAnswer`] if it was already sent.
     fn abandon(&self) -> PeerError {
         let mut state = lock(&self.state);
         if *state == SendState::Sent {
@@ -95,11 +102,12 @@
 }
 
 impl PeerPool {
-    /// Asks the process at `address`.
+    /// Sends a request to the process at `address` and returns its answer.
     ///
     /// # Errors
     ///
-    /// Returns an error that says whether the question was sent.
+    /// Returns [`PeerError::NotSent`] if the request was certainly not sent, and
+    /// [`PeerError::NoAnswer`] if it was sent but not answered within `timeout`.
     pub async fn send_request(
         &self,
         address: SocketAddrV4,
@@ -108,8 +116,8 @@
     ) -> Result<PeerAnswer, PeerError> {
         let idle_socket = self.take_idle(address);
         let bytes = encode_request(request);
-        // The blocking calls of nng are used, because its asynchronous
-        // operations wait for their own end when the last handle goes in one.
+        // This uses the blocking calls of nng. An asynchronous operation of nng would
+        // wait for its own end if the last handle were dropped inside it.
         let latch = Arc::new(SendLatch::default());
         let sender_latch = latch.clone();
         let task = tokio::task::spawn_blocking(move || {
@@ -123,8 +131,8 @@
             let answer = exchange_blocking(&socket, &bytes, timeout)?;
             Ok((socket, answer))
         });
-        // A connection to a frozen process opens only after nng's own limit of
-        // 10 seconds, for which nobody waits here.
+        // Connecting to a process that does not respond fails only after nng's own
+        // timeout of 10 seconds, which is too long to wait.
         let Ok(result) = tokio::time::timeout(timeout, task).await else {
             return Err(latch.abandon());
         };
@@ -133,6 +141,7 @@
         Ok(answer)
     }
 
+    /// Removes and returns an idle connection to `address`, if there is one.
     fn take_idle(&self, address: SocketAddrV4) -> Option<Socket> {
         let mut idle = lock(&self.idle);
         let index = idle
@@ -141,6 +150,7 @@
         Some(idle.remove(index).socket)
     }
 
+    /// Adds an idle connection, or closes it if the pool is full.
     fn store_idle(&self, connection: IdleConnection) {
         let mut idle = lock(&self.idle);
         if idle.len() >= MAX_IDLE_CONNECTIONS {
@@ -151,10 +161,11 @@
     }
 }
 
+/// Opens a connection to `address`.
 fn open_socket(address: SocketAddrV4) -> Result<Socket, PeerError> {
     let connect = || -> Result<Socket, nng::Error> {
         let socket = Socket::new(Protocol::Req0)?;
-        // A question that was sent again could be acted upon twice.
+        // If nng sent a request again, the peer could process it twice.
         socket.set_opt::<ResendTime>(None)?;
         socket.set_opt::<ReconnectMinTime>(Some(RECONNECT_DELAY))?;
         socket.dial(&format!("tcp://{address}"))?;
@@ -163,6 +174,7 @@
     connect().map_err(|_| PeerError::NotSent)
 }
 
+/// Sends an encoded request and waits for the answer.
 fn exchange_blocking(
     socket: &Socket,
     request: &[u8],
@@ -179,16 +191,17 @@
     decode_answer(message.as_slice()).ok_or(PeerError::NoAnswer)
 }
 
-/// Asks the process at `address` over a connection of its own.
+/// Sends a request to the process at `address` over a new connection and returns the
+/// answer.
 ///
 /// # Errors
 ///
-/// Returns an error when no answer comes in time.
+/// Returns an error if there is no answer within one second.
 pub async fn send_request(
     address: SocketAddrV4,
     request: PeerRequest,
 ) -> Result<PeerAnswer, Report<DaemonError>> {
-    let context = || DaemonError::new(format!("failed to ask the peer at {address}"));
+    let context = || DaemonError::new(format!("failed to send a request to the peer at {address}"));
     PeerPool::default()
         .send_request(address, &request, CONFIGURATION_TIMEOUT)
         .await
--- a/crates/hyssopstaird/src/peer/mod.rs
+++ b/crates/hyssopstaird/src/peer/mod.rs
@@ -1,5 +1,5 @@
-//! Questions between two processes, over nng: [`server`] answers them, and
-//! [`client`] asks them.
+//! Requests between two processes, transported by nng. [`client`] sends them and
+//! [`server`] answers them.
 
 pub mod client;
 pub mod server;
--- a/crates/hyssopstaird/src/peer/server.rs
+++ b/crates/hyssopstaird/src/peer/server.rs
@@ -1,4 +1,4 @@
-//! Answers the questions of other processes.
+//! Answers to requests from other processes.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -27,10 +27,10 @@
 use crate::host::settle;
 use crate::host::state::HostState;
 
-/// Questions that are worked on at once.
+/// Number of requests that are processed concurrently.
 const WORKER_COUNT: usize = 64;
 
-/// What answers are taken from.
+/// Answers requests from the state of this process.
 #[derive(Debug, Clone)]
 pub struct PeerResponder {
     node: Arc<ControlNode>,
@@ -38,7 +38,8 @@
 }
 
 impl PeerResponder {
-    /// Creates the desk of a process that is not a host yet.
+    /// Creates a responder that refuses requests to hosts until
+    /// [`Self::set_host_state`] is called.
     pub fn new(node: Arc<ControlNode>) -> Self {
         Self {
             node,
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Lets peers ask about requests from now on.
+    /// Sets the state of the host, from which requests to hosts are answered from now on.
     pub fn set_host_state(&self, state: Arc<HostState>) {
         let _ = self.host.set(state);
     }
@@ -68,12 +69,15 @@
         }
     }
 
+    /// Returns the steps from the version `above` to the one in force, or the complete
+    /// configuration if not all of these steps are stored.
     fn answer_configuration(&self, above: u64) -> PeerAnswer {
         let version = self.node.config().version();
         if version <= above {
             return PeerAnswer::UpToDate;
         }
-        // The lock must be free again before the whole text is packed.
+        // The lock must be released before the complete text is compressed, which locks
+        // the updates again.
         let steps = lock(&self.node.updates).steps(above, version);
         match steps {
             Some(steps) => PeerAnswer::ConfigurationSteps(steps),
@@ -81,6 +85,7 @@
         }
     }
 
+    /// Returns the complete configuration if its version is higher than `above`.
     fn answer_whole_configuration(&self, above: u64) -> PeerAnswer {
         let config = self.node.config();
         let version = config.version();
@@ -88,42 +93,44 @@
             return PeerAnswer::UpToDate;
         }
         match self.compressed_text(&config) {
-            Ok(packed) => PeerAnswer::Configuration {
+            Ok(compressed) => PeerAnswer::Configuration {
                 version,
-                deflated_text: packed.to_vec(),
+                deflated_text: compressed.to_vec(),
             },
             Err(error) => {
-                log::warn!(error:% = error; "config: the text cannot be packed");
+                log::warn!(error:% = error; "config: failed to compress the text");
                 PeerAnswer::Refused
             }
         }
     }
 
+    /// Returns the compressed text of the configuration, and stores it for later requests.
     fn compressed_text(&self, config: &ConfigState) -> std::io::Result<Arc<[u8]>> {
         let version = config.version();
-        if let Some(packed) = lock(&self.node.updates).packed(version) {
-            return Ok(packed);
+        if let Some(compressed) = lock(&self.node.updates).packed(version) {
+            return Ok(compressed);
         }
-        // The lock is not held meanwhile; at worst two questions do it twice.
-        let packed: Arc<[u8]> = deflate_text(config.text())?.into();
-        lock(&self.node.updates).keep_packed(version, Arc::clone(&packed));
-        Ok(packed)
+        // The lock is not held during compression; concurrent requests may compress the
+        // same text more than once.
+        let compressed: Arc<[u8]> = deflate_text(config.text())?.into();
+        lock(&self.node.updates).keep_packed(version, Arc::clone(&compressed));
+        Ok(compressed)
     }
 }
 
-/// What must live for as long as peers are answered: nng gives up whatever has
-/// no handle left.
+/// The handles of a running server. nng closes an object when its last handle is dropped.
 #[derive(Debug)]
 pub struct PeerServer {
     _socket: Socket,
     _workers: Vec<Aio>,
 }
 
-/// Answers questions of peers until the server that it returns is dropped.
+/// Starts to answer requests from peers at `address`. The server runs until the returned
+/// handle is dropped.
 ///
 /// # Errors
 ///
-/// Returns an error when the address is in use.
+/// Returns an error if the address cannot be bound.
 pub fn start_server(
     address: SocketAddrV4,
     responder: &PeerResponder,
@@ -157,6 +164,8 @@
     })
 }
 
+/// Handles the completion of an asynchronous nng operation of a worker: starts to answer
+/// a received request, or waits for the next request after an answer was sent.
 fn handle_event(
     worker: &Context,
     aio: &Aio,
@@ -172,11 +181,11 @@
             handle.spawn(async move {
                 let answer = answer_message(&responder, &message).await;
                 if worker.send(&aio, answer).is_err() {
-                    log::warn!("peer: an answer could not be sent");
+                    log::warn!("peer: failed to send an answer");
                 }
             });
         }
-        // The process stops: another wait would keep nng from letting go.
+        // The socket is being closed. Another receive operation would block its closing.
         AioResult::Recv(Err(nng::Error::Closed | nng::Error::Canceled)) => {}
         AioResult::Send(_) | AioResult::Recv(Err(_)) => {
             let _ = worker.recv(aio);
@@ -185,6 +194,7 @@
     }
 }
 
+/// Decodes a request and returns the encoded answer. Malformed requests are refused.
 async fn answer_message(responder: &PeerResponder, message: &Message) -> Message {
     let answer = match decode_request(message.as_slice()) {
         Some(request) => responder.answer_request(request).await,
