--- a/crates/hyssopstaird/src/host/answer.rs
+++ b/crates/hyssopstaird/src/host/answer.rs
@@ -1,4 +1,4 @@
-//! Answers callers.
+//! Answers to callers, each with a verdict that says whether the request ran.
 
 use std::time::Duration;
 
@@ -21,19 +21,20 @@
 
 use crate::host::backend::BackendAnswer;
 
-/// An answer that the host gives by itself.
+/// An answer that the host generates itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HostAnswer {
-    /// The status.
+    /// The HTTP status code.
     pub status: StatusCode,
-    /// What is known of the request.
+    /// Whether the request ran, as far as the host knows.
     pub verdict: RequestVerdict,
-    /// One sentence for people.
+    /// A sentence for the body that explains the status.
     pub text: &'static str,
 }
 
 impl HostAnswer {
-    /// The request did not run; the caller may come back.
+    /// Returns an answer with status 503 for a request that did not run and may be retried
+    /// after `retry_after`.
     pub fn not_run(retry_after: Duration) -> Self {
         Self {
             status: StatusCode::SERVICE_UNAVAILABLE,
@@ -42,7 +43,7 @@
         }
     }
 
-    /// The request is wrong and did not run.
+    /// Returns an answer for an invalid request, which did not run.
     pub fn rejected(status: StatusCode, text: &'static str) -> Self {
         let verdict = RequestVerdict::NotRun {
             retry_after: Duration::ZERO,
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Nobody knows whether the request ran.
+    /// Returns an answer for a request of which it is unknown whether it ran.
     pub fn may_have_run(status: StatusCode, text: &'static str) -> Self {
         Self {
             status,
@@ -63,7 +64,8 @@
         }
     }
 
-    /// The request ran; its answer is not kept.
+    /// Returns an answer for a request that has already run and whose answer was not
+    /// stored.
     pub fn done_without_reply() -> Self {
         Self {
             status: StatusCode::CONFLICT,
@@ -73,19 +75,20 @@
     }
 }
 
-/// The stream of one request, and the tickets that go with its answer.
+/// Writes the answer to a request, with the tickets that are issued to its caller.
 pub struct AnswerWriter<'a, S: BidiStream<Bytes>> {
     stream: &'a mut RequestStream<S, Bytes>,
     tickets: Vec<String>,
 }
 
 impl<'a, S: BidiStream<Bytes>> AnswerWriter<'a, S> {
-    /// Wraps a stream.
+    /// Creates a writer for the stream of a request. `tickets` are sent in headers of the
+    /// answer.
     pub fn new(stream: &'a mut RequestStream<S, Bytes>, tickets: Vec<String>) -> Self {
         Self { stream, tickets }
     }
 
-    /// Gives an answer of the host.
+    /// Sends an answer that the host generated.
     pub async fn send_answer(self, answer: HostAnswer) {
         let body = format!("{}: {}\n", answer.verdict.header_value(), answer.text);
         let mut response = Response::new(());
@@ -99,7 +102,7 @@
             .await;
     }
 
-    /// Gives a whole answer of the backend server.
+    /// Sends a complete answer of a backend server.
     pub async fn send_reply(self, reply: BackendReply) {
         let status = StatusCode::from_u16(reply.status).unwrap_or(StatusCode::BAD_GATEWAY);
         let response = build_response(status, &reply.headers);
@@ -108,8 +111,8 @@
             .await;
     }
 
-    /// Gives an answer of the backend server as it comes, and returns whether
-    /// all of it came.
+    /// Sends an answer of the backend server while its body is received, and returns
+    /// whether the complete answer was sent.
     pub async fn stream_answer(mut self, mut answer: Box<BackendAnswer>) -> bool {
         let mut response = build_response(answer.head.status, &answer.header_fields());
         self.add_headers(&mut response, reply_verdict(answer.head.status));
@@ -144,7 +147,8 @@
         true
     }
 
-    /// Resets the stream, because the answer is not whole and must not look so.
+    /// Resets the stream, so that the caller does not mistake a truncated answer for a
+    /// complete one.
     fn reset_stream(&mut self) {
         self.stream.stop_stream(Code::H3_INTERNAL_ERROR);
     }
@@ -173,8 +177,9 @@
     }
 }
 
-/// A gateway status of the backend server leaves it open what happened behind
-/// it; any other answer is the answer.
+/// Returns the verdict for an answer of the backend server. With a gateway error it is
+/// unknown whether the request ran behind the backend server; any other status means that
+/// the request is done.
 fn reply_verdict(status: StatusCode) -> RequestVerdict {
     match status {
         StatusCode::BAD_GATEWAY | StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT => {
@@ -184,6 +189,7 @@
     }
 }
 
+/// Returns a response without a body. Invalid header fields are left out.
 fn build_response(status: StatusCode, fields: &[HeaderField]) -> Response<()> {
     let mut response = Response::new(());
     *response.status_mut() = status;
@@ -197,6 +203,7 @@
     response
 }
 
+/// Returns the duration in seconds, rounded up.
 fn ceil_seconds(time: Duration) -> u64 {
     time.as_millis().div_ceil(1_000) as u64
 }
--- a/crates/hyssopstaird/src/host/backend.rs
+++ b/crates/hyssopstaird/src/host/backend.rs
@@ -1,7 +1,7 @@
-//! Speaks HTTP to the backend server.
+//! HTTP client for the backend server.
 //!
-//! Each request has a connection of its own, so that closing it cancels just
-//! this request.
+//! Each request uses a connection of its own, so that closing the connection cancels
+//! exactly this request.
 
 use std::time::Duration;
 
@@ -35,66 +35,68 @@
 use crate::host::state::HostState;
 use crate::host::tickets::TicketClaim;
 
-/// Header by which a backend server says that it refused a request with status
-/// 503 before it did anything.
+/// Response header with which a backend server, in an answer with status 503, confirms that
+/// it has shed the request without running any part of it.
 const SHED_HEADER: &str = "hyssopstair-shed";
 
-/// Longest wait for a connection to the backend server.
+/// Maximum time to connect to the backend server.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// When a request may be tried again that the backend server did not take.
+/// Time after which a caller may retry a request that the backend server did not accept.
 const RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Longest answer that is kept whole, in bytes.
+/// Maximum length of the body of an answer that is collected and stored, in bytes.
 const MAX_REPLY_BYTES: usize = 256 << 10;
 
-/// What came of the hand-over of a request.
+/// The result of sending a request to the backend server.
 #[derive(Debug)]
 pub enum BackendResult {
-    /// An answer begins.
+    /// The head of the answer was received.
     Answer(Box<BackendAnswer>),
-    /// The request provably did not run.
+    /// The request certainly did not run.
     NotRun {
-        /// When it may be tried again.
+        /// Time after which the request may be retried.
         retry_after: Duration,
     },
-    /// Nobody knows whether the request ran.
+    /// It is unknown whether the request ran.
     MayHaveRun,
-    /// The same, because the deadline passed.
+    /// No answer was received before the deadline; it is unknown whether the request ran.
     TimedOut,
 }
 
-/// An answer whose body still comes.
+/// An answer whose body is still being received.
 #[derive(Debug)]
 pub struct BackendAnswer {
-    /// Status and headers.
+    /// The status and the header fields.
     pub head: Parts,
-    /// The part of the body that is there.
+    /// The part of the body that was already read.
     pub buffered: Vec<u8>,
-    /// The rest.
+    /// The rest of the body.
     pub body: Incoming,
-    /// The slot, for requests that take one.
+    /// The slot of the request. Streams have none.
     pub slot: Option<SlotGuard>,
 }
 
-/// What came of collecting an answer.
+/// The result of collecting an answer.
 #[derive(Debug)]
 pub enum CollectedAnswer {
-    /// The answer is whole.
+    /// The complete answer.
     Complete(BackendReply),
-    /// It is longer than is kept.
+    /// The answer is too long to be collected; its body was read in part.
     TooLong(Box<BackendAnswer>),
-    /// It broke off.
+    /// The answer ended before it was complete, or its end cannot be detected.
     Truncated,
 }
 
-/// Limits the warning that the backend server cannot be reached.
+/// Limits the warning that the backend server is unreachable.
 static UNREACHABLE_LIMITER: SharedLimiter = SharedLimiter::new();
 
-/// Limits the warning that the backend server breaks off.
+/// Limits the warning that the backend server did not answer a request.
 static INTERRUPTED_LIMITER: SharedLimiter = SharedLimiter::new();
 
-/// Hands a request to the backend server, and returns when its answer begins.
+/// Sends a request to the backend server and waits for the head of the answer until the
+/// deadline. Immediately before sending, records the hand-over in `claim` if there is one.
+/// `slot` is released unless an answer is returned, which then owns it.
 pub async fn run_call(
     state: &HostState,
     call: &BackendCall,
@@ -105,12 +107,13 @@
     let connect = TcpStream::connect(state.backend);
     let Ok(Ok(stream)) = tokio::time::timeout(CONNECT_TIMEOUT, connect).await else {
         if let Some(held_back) = UNREACHABLE_LIMITER.warn(state.node.clock.now()) {
-            log::warn!(held_back; "proxy: the backend server cannot be reached");
+            log::warn!(held_back; "proxy: the backend server is unreachable");
         }
         return fail_call(slot);
     };
     let remaining = deadline.map(|deadline| deadline.since(state.node.clock.now()));
-    // The wait for the connection may have been long: ask again right here.
+    // The deadline may have passed while the connection was opened, so it is checked
+    // immediately before the request is sent.
     let is_refused = match (claim, deadline) {
         (Some(claim), Some(deadline)) => claim.hand_over(deadline).is_err(),
         _ => remaining.is_some_and(|remaining| remaining.is_zero()),
@@ -127,7 +130,7 @@
         Ok(Err(SendError::NotSent)) => fail_call(slot),
         Ok(Err(SendError::Interrupted(error))) => {
             if let Some(held_back) = INTERRUPTED_LIMITER.warn(state.node.clock.now()) {
-                log::warn!(error:% = error, held_back; "proxy: the backend server gave no answer");
+                log::warn!(error:% = error, held_back; "proxy: the backend server closed the connection without an answer");
             }
             if let Some(slot) = slot {
                 slot.release(SlotEnd::Failed);
@@ -143,6 +146,7 @@
     }
 }
 
+/// Releases the slot of a request that could not be sent.
 fn fail_call(slot: Option<SlotGuard>) -> BackendResult {
     if let Some(slot) = slot {
         slot.release(SlotEnd::Failed);
@@ -152,6 +156,7 @@
     }
 }
 
+/// Returns the answer, or `NotRun` if the backend server has shed the request.
 fn read_response(response: Response<Incoming>, slot: Option<SlotGuard>) -> BackendResult {
     let is_shed = response.status() == StatusCode::SERVICE_UNAVAILABLE
         && response.headers().contains_key(SHED_HEADER);
@@ -172,14 +177,15 @@
     }))
 }
 
-/// Why there is no answer.
+/// The reason why a request has no answer.
 enum SendError {
-    /// Nothing was sent.
+    /// No part of the request was sent.
     NotSent,
-    /// The request was sent, in part at least.
+    /// At least a part of the request was sent.
     Interrupted(hyper::Error),
 }
 
+/// Sends a request over a new connection and returns the response.
 async fn send_call(
     stream: TcpStream,
     call: &BackendCall,
@@ -198,6 +204,8 @@
     })
 }
 
+/// Returns the HTTP request for a call, with the time until the deadline and the trace
+/// context in its headers, or `None` if a part of the call is invalid.
 fn build_request(call: &BackendCall, remaining: Option<Duration>) -> Option<Request<Full<Bytes>>> {
     let mut request = Request::new(Full::new(Bytes::copy_from_slice(&call.body)));
     *request.method_mut() = call.method.parse().ok()?;
@@ -217,18 +225,19 @@
 }
 
 impl BackendAnswer {
-    /// Returns whether the end of the body can be told from a lost connection.
+    /// Returns whether the end of the body can be distinguished from a lost connection,
+    /// which is the case if its length is known or it is sent in chunks.
     pub fn has_detectable_end(&self) -> bool {
         self.body.size_hint().exact().is_some()
             || self.head.headers.contains_key(header::TRANSFER_ENCODING)
     }
 
-    /// Returns the headers that go to the caller.
+    /// Returns the header fields that are forwarded to the caller.
     pub fn header_fields(&self) -> Vec<HeaderField> {
         forwarded_header_fields(&self.head.headers)
     }
 
-    /// Reads the body to its end if it is short enough to be kept.
+    /// Reads the body to its end, unless it is longer than `MAX_REPLY_BYTES`.
     pub async fn collect(mut self: Box<Self>) -> CollectedAnswer {
         if !self.has_detectable_end() {
             return CollectedAnswer::Truncated;
--- a/crates/hyssopstaird/src/host/connection.rs
+++ b/crates/hyssopstaird/src/host/connection.rs
@@ -1,4 +1,8 @@
-//! Connection IDs and reset tokens for QUIC.
+//! Generation of QUIC connection IDs and stateless reset tokens.
+//!
+//! A connection ID is a sealed route token, from which any balancer can determine the host
+//! of a flow. Reset tokens depend only on the fleet secret, so that any process can send a
+//! stateless reset.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU32;
@@ -19,14 +23,14 @@
 
 use crate::host::state::HostState;
 
-/// Issues route tokens as connection IDs.
+/// Generates route tokens as connection IDs.
 pub struct TokenIssuer {
     state: Arc<HostState>,
     nonce: Arc<AtomicU32>,
 }
 
 impl TokenIssuer {
-    /// Creates an issuer; all issuers of a host share `nonce`.
+    /// Creates an issuer. All issuers of a host must share the counter `nonce`.
     pub fn new(state: Arc<HostState>, nonce: Arc<AtomicU32>) -> Self {
         Self { state, nonce }
     }
@@ -35,7 +39,8 @@
 impl ConnectionIdGenerator for TokenIssuer {
     fn generate_cid(&mut self) -> ConnectionId {
         let view = self.state.node.view();
-        // Flows are accepted only with a configuration that names the service.
+        // The fallback values are not used: flows are accepted only if a configuration names
+        // the service.
         let number = view.rules.sealing_key().unwrap_or(KeyNumber(0));
         let token = RouteToken {
             key: number,
@@ -59,13 +64,13 @@
     }
 }
 
-/// The key of reset tokens, which all processes of a fleet share.
+/// The key of stateless reset tokens, which is the same in all processes of a fleet.
 pub struct ResetKey {
     secret: [u8; SECRET_LENGTH],
 }
 
 impl ResetKey {
-    /// Wraps the secret.
+    /// Creates the key from a secret that is derived from the fleet secret.
     pub fn new(secret: [u8; SECRET_LENGTH]) -> Self {
         Self { secret }
     }
--- a/crates/hyssopstaird/src/host/ingress.rs
+++ b/crates/hyssopstaird/src/host/ingress.rs
@@ -1,4 +1,4 @@
-//! Takes in the packets that other processes send to a host.
+//! Processing of the packets that a host receives from other processes.
 
 use std::sync::Arc;
 
@@ -22,16 +22,17 @@
 use crate::host::state::HostState;
 use crate::telemetry;
 
-/// Tasks that read the inner socket.
+/// Number of tasks that read the inner socket.
 const READER_TASKS: usize = 2;
 
-/// Starts the readers.
+/// Starts the tasks that read the inner socket.
 pub fn spawn_readers(state: &Arc<HostState>) {
     for _ in 0..READER_TASKS {
         tokio::spawn(read_inner(state.clone()));
     }
 }
 
+/// Processes received packets until the process ends.
 async fn read_inner(state: Arc<HostState>) {
     let mut buffer = vec![0; MAX_PACKET_LENGTH];
     let mut outgoing = vec![0; MAX_PACKET_LENGTH];
@@ -53,6 +54,9 @@
     }
 }
 
+/// Processes a datagram that a balancer or another host has forwarded: passes it to QUIC,
+/// forwards it to another host, answers it with a reset, or drops it. `payload` is the
+/// packet without its kind.
 async fn receive_packet(state: &Arc<HostState>, payload: &[u8], outgoing: &mut [u8]) {
     let Ok((header, datagram)) = split_message::<ForwardHeader>(payload) else {
         telemetry::count_dropped_packet(DropReason::Malformed);
@@ -72,8 +76,8 @@
             state.packet_queue.push(header.caller, datagram.to_vec());
         }
         HostAction::PassOn { host, mut header } => {
-            // The other host may have left a moment ago: it can send the flow
-            // back to this one.
+            // The other host may have started to drain in the meantime. It can then send
+            // the flow back to this host.
             header.second = Some(SecondHost {
                 process: state.node.process_id(),
                 weight: 1,
@@ -93,15 +97,17 @@
     }
 }
 
+/// Sends a stateless reset to the caller through the balancer in `header`. A reset must be
+/// shorter than the datagram that triggers it, whose length is `trigger_length`.
 async fn send_reset(
     state: &HostState,
     header: &ForwardHeader,
-    connection: &[u8],
+    connection_id: &[u8],
     trigger_length: usize,
 ) {
     let view = state.node.view();
     let key = view.reset_secret();
-    let Some(reset) = reset_packet(key, connection, trigger_length, rand::random()) else {
+    let Some(reset) = reset_packet(key, connection_id, trigger_length, rand::random()) else {
         return;
     };
     COUNTS.resets_sent.increment();
--- a/crates/hyssopstaird/src/host/mod.rs
+++ b/crates/hyssopstaird/src/host/mod.rs
@@ -1,10 +1,10 @@
-//! The role of a host: ends the callers' flows beside a backend server.
+//! The host role, which terminates callers' flows beside a backend server.
 //!
-//! [`ingress`] takes packets in, [`socket`] shows them to QUIC, [`connection`]
-//! issues connection IDs, [`server`] serves HTTP/3, and [`proxy`] decides about
-//! each request with [`tickets`], [`slots`], [`settle`] and [`relay`]. [`request`]
-//! reads it, [`backend`] speaks to the backend server and [`answer`] to the
-//! caller.
+//! [`ingress`] receives packets, [`socket`] passes them to QUIC, [`connection`] issues
+//! connection IDs, and [`server`] serves HTTP/3. [`proxy`] handles each request: it uses
+//! [`request`] to read the request, [`tickets`] and [`settle`] to prevent that it runs
+//! twice, [`slots`] to limit the load of the backend server, [`backend`] to forward the
+//! request, [`relay`] to try another host, and [`answer`] to answer the caller.
 
 pub mod answer;
 pub mod backend;
@@ -32,11 +32,12 @@
 
 pub use crate::host::server::HostHandle;
 
-/// Starts to serve.
+/// Starts the host: it accepts flows from callers and answers requests from other hosts.
 ///
 /// # Errors
 ///
-/// Returns an error when the certificate cannot be used.
+/// Returns an error if the certificate or its key cannot be loaded, or if the QUIC
+/// endpoint cannot be opened.
 pub async fn start(
     settings: &HostSettings,
     node: Arc<ControlNode>,
--- a/crates/hyssopstaird/src/host/proxy.rs
+++ b/crates/hyssopstaird/src/host/proxy.rs
@@ -1,4 +1,10 @@
-//! Serves the requests of callers.
+//! Handling of callers' requests.
+//!
+//! A request that is not idempotent needs a ticket. Its host claims the ticket, and
+//! records whether the request ran, before the caller receives an answer. A copy of the
+//! request that arrives later with the same ticket therefore gets the recorded outcome and
+//! does not run again. Idempotent requests need no ticket and are cancelled when their flow
+//! ends. Streams, whose answers last for hours, need neither a slot nor a deadline.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -34,21 +40,21 @@
 use crate::host::tickets::TicketClaim;
 use crate::host::tickets::TicketResult;
 
-/// What a caller is answered.
+/// The result of a request, from which the caller's answer is created.
 enum ServeResult {
-    /// An answer of the backend server, as it comes.
+    /// An answer of the backend server whose body is still being received.
     Streamed(Box<BackendAnswer>),
-    /// A whole answer of a backend server.
+    /// A complete answer of a backend server.
     Reply(BackendReply),
-    /// An answer of the host.
+    /// An answer that the host generated.
     Host(HostAnswer),
-    /// As before, with one fresh ticket at least.
+    /// The request needs a new ticket, which is sent with the answer.
     NeedsTicket,
-    /// Nothing: the caller is gone.
+    /// The caller's flow has ended, so that no answer is sent.
     CallerGone,
 }
 
-/// Serves one request of a caller.
+/// Handles a request of a caller. `flow` is the connection on which it was received.
 pub async fn serve_request<S: BidiStream<Bytes>>(
     state: &Arc<HostState>,
     head: Request<()>,
@@ -88,8 +94,8 @@
     let request = CallerRequest::new(&head, &body, &service, now);
     match request.class {
         RequestClass::Idempotent => {
-            // A flow that ends cancels the request: the connection to the
-            // backend server closes and the slot is free again.
+            // If the flow ends, the request is cancelled: the connection to the backend
+            // server is closed and the slot is released.
             tokio::select! {
                 () = serve_idempotent(state, &service, &request, &mut stream) => {}
                 _ = flow.closed() => {}
@@ -102,6 +108,7 @@
     }
 }
 
+/// Answers a request whose body could not be read.
 async fn reject_body<S: BidiStream<Bytes>>(stream: &mut RequestStream<S, Bytes>, error: BodyError) {
     let answer = match error {
         BodyError::TooLong => {
@@ -117,7 +124,8 @@
         .await;
 }
 
-/// Serves an answer that lasts for hours: it takes no slot and has no deadline.
+/// Handles a request for a stream, whose answer lasts for hours. It acquires no slot and
+/// has no deadline.
 async fn serve_stream<S: BidiStream<Bytes>>(
     state: &Arc<HostState>,
     head: &Request<()>,
@@ -148,6 +156,7 @@
     }
 }
 
+/// Sends the answer for a result, with the tickets that the caller needs.
 async fn send_result<S: BidiStream<Bytes>>(
     state: &HostState,
     request: &CallerRequest,
@@ -176,8 +185,8 @@
     }
 }
 
-/// Returns the number of tickets that go with an answer. A refusal has made the
-/// ticket of its request void, so that the caller needs another.
+/// Returns the number of tickets that are sent with an answer. A refused request has made
+/// its ticket void, so the caller needs at least one new ticket to retry it.
 fn count_tickets(state: &HostState, request: &CallerRequest, result: &ServeResult) -> usize {
     if state.is_draining() {
         return 0;
@@ -193,6 +202,8 @@
     request.ticket_count.max(usize::from(needs_new_ticket))
 }
 
+/// Handles an idempotent request, which is relayed to another host if it gets no answer on
+/// this one.
 async fn serve_idempotent<S: BidiStream<Bytes>>(
     state: &Arc<HostState>,
     service: &ServiceRule,
@@ -213,13 +224,14 @@
     };
     let timeout = remaining_time(state, request.deadline);
     let send = send_result(state, request, result, stream);
-    // An answer that is not whole at the deadline is broken off.
+    // An answer that is not complete at the deadline is cut off.
     let _ = tokio::time::timeout(timeout.max(MIN_SEND_TIME), send).await;
 }
 
-/// Time to send an answer that came at the deadline.
+/// Minimum time to send an answer that was received shortly before the deadline.
 const MIN_SEND_TIME: Duration = Duration::from_millis(100);
 
+/// Handles a request that must not run twice.
 async fn serve_once(
     state: &Arc<HostState>,
     service: &ServiceRule,
@@ -231,8 +243,8 @@
         result => return to_serve_result(result),
     };
     let acquire = slots::acquire_slot(state, service, request.class, request.deadline);
-    // Until the hand-over a flow that ends cancels the request. Afterwards the
-    // request runs to its end, and its outcome is kept for the next copy.
+    // The end of the flow cancels the request until it is sent to the backend server.
+    // After that it runs to its end, and its outcome is stored for a later copy.
     let slot = if state.is_draining() {
         Err(Duration::ZERO)
     } else {
@@ -264,6 +276,8 @@
     }
 }
 
+/// Relays a request that must not run twice and records its outcome. `retry_after` is sent
+/// to the caller if the request did not run on the other host either.
 async fn relay_once(
     state: &HostState,
     service: &ServiceRule,
@@ -287,8 +301,9 @@
     }
 }
 
-/// Reads the answer to its end before the caller sees any of it, so that its
-/// outcome is known even if the caller is gone.
+/// Reads the complete answer before any part of it is sent to the caller, and records the
+/// outcome, which is then known even if the caller has disconnected. An answer that is too
+/// long is recorded as done without its content.
 async fn store_answer(
     state: &HostState,
     request: &CallerRequest,
@@ -316,11 +331,12 @@
     }
 }
 
+/// Returns the outcome of a request with a complete answer.
 fn stored_outcome(reply: &BackendReply) -> RunOutcome {
     RunOutcome::Done(Some(encode_reply(reply).into()))
 }
 
-/// Runs a request here, if there is a slot in time.
+/// Runs a request on this host if it acquires a slot in time.
 async fn run_locally(
     state: &Arc<HostState>,
     service: &ServiceRule,
@@ -341,10 +357,12 @@
     }
 }
 
+/// Returns the time until the deadline.
 fn remaining_time(state: &HostState, deadline: MonotonicTime) -> Duration {
     deadline.since(state.node.clock.now())
 }
 
+/// Returns the result of a request whose ticket could not be claimed.
 fn to_serve_result(result: TicketResult) -> ServeResult {
     match result {
         TicketResult::Reply(reply) => ServeResult::Reply(reply),
@@ -367,6 +385,7 @@
     }
 }
 
+/// Returns the answer for a request that got no answer of the backend server.
 fn to_host_answer(result: &BackendResult) -> HostAnswer {
     match result {
         BackendResult::NotRun { retry_after } => HostAnswer::not_run(*retry_after),
--- a/crates/hyssopstaird/src/host/relay.rs
+++ b/crates/hyssopstaird/src/host/relay.rs
@@ -1,4 +1,9 @@
-//! Requests that are tried at another host of the service.
+//! Relaying of requests to another host of the same service.
+//!
+//! A host relays a request that its own backend server did not run or, if the request is
+//! idempotent, did not answer. It relays each request at most once, and only if the retry
+//! budget allows it. The other host runs the request if it has a free slot and otherwise
+//! refuses it at once.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -33,25 +38,24 @@
 use crate::host::tickets::TicketClaim;
 use crate::peer::client::PeerError;
 
-/// How long a peer that does not answer is left alone.
+/// Time for which no requests are relayed to a peer that did not answer or refused one.
 const PEER_RETRY_DELAY: Duration = Duration::from_secs(2);
 
-/// Longest body that is relayed, in bytes.
+/// Maximum length of the body of a relayed request, in bytes.
 const MAX_RELAY_BODY_BYTES: usize = 256 << 10;
 
-/// What came of a try at another host.
+/// The result of relaying a request.
 #[derive(Debug)]
 pub enum RelayResult {
-    /// The request ran, with this answer.
+    /// The request ran and has this answer.
     Reply(BackendReply),
-    /// It did not run.
+    /// The request did not run.
     NotRun,
-    /// Nobody knows whether it ran.
+    /// It is unknown whether the request ran.
     MayHaveRun,
 }
 
-/// Tries a request that did not run here at one other host, if the budget of
-/// the service allows it.
+/// Relays a request to another host, if one is available and the retry budget allows it. Records the hand-over in `claim` if there is one.
 pub async fn relay_request(
     state: &HostState,
     service: &ServiceRule,
@@ -75,6 +79,7 @@
     result
 }
 
+/// Sends a request to `peer` and waits for the answer until the deadline.
 async fn send_relay(
     state: &HostState,
     service: &ServiceRule,
@@ -99,7 +104,8 @@
         .await
 }
 
-/// Puts the present span into a call that another host makes.
+/// Sets the trace header of a call to the current span, so that the spans of the other host
+/// become its children.
 fn set_trace_header(call: &mut BackendCall) {
     if let Some(value) = trace_header() {
         call.headers.retain(|field| field.name != TRACE_HEADER);
@@ -110,7 +116,7 @@
     }
 }
 
-/// Returns the span that a call of another host belongs to.
+/// Returns the value of the trace header of a relayed call.
 fn find_trace_header(call: &BackendCall) -> Option<&str> {
     let field = call
         .headers
@@ -119,6 +125,9 @@
     std::str::from_utf8(&field.value).ok()
 }
 
+/// Chooses the host to which a request is relayed and spends one attempt of the retry
+/// budget. Returns `None` if the body is too long, the deadline has passed, no host is
+/// available or the budget is exhausted.
 fn choose_peer(
     state: &HostState,
     service: &ServiceRule,
@@ -142,6 +151,7 @@
     lock(&state.retry_budget).try_spend().then_some(peer)
 }
 
+/// Converts the answer of a peer, and records its load and how long to avoid it.
 fn read_relay_answer(
     state: &HostState,
     peer: ProcessId,
@@ -172,7 +182,7 @@
     }
 }
 
-/// Runs a request that another host has handed over, or refuses it at once.
+/// Runs a request that another host has relayed, or refuses it at once.
 pub async fn answer_relay_request(state: &Arc<HostState>, request: RelayRequest) -> RelayAnswer {
     let Some(service) = state.service_rule() else {
         return RelayAnswer {
@@ -188,6 +198,7 @@
     }
 }
 
+/// Runs a relayed request if it is received for the first time and a slot is free.
 async fn run_relayed(
     state: &Arc<HostState>,
     service: &ServiceRule,
--- a/crates/hyssopstaird/src/host/request.rs
+++ b/crates/hyssopstaird/src/host/request.rs
@@ -1,4 +1,4 @@
-//! Reads a request of a caller.
+//! Parsing of callers' requests.
 
 use std::time::Duration;
 
@@ -15,53 +15,55 @@
 use hyssopstair_wire::peer::HeaderField;
 use hyssopstair_wire::time::MonotonicTime;
 
-/// Request header that carries a ticket.
+/// Request header that contains a ticket.
 pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 
-/// Request header that gives the time that the caller waits, in milliseconds;
-/// backend servers are given the time that is left in it.
+/// Request header with the time that the caller waits for the answer, in milliseconds.
+/// Requests to backend servers contain the remaining time in the same header.
 pub const DEADLINE_HEADER: &str = "hyssopstair-deadline";
 
-/// Request header that gives the time that the caller waits, as gRPC writes it.
+/// Request header with the time that the caller waits for the answer, in the format of
+/// gRPC.
 const GRPC_TIMEOUT_HEADER: &str = "grpc-timeout";
 
-/// Request header that gives the number of tickets that the caller wants.
+/// Request header with the number of tickets that the caller requests.
 const TICKETS_HEADER: &str = "hyssopstair-tickets";
 
-/// Most tickets that one answer carries.
+/// Maximum number of tickets that one answer contains.
 const MAX_TICKETS: usize = 32;
 
-/// Longest request body in bytes.
+/// Maximum length of a request body, in bytes.
 const MAX_BODY_BYTES: usize = 1 << 20;
 
-/// A whole request of a caller.
+/// A completely received request of a caller.
 #[derive(Debug)]
 pub struct CallerRequest {
-    /// What the backend server is asked.
+    /// The request to the backend server.
     pub call: BackendCall,
-    /// The idempotency key, empty when there is none.
+    /// The value of the header `idempotency-key`, or an empty string if it is missing.
     pub key: String,
-    /// How much the request counts.
+    /// Whether the request may run more than once.
     pub class: RequestClass,
-    /// When the caller stops waiting.
+    /// The time at which the caller stops waiting for the answer.
     pub deadline: MonotonicTime,
-    /// Tickets that the caller wants with the answer.
+    /// Number of tickets that the caller requests with the answer.
     pub ticket_count: usize,
 }
 
-/// Why the body of a request is not there.
+/// The reason why the body of a request could not be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BodyError {
-    /// The caller broke off.
+    /// The caller cancelled the request.
     Cancelled,
-    /// The body is longer than a host takes.
+    /// The body is longer than `MAX_BODY_BYTES`.
     TooLong,
-    /// The body is not as long as the caller announced.
+    /// The length of the body differs from the header `content-length`.
     LengthMismatch,
 }
 
 impl CallerRequest {
-    /// Puts a request together that arrived at `now`.
+    /// Creates a request from its parts. `now` is the time at which its head was received,
+    /// from which the deadline is computed.
     pub fn new(head: &Request<()>, body: &[u8], service: &ServiceRule, now: MonotonicTime) -> Self {
         let method = head.method().as_str();
         let class = if service.is_idempotent(method, head.uri().path()) {
@@ -80,7 +82,8 @@
     }
 }
 
-/// Returns how long the caller of a request waits at most.
+/// Returns the time that the caller waits for the answer, limited by the deadline of the
+/// service.
 pub fn request_timeout(headers: &HeaderMap, service: &ServiceRule) -> Duration {
     let max_timeout = Duration::from_millis(u64::from(service.deadline_millis));
     let own_timeout = header_text(headers, DEADLINE_HEADER)
@@ -93,13 +96,13 @@
         .map_or(max_timeout, |timeout| timeout.min(max_timeout))
 }
 
-/// Returns the number of tickets that a caller wants with the answer.
+/// Returns the number of tickets that a caller requests, at most `MAX_TICKETS`.
 pub fn requested_ticket_count(headers: &HeaderMap) -> usize {
     let requested = header_text(headers, TICKETS_HEADER).parse().unwrap_or(0);
     MAX_TICKETS.min(requested)
 }
 
-/// Returns what the backend server is asked for a request.
+/// Returns the request to the backend server for a caller's request.
 pub fn build_backend_call(head: &Request<()>, body: &[u8]) -> BackendCall {
     let path = head
         .uri()
@@ -114,11 +117,11 @@
     }
 }
 
-/// Copies headers that concern more than one connection.
+/// Returns the header fields of a request or answer that are forwarded.
 pub fn forwarded_header_fields(headers: &HeaderMap) -> Vec<HeaderField> {
     headers
         .iter()
-        .filter(|(name, _)| !is_hop_by_hop(name.as_str()))
+        .filter(|(name, _)| !is_stripped(name.as_str()))
         .map(|(name, value)| HeaderField {
             name: name.as_str().to_owned(),
             value: value.as_bytes().to_vec(),
@@ -126,7 +129,9 @@
         .collect()
 }
 
-fn is_hop_by_hop(name: &str) -> bool {
+/// Returns whether the host strips a header field, which either applies only to a single
+/// connection or is set by the host.
+fn is_stripped(name: &str) -> bool {
     let names = [
         header::CONNECTION.as_str(),
         header::HOST.as_str(),
@@ -141,11 +146,12 @@
     names.contains(&name)
 }
 
-/// Reads the body of a request.
+/// Reads the complete body of a request.
 ///
 /// # Errors
 ///
-/// Returns an error when the body is not whole.
+/// Returns an error if the caller cancels the request, or if the body is too long or does
+/// not have the announced length.
 pub async fn read_body<S: BidiStream<Bytes>>(
     headers: &HeaderMap,
     stream: &mut RequestStream<S, Bytes>,
@@ -166,6 +172,7 @@
     Ok(body)
 }
 
+/// Returns the value of a header, or an empty string if it is missing or not ASCII text.
 fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> &'a str {
     headers
         .get(name)
@@ -173,6 +180,8 @@
         .unwrap_or("")
 }
 
+/// Parses a gRPC timeout, a number followed by a unit, such as `250m` for 250
+/// milliseconds.
 fn parse_grpc_timeout(text: &str) -> Option<Duration> {
     let (number, unit) = text.split_at_checked(text.len().checked_sub(1)?)?;
     let number: u64 = number.parse().ok()?;
--- a/crates/hyssopstaird/src/host/server.rs
+++ b/crates/hyssopstaird/src/host/server.rs
@@ -1,4 +1,4 @@
-//! Serves HTTP/3 to callers.
+//! The HTTP/3 server for callers.
 
 use std::fs;
 use std::sync::Arc;
@@ -31,24 +31,25 @@
 use crate::host::state::HostState;
 use crate::telemetry::TracedRequest;
 
-/// A flow that is silent for this long is gone.
+/// Time without packets from the caller after which a flow is closed.
 const IDLE_TIMEOUT_MILLIS: u32 = 30_000;
 
-/// Time between two heartbeats of a flow.
+/// Interval between two keep-alive packets of an idle flow.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Requests of one flow that run at once.
+/// Maximum number of concurrent requests of a flow.
 const MAX_STREAMS_PER_FLOW: u32 = 256;
 
-/// Time for which an unused flow stays open after its caller was told to go
-/// elsewhere: requests that were sent before the caller heard of it arrive, and
-/// are refused as not run, in place of being lost with the connection.
+/// Time for which an idle flow stays open after a GOAWAY frame was sent. Requests that the
+/// caller sent before it received the frame still arrive in this time and are refused as
+/// not run; on a closed connection they would be lost, and their outcome unknown.
 const GOAWAY_GRACE: Duration = Duration::from_secs(5);
 
-/// Time between two looks at what a leaving host still waits for.
+/// Interval at which flows check whether the host is draining, and a draining host checks
+/// whether it has finished.
 const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// A host at work.
+/// A running host.
 #[derive(Debug)]
 pub struct HostHandle {
     endpoint: quinn::Endpoint,
@@ -56,12 +57,13 @@
 }
 
 impl HostHandle {
-    /// Creates the handle.
+    /// Creates the handle of a host with the given endpoint and state.
     pub fn new(endpoint: quinn::Endpoint, state: Arc<HostState>) -> Self {
         Self { endpoint, state }
     }
 
-    /// Takes nothing new and waits until all flows have ended.
+    /// Stops accepting new flows and requests, and waits until all flows and all requests
+    /// with tickets have ended.
     pub async fn drain(&self) {
         self.state.start_draining();
         loop {
@@ -70,18 +72,19 @@
             if flows == 0 && requests == 0 {
                 break;
             }
-            log::info!(flows, requests; "host: leaving, waiting for flows and requests");
+            log::info!(flows, requests; "host: draining, waiting for flows and requests");
             tokio::time::sleep(DRAIN_CHECK_INTERVAL).await;
         }
         self.endpoint.wait_idle().await;
     }
 }
 
-/// Opens the QUIC endpoint over the inner socket.
+/// Opens the QUIC endpoint on top of the inner socket.
 ///
 /// # Errors
 ///
-/// Returns an error when the certificate or its key cannot be used.
+/// Returns an error if the certificate or its key cannot be loaded, or if the endpoint
+/// cannot be created.
 pub fn open_endpoint(
     settings: &HostSettings,
     state: &Arc<HostState>,
@@ -93,6 +96,7 @@
         .change_context_lazy(|| DaemonError::new("failed to open the QUIC endpoint"))
 }
 
+/// Returns the configuration of connection IDs and stateless resets.
 fn endpoint_config(state: &Arc<HostState>) -> EndpointConfig {
     let reset_key = ResetKey::new(state.node.secret.derive(b"reset"));
     let mut config = EndpointConfig::new(Arc::new(reset_key));
@@ -102,10 +106,11 @@
     config
 }
 
+/// Loads the certificate and returns the TLS and transport configuration.
 fn server_config(settings: &HostSettings) -> Result<ServerConfig, Report<DaemonError>> {
     let context = || {
         DaemonError::new(format!(
-            "failed to use certificate {} and key {}",
+            "failed to load certificate {} and key {}",
             settings.certificate.display(),
             settings.private_key.display()
         ))
@@ -137,12 +142,13 @@
     ))));
     config.keep_alive_interval(Some(KEEP_ALIVE_INTERVAL));
     config.max_concurrent_bidi_streams(VarInt::from_u32(MAX_STREAMS_PER_FLOW));
-    // The inner header takes space in front of each datagram.
+    // Without discovery, datagrams stay small enough that the inner header can be
+    // prepended to each of them.
     config.mtu_discovery_config(None);
     config
 }
 
-/// Accepts flows until the endpoint closes.
+/// Accepts flows and serves their requests until the endpoint is closed.
 pub async fn accept_flows(endpoint: quinn::Endpoint, state: Arc<HostState>) {
     while let Some(incoming) = endpoint.accept().await {
         let state = state.clone();
@@ -162,6 +168,8 @@
     }
 }
 
+/// Serves the requests of a flow until it ends. When the host drains, sends a GOAWAY frame
+/// and returns once all requests have ended and [`GOAWAY_GRACE`] has passed.
 async fn serve_flow(connection: quinn::Connection, state: &Arc<HostState>) {
     let caller = connection.remote_address();
     let wrapped = h3_quinn::Connection::new(connection.clone());
@@ -196,7 +204,8 @@
             _ = drain_check.tick() => {
                 let now = state.node.clock.now();
                 match goaway_sent_at {
-                    Some(goaway_sent_at) if counter.is_idle() && now.since(goaway_sent_at) >= GOAWAY_GRACE => return,
+                    Some(sent_at)
+                        if counter.is_idle() && now.since(sent_at) >= GOAWAY_GRACE => return,
                     Some(_) => {}
                     None if state.is_draining() => {
                         goaway_sent_at = Some(now);
@@ -211,17 +220,19 @@
     }
 }
 
-/// Counts the requests of one flow that are served.
+/// Counts the running requests of a flow.
 #[derive(Debug, Default)]
 struct TaskCounter {
     shared: Arc<()>,
 }
 
 impl TaskCounter {
+    /// Returns a value that counts as a running request until it is dropped.
     fn start_task(&self) -> Arc<()> {
         self.shared.clone()
     }
 
+    /// Returns whether no request is running.
     fn is_idle(&self) -> bool {
         Arc::strong_count(&self.shared) == 1
     }
--- a/crates/hyssopstaird/src/host/settle.rs
+++ b/crates/hyssopstaird/src/host/settle.rs
@@ -1,4 +1,7 @@
-//! Tickets that another host has issued.
+//! Settling of tickets that are used at another host than their issuer.
+//!
+//! Only the issuer of a ticket knows whether the ticket's request ran, so other hosts ask
+//! it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,11 +19,12 @@
 use crate::host::state::HostState;
 use crate::host::tickets::TicketResult;
 
-/// Longest wait for the issuer of a ticket.
+/// Maximum time to wait for the answer of an issuer.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Asks the issuer of a ticket what became of it. An issuer that is gone or
-/// silent leaves it open whether the request ran.
+/// Asks the issuer of a ticket for the outcome of its request, for at most `remaining`.
+/// Returns [`TicketResult::MayHaveRun`] if the issuer does not answer. `text` is the
+/// ticket in its text form.
 pub async fn ask_issuer(
     state: &HostState,
     ticket: &RequestTicket,
@@ -28,8 +32,8 @@
     fingerprint: RequestFingerprint,
     remaining: Duration,
 ) -> TicketResult {
-    // An issuer that the roster takes for gone may have been paused: it is asked
-    // all the same, and answers for its own incarnation only.
+    // An issuer that the roster considers gone may only have been paused, so it is asked
+    // as well. It answers only for tickets of its own incarnation.
     let request = PeerRequest::Settle(SettleRequest {
         ticket: text.to_owned(),
         fingerprint: fingerprint.0,
@@ -42,12 +46,16 @@
     match answer {
         Ok(PeerAnswer::Settled(answer)) => to_ticket_result(answer),
         Ok(_) | Err(_) => {
-            log::warn!("proxy: {} did not settle a ticket", ticket.issuer);
+            log::warn!(
+                "proxy: the issuer {} of a ticket did not settle it",
+                ticket.issuer
+            );
             TicketResult::MayHaveRun
         }
     }
 }
 
+/// Converts the answer of an issuer.
 fn to_ticket_result(answer: SettleAnswer) -> TicketResult {
     match answer {
         SettleAnswer::Done(reply) => match reply.and_then(|bytes| decode_reply(&bytes)) {
@@ -61,7 +69,8 @@
     }
 }
 
-/// Tells another host what became of a ticket of this one.
+/// Returns the outcome of the request with a ticket that this host has issued. An unused
+/// ticket becomes void.
 pub fn answer_settle_request(state: &Arc<HostState>, request: &SettleRequest) -> SettleAnswer {
     let Ok(ticket) = state.ticket_key.open(&request.ticket) else {
         return SettleAnswer::MayHaveRun;
--- a/crates/hyssopstaird/src/host/slots.rs
+++ b/crates/hyssopstaird/src/host/slots.rs
@@ -1,4 +1,7 @@
-//! Slots of the backend server, and the requests that wait for one.
+//! Slots of the backend server, and the queue of requests that wait for one.
+//!
+//! [`AdmissionState`] decides which requests run, wait or are refused. This module passes
+//! its decisions to the tasks of the requests and releases slots when they end.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,37 +24,39 @@
 use crate::control::node::lock;
 use crate::host::state::HostState;
 
-/// Shortest time between two looks at the queue.
+/// Minimum time between two advances of the queue by a waiting request.
 const MIN_WAIT: Duration = Duration::from_millis(1);
 
-/// A request that waits, and where it hears what became of it.
+/// A waiting request and the channel over which it receives its decision.
 #[derive(Debug)]
 struct SlotWaiter {
     key: RequestKey,
     sender: Sender<SlotDecision>,
 }
 
-/// The slots of a host and the channels of the requests that wait.
+/// The slots of a host, and the waiting requests.
 #[derive(Debug, Default)]
 pub struct SlotScheduler {
     admission: AdmissionState,
-    /// Sorted by key.
+    /// The waiting requests, sorted by key.
     waiters: Vec<SlotWaiter>,
     last_key: u64,
 }
 
 impl SlotScheduler {
-    /// Returns the slots and the queue.
+    /// Returns the state of the slots and the queue.
     pub fn admission(&mut self) -> &mut AdmissionState {
         &mut self.admission
     }
 
+    /// Returns a new key for a request.
     fn allocate_key(&mut self) -> RequestKey {
         self.last_key += 1;
         RequestKey(self.last_key)
     }
 
-    /// Tells waiting requests what became of them.
+    /// Sends decisions to waiting requests. The slot of a request that no longer waits is
+    /// released again.
     fn send_decisions(
         &mut self,
         changes: &[SlotChange],
@@ -69,13 +74,14 @@
         }
     }
 
+    /// Removes a waiting request and returns the sender of its channel.
     fn remove_waiter(&mut self, key: RequestKey) -> Option<Sender<SlotDecision>> {
         let position = self.waiters.binary_search_by_key(&key, |waiter| waiter.key);
         Some(self.waiters.remove(position.ok()?).sender)
     }
 }
 
-/// Returns what the rules of a service allow on one host.
+/// Returns the limits that the rules of a service set for one host.
 pub fn admission_rules(service: &ServiceRule) -> AdmissionRules {
     AdmissionRules {
         slots: u32::from(service.slots),
@@ -83,7 +89,7 @@
     }
 }
 
-/// A slot that is taken; it is given back when this is dropped.
+/// An acquired slot. If it is dropped, the slot is released as unused.
 #[derive(Debug)]
 pub struct SlotGuard {
     state: Arc<HostState>,
@@ -102,24 +108,25 @@
         }
     }
 
-    /// Gives the slot back after a whole answer.
+    /// Releases the slot after a complete answer.
     pub fn complete(self) {
         let time = self.elapsed();
         self.release(SlotEnd::Completed(time));
     }
 
-    /// Gives the slot back after the deadline passed without an answer.
+    /// Releases the slot after the deadline has passed without an answer.
     pub fn time_out(self) {
         let time = self.elapsed();
         self.release(SlotEnd::TimedOut(time));
     }
 
-    /// Gives the slot back.
+    /// Releases the slot. `end` tells how the request ended.
     pub fn release(mut self, end: SlotEnd) {
         self.is_released = true;
         self.release_slot(end);
     }
 
+    /// Returns the time since the slot was acquired.
     fn elapsed(&self) -> Duration {
         self.state.node.clock.now().since(self.acquired_at)
     }
@@ -140,7 +147,7 @@
     }
 }
 
-/// A request that waits; it gives up its place when this is dropped.
+/// A waiting request. If it is dropped, the request leaves the queue.
 struct WaitGuard<'a> {
     state: &'a Arc<HostState>,
     rules: &'a AdmissionRules,
@@ -153,7 +160,7 @@
         let mut scheduler = lock(&self.state.scheduler);
         scheduler.remove_waiter(self.key);
         scheduler.admission.cancel(self.key);
-        // Decisions are sent under the lock, so that none can come after this.
+        // Decisions are sent while the lock is held, so none can arrive after this check.
         if self.receiver.try_recv() == Ok(SlotDecision::Run) {
             let now = self.state.node.clock.now();
             let changes = scheduler
@@ -164,11 +171,12 @@
     }
 }
 
-/// Takes a slot, waiting for one as long as the deadline can be met.
+/// Acquires a slot, waiting for one as long as the request is expected to meet its
+/// deadline.
 ///
 /// # Errors
 ///
-/// Returns the time after which the caller may ask again.
+/// Returns the time after which the caller may retry if the request is refused.
 pub async fn acquire_slot(
     state: &Arc<HostState>,
     service: &ServiceRule,
@@ -215,6 +223,8 @@
     }
 }
 
+/// Waits until the request receives a decision, and advances the queue whenever that is
+/// due. Returns [`SlotDecision::Wait`] if the channel was closed without a decision.
 async fn wait_for_decision(guard: &mut WaitGuard<'_>) -> SlotDecision {
     loop {
         let now = guard.state.node.clock.now();
@@ -231,11 +241,12 @@
     }
 }
 
-/// Takes a free slot for a request that another host has handed over.
+/// Acquires a slot for a request that another host has relayed, without waiting.
 ///
 /// # Errors
 ///
-/// Returns the time after which the other host may ask again.
+/// Returns the time after which the other host may retry if no slot is free or the
+/// request is not expected to meet its deadline.
 pub fn try_acquire_slot(
     state: &Arc<HostState>,
     service: &ServiceRule,
@@ -260,7 +271,8 @@
     }
 }
 
-/// Returns the load of a host, in percent of what can run at once.
+/// Returns the running and waiting requests of the host, in percent of the requests that
+/// can run concurrently.
 pub fn load_percent(state: &HostState, service: &ServiceRule) -> u16 {
     let now = state.node.clock.now();
     lock(&state.scheduler)
--- a/crates/hyssopstaird/src/host/socket.rs
+++ b/crates/hyssopstaird/src/host/socket.rs
@@ -1,7 +1,8 @@
-//! The socket that QUIC sees.
+//! The virtual UDP socket of the QUIC endpoint.
 //!
-//! QUIC reads datagrams of callers that [`crate::host::ingress`] has accepted,
-//! and what it sends to a caller is wrapped and sent to a balancer.
+//! The endpoint reads the callers' datagrams that [`crate::host::ingress`] has accepted.
+//! Each datagram that it sends to a caller is wrapped in a return header and sent to a
+//! balancer.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -30,11 +31,11 @@
 use crate::control::node::lock;
 use crate::host::state::HostState;
 
-/// Datagrams that wait for QUIC at most; later ones are dropped, as by a
-/// kernel whose buffer is full.
+/// Maximum number of datagrams in the queue. When it is full, new datagrams are dropped,
+/// as a kernel does when a receive buffer is full.
 const MAX_QUEUED_DATAGRAMS: usize = 8_192;
 
-/// Datagrams on their way to QUIC.
+/// Accepted datagrams that the QUIC endpoint has not read yet.
 #[derive(Debug, Default)]
 pub struct PacketQueue {
     inner: Mutex<QueueState>,
@@ -47,7 +48,8 @@
 }
 
 impl PacketQueue {
-    /// Adds a datagram of a caller.
+    /// Appends a caller's datagram and wakes the QUIC endpoint. Drops the datagram if the
+    /// queue is full.
     pub fn push(&self, caller: SocketAddrV4, datagram: Vec<u8>) {
         let mut state = lock(&self.inner);
         if state.packets.len() >= MAX_QUEUED_DATAGRAMS {
@@ -59,6 +61,7 @@
         }
     }
 
+    /// Removes and returns the first datagram, or registers the task to be woken.
     fn poll_pop(&self, context: &mut Context<'_>) -> Poll<(SocketAddrV4, Vec<u8>)> {
         let mut state = lock(&self.inner);
         match state.packets.pop_front() {
@@ -71,13 +74,13 @@
     }
 }
 
-/// The socket that QUIC sees.
+/// The virtual UDP socket of the QUIC endpoint.
 pub struct FlowSocket {
     state: Arc<HostState>,
 }
 
 impl FlowSocket {
-    /// Creates the socket.
+    /// Creates a socket that reads from the packet queue of `state`.
     pub fn new(state: Arc<HostState>) -> Self {
         Self { state }
     }
@@ -130,7 +133,8 @@
                 self.state.return_table.remove_balancer(route.balancer);
                 Ok(())
             }
-            // A full buffer loses the datagram, as a network would.
+            // A datagram that does not fit into the send buffer is lost, as on a network;
+            // QUIC retransmits its content.
             _ => Ok(()),
         }
     }
@@ -163,7 +167,8 @@
     }
 }
 
-/// Always ready: a datagram that cannot be sent is lost.
+/// A poller that always reports the socket as writable, because a datagram that cannot be
+/// sent is dropped.
 #[derive(Debug)]
 struct ReadyPoller;
 
--- a/crates/hyssopstaird/src/host/state.rs
+++ b/crates/hyssopstaird/src/host/state.rs
@@ -1,4 +1,4 @@
-//! The state that the parts of a host share.
+//! The state that all components of a host share.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -30,43 +30,44 @@
 use crate::host::socket::PacketQueue;
 use crate::peer::client::PeerPool;
 
-/// The state that the parts of a host share.
+/// The state that all components of a host share.
 #[derive(Debug)]
 pub struct HostState {
-    /// Members and configuration.
+    /// The member list and the configuration.
     pub node: Arc<ControlNode>,
     /// The address of the backend server.
     pub backend: SocketAddrV4,
-    /// Packets on their way to QUIC.
+    /// Received datagrams that QUIC has not read yet.
     pub packet_queue: PacketQueue,
-    /// Slots of the backend server.
+    /// The slots of the backend server and the requests that wait for one.
     pub scheduler: Mutex<SlotScheduler>,
-    /// Tickets that this process has issued.
+    /// The tickets that this process has issued, and the outcomes of their requests.
     pub ledger: Mutex<TicketLedger>,
-    /// The key of tickets.
+    /// The key that seals and opens tickets.
     pub ticket_key: TicketKey,
-    /// Notified when a request that holds a ticket ends.
+    /// Notified when a request with a ticket ends.
     pub ticket_ended: Notify,
-    /// Connections to other hosts.
+    /// Connections for requests to other hosts.
     pub peer_pool: PeerPool,
-    /// What other hosts said of their load.
+    /// The loads that other hosts have reported.
     pub peer_loads: Mutex<PeerLoads>,
-    /// Second tries that are left.
+    /// The budget for requests that are relayed to another host.
     pub retry_budget: Mutex<RetryBudget>,
-    /// Requests that other hosts have handed over.
+    /// The numbers of requests that other hosts have relayed, to detect repeated ones.
     pub relay_log: Mutex<RelayLog>,
-    /// The number of the last relay that was sent.
+    /// The number of the last request that was relayed to another host.
     pub last_relay_number: AtomicU64,
-    /// The decisions about packets, from the time that the service is known.
+    /// Routes received packets. Created once a configuration names the service.
     pub router: OnceLock<HostRouter>,
-    /// The ways back to callers.
+    /// The balancers through which packets are returned to callers.
     pub return_table: ReturnTable,
     flow_count: AtomicU32,
     draining: AtomicBool,
 }
 
 impl HostState {
-    /// Creates the state.
+    /// Creates the state of a host without flows. The numbers of its tickets start at a
+    /// random number.
     pub fn new(settings: &HostSettings, node: Arc<ControlNode>) -> Self {
         let first = TicketNumber(u64::from(rand::random::<u32>()));
         let ledger = TicketLedger::new(node.process_id(), LedgerLimits::default(), first);
@@ -90,19 +91,19 @@
         }
     }
 
-    /// Returns the rules of the service, when a configuration names it.
+    /// Returns the rules of the service, or `None` if no configuration names it.
     pub fn service_rule(&self) -> Option<ServiceRule> {
         let view = self.node.view();
         let own_rule = view.own_rule?;
         view.rules.service(own_rule.service).cloned()
     }
 
-    /// Returns the number of the service, when a configuration names it.
+    /// Returns the ID of the service, or `None` if no configuration names it.
     pub fn service_id(&self) -> Option<ServiceId> {
         self.node.view().own_rule.map(|own_rule| own_rule.service)
     }
 
-    /// Returns the present load.
+    /// Returns the current load.
     pub fn load(&self) -> HostLoad {
         let own_rule = self.node.view().own_rule;
         HostLoad {
@@ -118,31 +119,32 @@
         self.flow_count.load(Ordering::Relaxed)
     }
 
-    /// Returns the number of flows whose handshake is under way.
+    /// Returns the number of flows whose handshake is in progress.
     fn pending_flow_count(&self) -> u32 {
         let now = self.node.clock.now();
         self.router.get().map_or(0, |router| router.pending(now))
     }
 
-    /// Notes that a handshake has ended, well or not. `connection` is the
-    /// connection ID that the caller chose for its first packets.
-    pub fn end_handshake(&self, connection: &[u8]) {
+    /// Records that a handshake has succeeded or failed. `connection_id` is the connection
+    /// ID that the caller chose for its first packets.
+    pub fn end_handshake(&self, connection_id: &[u8]) {
         if let Some(router) = self.router.get() {
-            router.end_handshake(connection);
+            router.end_handshake(connection_id);
         }
     }
 
-    /// Counts a flow that opens.
+    /// Increments the number of open flows.
     pub fn add_flow(&self) {
         self.flow_count.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Counts a flow that ends.
+    /// Decrements the number of open flows.
     pub fn remove_flow(&self) {
         self.flow_count.fetch_sub(1, Ordering::Relaxed);
     }
 
-    /// Returns whether the host takes nothing new.
+    /// Returns whether the host accepts no new flows and requests, either because the
+    /// process is stopping or because the rules drain it.
     pub fn is_draining(&self) -> bool {
         let accepts_new_flows = self
             .node
@@ -152,8 +154,8 @@
         !accepts_new_flows || self.draining.load(Ordering::Relaxed)
     }
 
-    /// Takes nothing new from now on. Tickets that were not shown yet are void,
-    /// so that other hosts can settle them while this process still answers.
+    /// Stops accepting new flows and requests. All unused tickets become void, so that
+    /// other hosts can settle them while this process still answers.
     pub fn start_draining(&self) {
         lock(&self.ledger).void_unused();
         self.draining.store(true, Ordering::Relaxed);
--- a/crates/hyssopstaird/src/host/tickets.rs
+++ b/crates/hyssopstaird/src/host/tickets.rs
@@ -1,4 +1,4 @@
-//! Tickets of the requests that a host serves.
+//! Tickets, which prevent that a request that is not idempotent runs twice.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,27 +19,28 @@
 use crate::host::settle;
 use crate::host::state::HostState;
 
-/// What the ticket of a request says about it.
+/// The result of claiming the ticket of a request.
 #[derive(Debug)]
 pub enum TicketResult {
-    /// The request may run.
+    /// The ticket is claimed and the request may run.
     Claimed(TicketClaim),
-    /// The request ran before, with this answer.
+    /// The request has already run, with this answer.
     Reply(BackendReply),
-    /// The request ran before; its answer is not kept.
+    /// The request has already run, but its answer was not stored.
     DoneWithoutReply,
-    /// The request needs a fresh ticket.
+    /// The request did not run and needs a new ticket.
     NeedsTicket,
-    /// Nobody knows whether the request ran.
+    /// It is unknown whether the request ran.
     MayHaveRun,
-    /// Another copy of the request is at work.
+    /// Another copy of the request is still running.
     StillRunning,
-    /// The ticket was used for another request.
+    /// The ticket was used for a different request.
     OtherRequest,
 }
 
-/// The right to run one request. When it is dropped, the request has not run,
-/// or may have run if it was handed over.
+/// A claimed ticket, which permits to run its request once. If it is dropped, the outcome
+/// is recorded as not run, or as unknown if the request was handed over to a backend
+/// server or another host.
 #[derive(Debug)]
 pub struct TicketClaim {
     state: Arc<HostState>,
@@ -49,11 +50,13 @@
 }
 
 impl TicketClaim {
-    /// Asks for the hand-over to a backend server, right before it.
+    /// Records that the request is handed over to a backend server or another host. Must
+    /// be called immediately before the request is sent, after any wait.
     ///
     /// # Errors
     ///
-    /// Returns an error when the request must not run.
+    /// Returns an error if the request must not run, because the ticket has expired or the
+    /// deadline has passed.
     pub fn hand_over(&mut self, deadline: MonotonicTime) -> Result<(), HandOverError> {
         let now = self.state.node.clock.now();
         lock(&self.state.ledger).hand_over(self.number, deadline, now)?;
@@ -61,13 +64,13 @@
         Ok(())
     }
 
-    /// Takes back a hand-over that provably sent nothing.
+    /// Reverts a hand-over of which it is certain that the request did not run.
     pub fn take_back(&mut self) {
         lock(&self.state.ledger).take_back(self.number);
         self.is_handed_over = false;
     }
 
-    /// Records how the request ended.
+    /// Records the outcome of the request.
     pub fn finish(mut self, outcome: RunOutcome) {
         self.record(outcome);
     }
@@ -93,7 +96,7 @@
     }
 }
 
-/// Issues tickets in their text form.
+/// Issues `count` tickets and returns them in their text form.
 pub fn issue_tickets(state: &HostState, count: usize) -> Vec<String> {
     let now = state.node.clock.now();
     let mut ledger = lock(&state.ledger);
@@ -102,7 +105,8 @@
         .collect()
 }
 
-/// Claims the ticket of a request, waiting for another copy of it to end.
+/// Claims the ticket of a request. If another copy of the request is running, waits for
+/// its end until the deadline.
 pub async fn claim_ticket(state: &Arc<HostState>, request: &CallerRequest) -> TicketResult {
     let Ok(ticket) = state.ticket_key.open(&request.key) else {
         return TicketResult::NeedsTicket;
@@ -125,6 +129,8 @@
     }
 }
 
+/// Converts the ledger's decision to a result. Asks the issuer if another process issued
+/// the ticket.
 async fn apply_decision(
     state: &Arc<HostState>,
     request: &CallerRequest,
@@ -151,10 +157,12 @@
     }
 }
 
+/// Returns the time until the deadline of a request.
 fn remaining_time(state: &HostState, request: &CallerRequest) -> Duration {
     request.deadline.since(state.node.clock.now())
 }
 
+/// Decodes the stored answer of a request that has already run.
 fn to_ticket_result(reply: Option<&StoredReply>) -> TicketResult {
     match reply.and_then(|bytes| decode_reply(bytes)) {
         Some(reply) => TicketResult::Reply(reply),
