--- a/crates/hyssopstaird/src/commands/run.rs
+++ b/crates/hyssopstaird/src/commands/run.rs
@@ -23,7 +23,7 @@
 /// names none.
 const SETTINGS_VARIABLE: &str = "HYSSOPSTAIR_CONFIG";
 
-/// Run a balancer, or the host process beside a backend server.
+/// Runs a balancer, or the host process beside a backend server.
 #[derive(Debug, FromArgs)]
 pub struct RunArgs {
     /// check the settings file and exit
--- a/crates/hyssopstaird/src/control/configuration.rs
+++ b/crates/hyssopstaird/src/control/configuration.rs
@@ -96,9 +96,7 @@
         Ok(record) => {
             node.apply_config(record.version, &record.text, Vec::new());
         }
-        Err(error) => {
-            log::warn!(error:% = error; "config: failed to decode the configuration record on the platform")
-        }
+        Err(error) => log::warn!(error:% = error; "config: failed to decode the platform's record"),
     }
     Ok(())
 }
@@ -140,7 +138,10 @@
     let content = request_update(node, peer, PeerRequest::Configuration { above }).await;
     let content = match content {
         UpdateContent::Mismatch => {
-            log::warn!(above; "config: the edits from {peer} do not apply; requesting the complete text");
+            log::warn!(
+                above;
+                "config: the edits from {peer} do not apply; requesting the complete text"
+            );
             request_update(node, peer, PeerRequest::WholeConfiguration { above }).await
         }
         UpdateContent::Nothing | UpdateContent::Newer { .. } => content,
@@ -199,7 +200,7 @@
     version: Option<u64>,
 }
 
-/// Returns the version in forces of all known balancers that are not gone.
+/// Returns the version in force on each known balancer that is not gone.
 async fn get_versions(State(node): State<Arc<ControlNode>>) -> Json<Vec<BalancerVersion>> {
     let balancers: Vec<SocketAddrV4> = node
         .members()
--- a/crates/hyssopstaird/src/control/node.rs
+++ b/crates/hyssopstaird/src/control/node.rs
@@ -309,10 +309,10 @@
 
     /// Stores the incarnation that the roster has for this process.
     fn update_incarnation(&self, incarnation: HostIncarnation) {
-        let old_incarnation = self.incarnation.swap(incarnation.0, Ordering::AcqRel);
-        if old_incarnation != incarnation.0 {
+        let previous = self.incarnation.swap(incarnation.0, Ordering::AcqRel);
+        if previous != incarnation.0 {
             log::warn!(
-                "gossip: took incarnation {incarnation}, as one above {old_incarnation} was known here"
+                "gossip: took incarnation {incarnation}, as one above {previous} was known here"
             );
         }
     }
@@ -379,8 +379,8 @@
     }
 }
 
-/// Locks a mutex, ignoring that a thread may have panicked while it held the lock. The
-/// state of this daemon stays usable after a panic.
+/// Locks a mutex. A mutex that was poisoned by a panic is locked as well, because the state
+/// that it protects stays usable.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/hyssopstaird/src/host/backend.rs
+++ b/crates/hyssopstaird/src/host/backend.rs
@@ -130,7 +130,10 @@
         Ok(Err(SendError::NotSent)) => fail_call(slot),
         Ok(Err(SendError::Interrupted(error))) => {
             if let Some(held_back) = INTERRUPTED_LIMITER.warn(state.node.clock.now()) {
-                log::warn!(error:% = error, held_back; "proxy: the backend server closed the connection without an answer");
+                log::warn!(
+                    error:% = error, held_back;
+                    "proxy: failed to get an answer from the backend server"
+                );
             }
             if let Some(slot) = slot {
                 slot.release(SlotEnd::Failed);
--- a/crates/hyssopstaird/src/host/mod.rs
+++ b/crates/hyssopstaird/src/host/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! [`ingress`] receives packets, [`socket`] passes them to QUIC, [`connection`] issues
 //! connection IDs, and [`server`] serves HTTP/3. [`proxy`] handles each request: it uses
-//! [`request`] to read the request, [`tickets`] and [`settle`] to prevent that it runs
+//! [`request`] to read the request, [`tickets`] and [`settle`] to prevent it from running
 //! twice, [`slots`] to limit the load of the backend server, [`backend`] to forward the
 //! request, [`relay`] to try another host, and [`answer`] to answer the caller.
 
--- a/crates/hyssopstaird/src/host/relay.rs
+++ b/crates/hyssopstaird/src/host/relay.rs
@@ -55,7 +55,8 @@
     MayHaveRun,
 }
 
-/// Relays a request to another host, if one is available and the retry budget allows it. Records the hand-over in `claim` if there is one.
+/// Relays a request to another host, if one is available and the retry budget allows it.
+/// Records the hand-over in `claim` if there is one.
 pub async fn relay_request(
     state: &HostState,
     service: &ServiceRule,
--- a/crates/hyssopstaird/src/host/settle.rs
+++ b/crates/hyssopstaird/src/host/settle.rs
@@ -1,4 +1,4 @@
-//! Settling of tickets that are used at another host than their issuer.
+//! Settling of tickets that callers use at a host other than the issuer.
 //!
 //! Only the issuer of a ticket knows whether the ticket's request ran, so other hosts ask
 //! it.
--- a/crates/hyssopstaird/src/host/socket.rs
+++ b/crates/hyssopstaird/src/host/socket.rs
@@ -41,9 +41,10 @@
     inner: Mutex<QueueState>,
 }
 
+/// Each datagram with its caller, and the task that waits for the next one.
 #[derive(Debug, Default)]
 struct QueueState {
-    packets: VecDeque<(SocketAddrV4, Vec<u8>)>,
+    datagrams: VecDeque<(SocketAddrV4, Vec<u8>)>,
     waker: Option<Waker>,
 }
 
@@ -52,10 +53,10 @@
     /// queue is full.
     pub fn push(&self, caller: SocketAddrV4, datagram: Vec<u8>) {
         let mut state = lock(&self.inner);
-        if state.packets.len() >= MAX_QUEUED_DATAGRAMS {
+        if state.datagrams.len() >= MAX_QUEUED_DATAGRAMS {
             return;
         }
-        state.packets.push_back((caller, datagram));
+        state.datagrams.push_back((caller, datagram));
         if let Some(waker) = state.waker.take() {
             waker.wake();
         }
@@ -64,7 +65,7 @@
     /// Removes and returns the first datagram, or registers the task to be woken.
     fn poll_pop(&self, context: &mut Context<'_>) -> Poll<(SocketAddrV4, Vec<u8>)> {
         let mut state = lock(&self.inner);
-        match state.packets.pop_front() {
+        match state.datagrams.pop_front() {
             Some(packet) => Poll::Ready(packet),
             None => {
                 state.waker = Some(context.waker().clone());
--- a/crates/hyssopstaird/src/host/state.rs
+++ b/crates/hyssopstaird/src/host/state.rs
@@ -69,8 +69,8 @@
     /// Creates the state of a host without flows. The numbers of its tickets start at a
     /// random number.
     pub fn new(settings: &HostSettings, node: Arc<ControlNode>) -> Self {
-        let first = TicketNumber(u64::from(rand::random::<u32>()));
-        let ledger = TicketLedger::new(node.process_id(), LedgerLimits::default(), first);
+        let first_number = TicketNumber(u64::from(rand::random::<u32>()));
+        let ledger = TicketLedger::new(node.process_id(), LedgerLimits::default(), first_number);
         Self {
             backend: settings.backend,
             packet_queue: PacketQueue::default(),
--- a/crates/hyssopstaird/src/host/tickets.rs
+++ b/crates/hyssopstaird/src/host/tickets.rs
@@ -1,4 +1,4 @@
-//! Tickets, which prevent that a request that is not idempotent runs twice.
+//! Tickets, which prevent requests that are not idempotent from running twice.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -38,7 +38,7 @@
     OtherRequest,
 }
 
-/// A claimed ticket, which permits to run its request once. If it is dropped, the outcome
+/// A claimed ticket, which permits its request to run once. If it is dropped, the outcome
 /// is recorded as not run, or as unknown if the request was handed over to a backend
 /// server or another host.
 #[derive(Debug)]
@@ -64,7 +64,7 @@
         Ok(())
     }
 
-    /// Reverts a hand-over of which it is certain that the request did not run.
+    /// Reverts a hand-over after which the request certainly did not run.
     pub fn take_back(&mut self) {
         lock(&self.state.ledger).take_back(self.number);
         self.is_handed_over = false;
