--- a/crates/hyssopstaird/src/control/configuration.rs
+++ b/crates/hyssopstaird/src/control/configuration.rs
@@ -1,8 +1,9 @@
-//! Fetches newer configurations from the platform and from peers.
+//! Fetching of newer configurations from the platform and from peers.
 //!
-//! Two loops run side by side: one reads the platform at the fleet's fixed rate,
-//! the other asks peers that were heard with a higher version. So neither a
-//! stalled platform nor a silent peer holds up the other way.
+//! Two loops run concurrently. One polls the platform, at a rate that is fixed for the
+//! whole fleet; the other requests the configuration from peers whose packets name a
+//! higher version. A stalled platform therefore does not delay updates from peers, and a
+//! peer that does not answer does not delay updates from the platform.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -35,23 +36,25 @@
 use crate::control::node::lock;
 use crate::peer;
 
-/// Balancers that are asked for their versions at once.
-const VERSION_QUESTIONS: usize = 32;
+/// Maximum number of concurrent requests for the versions of balancers.
+const MAX_CONCURRENT_VERSION_REQUESTS: usize = 32;
 
-/// Runs until the process ends.
+/// Fetches newer configurations until the process ends.
 pub async fn run(node: Arc<ControlNode>, client: PlatformClient) {
-    futures::join!(poll_platform(&node, &client), ask_peers(&node));
+    futures::join!(poll_platform(&node, &client), run_peer_fetches(&node));
 }
 
+/// Polls the platform periodically. The interval grows with the number of members and
+/// with consecutive failures.
 async fn poll_platform(node: &ControlNode, client: &PlatformClient) {
     let mut limiter = WarningLimiter::default();
     let mut failures = 0;
     loop {
-        match read_platform(node, client).await {
+        match fetch_from_platform(node, client).await {
             Ok(()) => {
                 failures = 0;
                 if let Some(unreported) = limiter.record_recovery() {
-                    log::info!(unreported; "config: the platform answers again");
+                    log::info!(unreported; "config: the platform is reachable again");
                 }
             }
             Err(error) => {
@@ -59,7 +62,7 @@
                 if let Some(held_back) = limiter.record_warning(node.clock.now()) {
                     log::warn!(
                         error:% = error, held_back;
-                        "config: the platform is unreachable; trying on, and asking peers"
+                        "config: the platform is unreachable; retrying, and fetching from peers"
                     );
                 }
             }
@@ -70,8 +73,12 @@
     }
 }
 
-/// Reads the version, and the configuration if its version is higher.
-async fn read_platform(node: &ControlNode, client: &PlatformClient) -> Result<(), PlatformError> {
+/// Reads the stored version and, if it is higher than the one in force, the configuration.
+/// A version that is not a number counts as higher.
+async fn fetch_from_platform(
+    node: &ControlNode,
+    client: &PlatformClient,
+) -> Result<(), PlatformError> {
     let Some(stored) = client.get(VERSION_KEY).await? else {
         return Ok(());
     };
@@ -87,48 +94,55 @@
     };
     match ConfigurationRecord::decode(&stored.value) {
         Ok(record) => {
-            node.offer_config(record.version, &record.text, Vec::new());
+            node.apply_config(record.version, &record.text, Vec::new());
         }
-        Err(error) => log::warn!(error:% = error; "config: the platform holds no record"),
+        Err(error) => log::warn!(error:% = error; "config: failed to decode the platform's record"),
     }
     Ok(())
 }
 
-/// Notes the version that a peer has; runs for each control packet.
-pub fn hear_version(node: &ControlNode, from: SocketAddrV4, version: u64) {
+/// Records that the peer at `from` has the given version. Called for each received packet
+/// that names a version.
+pub fn record_peer_version(node: &ControlNode, from: SocketAddrV4, version: u64) {
     if version <= node.view().version {
         return;
     }
     if lock(&node.fetch).record_version(from, version) {
-        node.version_heard.notify_one();
+        node.version_notify.notify_one();
     }
 }
 
-async fn ask_peers(node: &ControlNode) {
+/// Fetches the configuration from the peer with the highest known version, one request at
+/// a time, whenever that version is higher than the one in force.
+async fn run_peer_fetches(node: &ControlNode) {
     loop {
         let step = lock(&node.fetch).next_step(node.view().version, node.clock.now());
         match step {
-            FetchStep::Idle | FetchStep::Wait => node.version_heard.notified().await,
+            FetchStep::Idle | FetchStep::Wait => node.version_notify.notified().await,
             FetchStep::WaitUntil(time) => {
                 let pause = time.since(node.clock.now());
-                // A version that is newer still may be heard meanwhile.
-                let _ = tokio::time::timeout(pause, node.version_heard.notified()).await;
+                // A still newer version may be recorded before the pause ends.
+                let _ = tokio::time::timeout(pause, node.version_notify.notified()).await;
             }
             FetchStep::Request(peer) => {
-                let fetched = ask_peer(node, peer).await;
+                let fetched = fetch_from_peer(node, peer).await;
                 lock(&node.fetch).finish_request(fetched, node.clock.now());
             }
         }
     }
 }
 
-async fn ask_peer(node: &ControlNode, peer: SocketAddrV4) -> bool {
+/// Requests a newer configuration from a peer and returns whether one was applied.
+async fn fetch_from_peer(node: &ControlNode, peer: SocketAddrV4) -> bool {
     let above = node.view().version;
-    let content = ask_content(node, peer, PeerRequest::Configuration { above }).await;
+    let content = request_update(node, peer, PeerRequest::Configuration { above }).await;
     let content = match content {
         PeerUpdate::Mismatch => {
-            log::warn!(above; "config: the edits of {peer} do not fit; asking for the whole text");
-            ask_content(node, peer, PeerRequest::WholeConfiguration { above }).await
+            log::warn!(
+                above;
+                "config: the edits from {peer} do not apply; requesting the complete text"
+            );
+            request_update(node, peer, PeerRequest::WholeConfiguration { above }).await
         }
         PeerUpdate::Nothing | PeerUpdate::Newer { .. } => content,
     };
@@ -137,13 +151,19 @@
             version,
             text,
             steps,
-        } => node.offer_config(version, &text, steps),
+        } => node.apply_config(version, &text, steps),
         PeerUpdate::Nothing | PeerUpdate::Mismatch => false,
     }
 }
 
-async fn ask_content(node: &ControlNode, peer: SocketAddrV4, request: PeerRequest) -> PeerUpdate {
-    match peer::ask(peer, request).await {
+/// Sends a request for the configuration and decodes the answer. Returns
+/// [`PeerUpdate::Nothing`] if the peer does not answer.
+async fn request_update(
+    node: &ControlNode,
+    peer: SocketAddrV4,
+    request: PeerRequest,
+) -> PeerUpdate {
+    match peer::send_request(peer, request).await {
         Ok(answer) => {
             let config = node.config();
             let old = VersionedText {
@@ -153,35 +173,35 @@
             apply_answer(old, answer)
         }
         Err(error) => {
-            log::debug!(error:% = error; "config: a peer does not answer");
+            log::debug!(error:% = error; "config: no answer from a peer");
             PeerUpdate::Nothing
         }
     }
 }
 
-/// Returns what operators may ask about the configuration.
+/// Returns the routes of the admin server that show the configuration.
 pub fn routes() -> Router<Arc<ControlNode>> {
     Router::new()
-        .route("/rules", get(rules))
-        .route("/versions", get(versions))
+        .route("/rules", get(get_rules))
+        .route("/versions", get(get_versions))
 }
 
-/// Returns the rule file in force; it holds no secrets.
-async fn rules(State(node): State<Arc<ControlNode>>) -> String {
+/// Returns the rule file in force, which contains no secrets.
+async fn get_rules(State(node): State<Arc<ControlNode>>) -> String {
     node.config().text().to_string()
 }
 
-/// The version in force on one balancer.
+/// The version in force on a balancer.
 #[derive(Debug, Serialize)]
 struct BalancerVersion {
     /// The inner address of the balancer.
     address: SocketAddrV4,
-    /// The version, or nothing when the balancer does not answer.
+    /// The version, or `None` if the balancer does not answer.
     version: Option<u64>,
 }
 
-/// Asks all balancers that this process knows for their versions.
-async fn versions(State(node): State<Arc<ControlNode>>) -> Json<Vec<BalancerVersion>> {
+/// Returns the version in force on each known balancer that is not gone.
+async fn get_versions(State(node): State<Arc<ControlNode>>) -> Json<Vec<BalancerVersion>> {
     let balancers: Vec<SocketAddrV4> = node
         .members()
         .iter()
@@ -189,16 +209,17 @@
         .map(|entry| entry.process.address)
         .collect();
     let answers = stream::iter(balancers)
-        .map(|address| balancer_version(&node, address))
-        .buffered(VERSION_QUESTIONS);
+        .map(|address| fetch_balancer_version(&node, address))
+        .buffered(MAX_CONCURRENT_VERSION_REQUESTS);
     Json(answers.collect().await)
 }
 
-async fn balancer_version(node: &ControlNode, address: SocketAddrV4) -> BalancerVersion {
-    let version = if address == node.me().address {
+/// Returns the version of this process or requests that of another balancer.
+async fn fetch_balancer_version(node: &ControlNode, address: SocketAddrV4) -> BalancerVersion {
+    let version = if address == node.process_id().address {
         Some(node.view().version)
     } else {
-        match peer::ask(address, PeerRequest::Version).await {
+        match peer::send_request(address, PeerRequest::Version).await {
             Ok(PeerAnswer::Version(version)) => Some(version),
             _ => None,
         }
--- a/crates/hyssopstaird/src/host/ingress.rs
+++ b/crates/hyssopstaird/src/host/ingress.rs
@@ -1,4 +1,4 @@
-//! Takes in the packets that other processes send to a host.
+//! Processing of the packets that a host receives from other processes.
 
 use std::sync::Arc;
 
@@ -22,16 +22,17 @@
 use crate::host::state::HostState;
 use crate::telemetry;
 
-/// Tasks that read the inner socket.
-const READERS: usize = 2;
+/// Number of tasks that read the inner socket.
+const READER_TASKS: usize = 2;
 
-/// Starts the readers.
-pub fn spawn(state: &Arc<HostState>) {
-    for _ in 0..READERS {
+/// Starts the tasks that read the inner socket.
+pub fn spawn_readers(state: &Arc<HostState>) {
+    for _ in 0..READER_TASKS {
         tokio::spawn(read_inner(state.clone()));
     }
 }
 
+/// Processes received packets until the process ends.
 async fn read_inner(state: Arc<HostState>) {
     let mut buffer = vec![0; MAX_PACKET_LENGTH];
     let mut outgoing = vec![0; MAX_PACKET_LENGTH];
@@ -40,36 +41,45 @@
             continue;
         };
         match split_kind(&buffer[..length]) {
-            Ok((PacketKind::Forward, rest)) => receive(&state, rest, &mut outgoing).await,
-            Ok((PacketKind::Control, rest)) => gossip::receive(&state.node, rest).await,
-            Ok((PacketKind::Return, _)) | Err(_) => telemetry::count_dropped(DropReason::Malformed),
+            Ok((PacketKind::Forward, payload)) => {
+                receive_packet(&state, payload, &mut outgoing).await
+            }
+            Ok((PacketKind::Control, payload)) => {
+                gossip::receive_packet(&state.node, payload).await
+            }
+            Ok((PacketKind::Return, _)) | Err(_) => {
+                telemetry::count_dropped_packet(DropReason::Malformed)
+            }
         }
     }
 }
 
-async fn receive(state: &Arc<HostState>, rest: &[u8], outgoing: &mut [u8]) {
-    let Ok((header, datagram)) = split_message::<ForwardHeader>(rest) else {
-        telemetry::count_dropped(DropReason::Malformed);
+/// Processes a datagram that a balancer or another host has forwarded: passes it to QUIC,
+/// forwards it to another host, answers it with a reset, or drops it. `payload` is the
+/// packet without its kind.
+async fn receive_packet(state: &Arc<HostState>, payload: &[u8], outgoing: &mut [u8]) {
+    let Ok((header, datagram)) = split_message::<ForwardHeader>(payload) else {
+        telemetry::count_dropped_packet(DropReason::Malformed);
         return;
     };
-    configuration::hear_version(&state.node, header.balancer, header.version);
+    configuration::record_peer_version(&state.node, header.balancer, header.version);
     let Some(service) = state.service_id() else {
         return;
     };
     let load = state.load();
     let now = state.node.clock.now();
-    let gate = state.gate.get_or_init(|| HostRouter::new(service));
-    let me = state.node.me().incarnation;
-    match gate.receive(me, &header, datagram, &load, now) {
+    let router = state.router.get_or_init(|| HostRouter::new(service));
+    let incarnation = state.node.process_id().incarnation;
+    match router.receive(incarnation, &header, datagram, &load, now) {
         HostAction::Accept => {
-            state.returns.record(&header, now);
-            state.queue.push(header.caller, datagram.to_vec());
+            state.return_table.record(&header, now);
+            state.packet_queue.push(header.caller, datagram.to_vec());
         }
         HostAction::PassOn { host, mut header } => {
-            // The other host may have left a moment ago: it can send the flow
-            // back to this one.
+            // The other host may have started to drain in the meantime. It can then send
+            // the flow back to this host.
             header.second = Some(SecondHost {
-                process: state.node.me(),
+                process: state.node.process_id(),
                 weight: 1,
                 first_weight: 1,
                 load: Some(load.report()),
@@ -83,32 +93,34 @@
         HostAction::Reset { connection_id } => {
             send_reset(state, &header, connection_id, datagram.len()).await;
         }
-        HostAction::Drop(reason) => telemetry::count_dropped(reason),
+        HostAction::Drop(reason) => telemetry::count_dropped_packet(reason),
     }
 }
 
+/// Sends a stateless reset to the caller through the balancer in `header`. A reset must be
+/// shorter than the datagram that triggers it, whose length is `trigger_length`.
 async fn send_reset(
     state: &HostState,
     header: &ForwardHeader,
-    connection: &[u8],
+    connection_id: &[u8],
     trigger_length: usize,
 ) {
     let view = state.node.view();
     let key = view.reset_secret();
-    let Some(reset) = reset_packet(key, connection, trigger_length, rand::random()) else {
+    let Some(reset) = reset_packet(key, connection_id, trigger_length, rand::random()) else {
         return;
     };
     COUNTERS.resets_sent.increment();
-    let back = ReturnHeader {
+    let return_header = ReturnHeader {
         service: header.service,
-        host: state.node.me(),
+        host: state.node.process_id(),
         load: state.load().report(),
         caller: header.caller,
         target: header.target,
         version: view.version,
         trace: None,
     };
-    if let Ok(packet) = encode_packet(PacketKind::Return, &back, &reset) {
+    if let Ok(packet) = encode_packet(PacketKind::Return, &return_header, &reset) {
         let _ = state.node.socket.send_to(&packet, header.balancer).await;
     }
 }
--- a/crates/hyssopstaird/src/host/relay.rs
+++ b/crates/hyssopstaird/src/host/relay.rs
@@ -1,4 +1,9 @@
-//! Requests that are tried at another host of the service.
+//! Relaying of requests to another host of the same service.
+//!
+//! A host relays a request that its own backend server did not run or, if the request is
+//! idempotent, did not answer. It relays each request at most once, and only if the retry
+//! budget allows it. The other host runs the request if it has a free slot and otherwise
+//! refuses it at once.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -25,7 +30,7 @@
 
 use crate::control::node::lock;
 use crate::host::backend;
-use crate::host::backend::BackendEnd;
+use crate::host::backend::BackendResult;
 use crate::host::backend::CollectedAnswer;
 use crate::host::request::CallerRequest;
 use crate::host::slots;
@@ -33,71 +38,76 @@
 use crate::host::tickets::TicketClaim;
 use crate::peer::client::PeerError;
 
-/// How long a peer that does not answer is left alone.
-const SILENCE: Duration = Duration::from_secs(2);
+/// Time for which no requests are relayed to a peer that did not answer or refused one.
+const PEER_RETRY_DELAY: Duration = Duration::from_secs(2);
 
-/// Longest body that is relayed, in bytes.
-const MAX_RELAY_BODY: usize = 256 << 10;
+/// Maximum length of the body of a relayed request, in bytes.
+const MAX_RELAY_BODY_BYTES: usize = 256 << 10;
 
-/// What came of a try at another host.
+/// The result of relaying a request.
 #[derive(Debug)]
-pub enum RelayEnd {
-    /// The request ran, with this answer.
+pub enum RelayResult {
+    /// The request ran and has this answer.
     Reply(BackendReply),
-    /// It did not run.
+    /// The request did not run.
     NotRun,
-    /// Nobody knows whether it ran.
+    /// It is unknown whether the request ran.
     MayHaveRun,
 }
 
-/// Tries a request that did not run here at one other host, if the budget of
-/// the service allows it.
-pub async fn try_elsewhere(
+/// Relays a request to another host, if one is available and the retry budget allows it.
+/// Records the hand-over in `claim` if there is one.
+pub async fn relay_request(
     state: &HostState,
     service: &ServiceRule,
     request: &CallerRequest,
     mut claim: Option<&mut TicketClaim>,
-) -> RelayEnd {
-    let Some(peer) = choose(state, service, request) else {
-        return RelayEnd::NotRun;
+) -> RelayResult {
+    let Some(peer) = choose_peer(state, service, request) else {
+        return RelayResult::NotRun;
     };
     if let Some(claim) = claim.as_deref_mut()
         && claim.hand_over(request.deadline).is_err()
     {
-        return RelayEnd::NotRun;
+        return RelayResult::NotRun;
     }
     COUNTERS.requests_relayed.increment();
-    let answer = run_in_span(PEER_SPAN, ask_peer(state, service, request, peer)).await;
-    let end = read_answer(state, peer, answer);
-    if let (RelayEnd::NotRun, Some(claim)) = (&end, claim) {
+    let answer = run_in_span(PEER_SPAN, send_relay(state, service, request, peer)).await;
+    let result = read_relay_answer(state, peer, answer);
+    if let (RelayResult::NotRun, Some(claim)) = (&result, claim) {
         claim.undo_hand_over();
     }
-    end
+    result
 }
 
-async fn ask_peer(
+/// Sends a request to `peer` and waits for the answer until the deadline.
+async fn send_relay(
     state: &HostState,
     service: &ServiceRule,
     request: &CallerRequest,
     peer: ProcessId,
 ) -> Result<PeerAnswer, PeerError> {
-    let patience = request.deadline.since(state.node.clock.now());
+    let timeout = request.deadline.since(state.node.clock.now());
     let mut call = request.call.clone();
-    name_trace(&mut call);
-    let relay = PeerRequest::Relay(Box::new(RelayRequest {
-        sender: state.node.me(),
+    set_trace_header(&mut call);
+    let peer_request = PeerRequest::Relay(Box::new(RelayRequest {
+        sender: state.node.process_id(),
         target: peer,
-        number: state.relay_number.fetch_add(1, Ordering::Relaxed) + 1,
+        number: state.last_relay_number.fetch_add(1, Ordering::Relaxed) + 1,
         service: service.id,
         is_idempotent: request.class == RequestClass::Idempotent,
-        remaining_millis: patience.as_millis() as u32,
+        remaining_millis: timeout.as_millis() as u32,
         call,
     }));
-    state.peers.ask(peer.address, &relay, patience).await
+    state
+        .peer_pool
+        .send_request(peer.address, &peer_request, timeout)
+        .await
 }
 
-/// Puts the present span into a call that another host makes.
-fn name_trace(call: &mut BackendCall) {
+/// Sets the trace header of a call to the current span, so that the spans of the other host
+/// become its children.
+fn set_trace_header(call: &mut BackendCall) {
     if let Some(value) = traceparent_value() {
         call.headers.retain(|field| field.name != TRACE_HEADER);
         call.headers.push(HeaderField {
@@ -107,8 +117,8 @@
     }
 }
 
-/// Returns the span that a call of another host belongs to.
-fn named_trace(call: &BackendCall) -> Option<&str> {
+/// Returns the value of the trace header of a relayed call.
+fn find_trace_header(call: &BackendCall) -> Option<&str> {
     let field = call
         .headers
         .iter()
@@ -116,86 +126,95 @@
     std::str::from_utf8(&field.value).ok()
 }
 
-fn choose(state: &HostState, service: &ServiceRule, request: &CallerRequest) -> Option<ProcessId> {
+/// Chooses the host to which a request is relayed and spends one attempt of the retry
+/// budget. Returns `None` if the body is too long, the deadline has passed, no host is
+/// available or the budget is exhausted.
+fn choose_peer(
+    state: &HostState,
+    service: &ServiceRule,
+    request: &CallerRequest,
+) -> Option<ProcessId> {
     let now = state.node.clock.now();
-    if request.call.body.len() > MAX_RELAY_BODY || request.deadline <= now {
+    if request.call.body.len() > MAX_RELAY_BODY_BYTES || request.deadline <= now {
         return None;
     }
     let view = state.node.view();
-    let me = state.node.me();
+    let process_id = state.node.process_id();
     let peers: Vec<ProcessId> = view
         .candidates(service.id)
         .iter()
         .map(|candidate| candidate.host)
-        .filter(|host| *host != me)
+        .filter(|host| *host != process_id)
         .collect();
     let mut loads = lock(&state.peer_loads);
     loads.retain_peers(&peers);
     let peer = loads.choose_peer(&peers, now)?;
-    lock(&state.budget).try_withdraw().then_some(peer)
+    lock(&state.retry_budget).try_withdraw().then_some(peer)
 }
 
-fn read_answer(
+/// Converts the answer of a peer, and records its load and how long to avoid it.
+fn read_relay_answer(
     state: &HostState,
     peer: ProcessId,
     answer: Result<PeerAnswer, PeerError>,
-) -> RelayEnd {
+) -> RelayResult {
     let now = state.node.clock.now();
     let mut loads = lock(&state.peer_loads);
     let answer = match answer {
         Ok(PeerAnswer::Relayed(answer)) => answer,
         Ok(PeerAnswer::Refused) | Err(PeerError::NotSent) => {
-            loads.avoid_peer(peer, SILENCE, now);
-            return RelayEnd::NotRun;
+            loads.avoid_peer(peer, PEER_RETRY_DELAY, now);
+            return RelayResult::NotRun;
         }
         Ok(_) | Err(PeerError::NoAnswer) => {
-            loads.avoid_peer(peer, SILENCE, now);
-            return RelayEnd::MayHaveRun;
+            loads.avoid_peer(peer, PEER_RETRY_DELAY, now);
+            return RelayResult::MayHaveRun;
         }
     };
     loads.record_load(peer, answer.load_percent, now);
     match answer.outcome {
-        RelayOutcome::Done(reply) => RelayEnd::Reply(reply),
+        RelayOutcome::Done(reply) => RelayResult::Reply(reply),
         RelayOutcome::NotRun { retry_after_millis } => {
             let pause = Duration::from_millis(u64::from(retry_after_millis));
             loads.avoid_peer(peer, pause, now);
-            RelayEnd::NotRun
+            RelayResult::NotRun
         }
-        RelayOutcome::MayHaveRun => RelayEnd::MayHaveRun,
+        RelayOutcome::MayHaveRun => RelayResult::MayHaveRun,
     }
 }
 
-/// Runs a request that another host has handed over, or refuses it at once.
-pub async fn answer(state: &Arc<HostState>, request: RelayRequest) -> RelayAnswer {
-    let Some(service) = state.service() else {
+/// Runs a request that another host has relayed, or refuses it at once.
+pub async fn answer_relay_request(state: &Arc<HostState>, request: RelayRequest) -> RelayAnswer {
+    let Some(service) = state.service_rule() else {
         return RelayAnswer {
-            outcome: not_run(Duration::ZERO),
+            outcome: not_run_outcome(Duration::ZERO),
             load_percent: u16::MAX,
         };
     };
-    let running = run(state, &service, &request);
-    let outcome = serve_relayed_request(named_trace(&request.call), running).await;
+    let running = run_relayed(state, &service, &request);
+    let outcome = serve_relayed_request(find_trace_header(&request.call), running).await;
     RelayAnswer {
         outcome,
         load_percent: slots::load_percent(state, &service),
     }
 }
 
-async fn run(
+/// Runs a relayed request if it is received for the first time and a slot is free.
+async fn run_relayed(
     state: &Arc<HostState>,
     service: &ServiceRule,
     request: &RelayRequest,
 ) -> RelayOutcome {
     let now = state.node.clock.now();
-    let seen =
-        lock(&state.relays).record_relay(request.sender, request.target, request.number, now);
-    match seen {
+    let decision =
+        lock(&state.relay_log).record_relay(request.sender, request.target, request.number, now);
+    match decision {
         RelayDecision::New => {}
         RelayDecision::Repeated => return RelayOutcome::MayHaveRun,
-        RelayDecision::Refused => return not_run(SILENCE),
+        RelayDecision::Refused => return not_run_outcome(PEER_RETRY_DELAY),
     }
     if request.service != service.id || state.is_draining() {
-        return not_run(SILENCE);
+        return not_run_outcome(PEER_RETRY_DELAY);
     }
     let class = if request.is_idempotent {
         RequestClass::Idempotent
@@ -203,21 +222,21 @@
         RequestClass::NonIdempotent
     };
     let deadline = now + Duration::from_millis(u64::from(request.remaining_millis));
-    let slot = match slots::take_free_slot(state, service, class, deadline) {
+    let slot = match slots::try_acquire_slot(state, service, class, deadline) {
         Ok(slot) => slot,
-        Err(retry_after) => return not_run(retry_after),
+        Err(retry_after) => return not_run_outcome(retry_after),
     };
-    match backend::run(state, &request.call, Some(slot), Some(deadline), None).await {
-        BackendEnd::Answer(answer) => match answer.collect().await {
-            CollectedAnswer::Whole(reply) => RelayOutcome::Done(reply),
-            CollectedAnswer::Long(_) | CollectedAnswer::Cut => RelayOutcome::MayHaveRun,
+    match backend::run_call(state, &request.call, Some(slot), Some(deadline), None).await {
+        BackendResult::Answer(answer) => match answer.collect().await {
+            CollectedAnswer::Complete(reply) => RelayOutcome::Done(reply),
+            CollectedAnswer::TooLong(_) | CollectedAnswer::Truncated => RelayOutcome::MayHaveRun,
         },
-        BackendEnd::NotRun { retry_after } => not_run(retry_after),
-        BackendEnd::MayHaveRun | BackendEnd::TimedOut => RelayOutcome::MayHaveRun,
+        BackendResult::NotRun { retry_after } => not_run_outcome(retry_after),
+        BackendResult::MayHaveRun | BackendResult::TimedOut => RelayOutcome::MayHaveRun,
     }
 }
 
-fn not_run(retry_after: Duration) -> RelayOutcome {
+fn not_run_outcome(retry_after: Duration) -> RelayOutcome {
     RelayOutcome::NotRun {
         retry_after_millis: retry_after.as_millis() as u32,
     }
--- a/crates/hyssopstaird/src/host/request.rs
+++ b/crates/hyssopstaird/src/host/request.rs
@@ -1,4 +1,4 @@
-//! Reads a request of a caller.
+//! Parsing of callers' requests.
 
 use std::time::Duration;
 
@@ -15,53 +15,55 @@
 use hyssopstair_wire::peer::HeaderField;
 use hyssopstair_wire::time::MonotonicTime;
 
-/// Request header that carries a ticket.
-pub const KEY_HEADER: &str = "idempotency-key";
+/// Request header that contains a ticket.
+pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 
-/// Request header that gives the time that the caller waits, in milliseconds;
-/// backend servers are given the time that is left in it.
+/// Request header with the time that the caller waits for the answer, in milliseconds.
+/// Requests to backend servers contain the remaining time in the same header.
 pub const DEADLINE_HEADER: &str = "hyssopstair-deadline";
 
-/// Request header that gives the time that the caller waits, as gRPC writes it.
+/// Request header with the time that the caller waits for the answer, in the format of
+/// gRPC.
 const GRPC_TIMEOUT_HEADER: &str = "grpc-timeout";
 
-/// Request header that gives the number of tickets that the caller wants.
+/// Request header with the number of tickets that the caller requests.
 const TICKETS_HEADER: &str = "hyssopstair-tickets";
 
-/// Most tickets that one answer carries.
+/// Maximum number of tickets that one answer contains.
 const MAX_TICKETS: usize = 32;
 
-/// Longest request body in bytes.
-const MAX_BODY: usize = 1 << 20;
+/// Maximum length of a request body, in bytes.
+const MAX_BODY_BYTES: usize = 1 << 20;
 
-/// A whole request of a caller.
+/// A completely received request of a caller.
 #[derive(Debug)]
 pub struct CallerRequest {
-    /// What the backend server is asked.
+    /// The request to the backend server.
     pub call: BackendCall,
-    /// The idempotency key, empty when there is none.
+    /// The value of the header `idempotency-key`, or an empty string if it is missing.
     pub key: String,
-    /// How much the request counts.
+    /// Whether the request may run more than once.
     pub class: RequestClass,
-    /// When the caller stops waiting.
+    /// The time at which the caller stops waiting for the answer.
     pub deadline: MonotonicTime,
-    /// Tickets that the caller wants with the answer.
-    pub tickets: usize,
+    /// Number of tickets that the caller requests with the answer.
+    pub ticket_count: usize,
 }
 
-/// Why the body of a request is not there.
+/// The reason why the body of a request could not be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BodyError {
-    /// The caller broke off.
+    /// The caller cancelled the request.
     Cancelled,
-    /// The body is longer than a host takes.
+    /// The body is longer than `MAX_BODY_BYTES`.
     TooLong,
-    /// The body is not as long as the caller announced.
-    WrongLength,
+    /// The length of the body differs from the header `content-length`.
+    LengthMismatch,
 }
 
 impl CallerRequest {
-    /// Puts a request together that arrived at `now`.
+    /// Creates a request from its parts. `now` is the time at which its head was received,
+    /// from which the deadline is computed.
     pub fn new(head: &Request<()>, body: &[u8], service: &ServiceRule, now: MonotonicTime) -> Self {
         let method = head.method().as_str();
         let class = if service.is_idempotent(method, head.uri().path()) {
@@ -71,35 +73,37 @@
         };
         let headers = head.headers();
         Self {
-            call: backend_call(head, body),
-            key: text(headers, KEY_HEADER).to_owned(),
+            call: build_backend_call(head, body),
+            key: header_text(headers, IDEMPOTENCY_KEY_HEADER).to_owned(),
             class,
-            deadline: now + patience(headers, service),
-            tickets: wanted_tickets(headers),
+            deadline: now + request_timeout(headers, service),
+            ticket_count: requested_ticket_count(headers),
         }
     }
 }
 
-/// Returns how long the caller of a request waits at most.
-pub fn patience(headers: &HeaderMap, service: &ServiceRule) -> Duration {
-    let longest = Duration::from_millis(u64::from(service.deadline_millis));
-    let own = text(headers, DEADLINE_HEADER)
+/// Returns the time that the caller waits for the answer, limited by the deadline of the
+/// service.
+pub fn request_timeout(headers: &HeaderMap, service: &ServiceRule) -> Duration {
+    let max_timeout = Duration::from_millis(u64::from(service.deadline_millis));
+    let own_timeout = header_text(headers, DEADLINE_HEADER)
         .parse()
         .ok()
         .map(Duration::from_millis);
-    let grpc = parse_grpc_timeout(text(headers, GRPC_TIMEOUT_HEADER));
-    own.or(grpc)
-        .map_or(longest, |patience| patience.min(longest))
+    let grpc_timeout = parse_grpc_timeout(header_text(headers, GRPC_TIMEOUT_HEADER));
+    own_timeout
+        .or(grpc_timeout)
+        .map_or(max_timeout, |timeout| timeout.min(max_timeout))
 }
 
-/// Returns the number of tickets that a caller wants with the answer.
-pub fn wanted_tickets(headers: &HeaderMap) -> usize {
-    let wanted = text(headers, TICKETS_HEADER).parse().unwrap_or(0);
-    MAX_TICKETS.min(wanted)
+/// Returns the number of tickets that a caller requests, at most `MAX_TICKETS`.
+pub fn requested_ticket_count(headers: &HeaderMap) -> usize {
+    let requested = header_text(headers, TICKETS_HEADER).parse().unwrap_or(0);
+    MAX_TICKETS.min(requested)
 }
 
-/// Returns what the backend server is asked for a request.
-pub fn backend_call(head: &Request<()>, body: &[u8]) -> BackendCall {
+/// Returns the request to the backend server for a caller's request.
+pub fn build_backend_call(head: &Request<()>, body: &[u8]) -> BackendCall {
     let path = head
         .uri()
         .path_and_query()
@@ -108,16 +112,16 @@
         method: head.method().to_string(),
         path: path.to_owned(),
         authority: head.uri().host().unwrap_or("backend").to_owned(),
-        headers: header_fields(head.headers()),
+        headers: forwarded_header_fields(head.headers()),
         body: body.to_vec(),
     }
 }
 
-/// Copies headers that concern more than one connection.
-pub fn header_fields(headers: &HeaderMap) -> Vec<HeaderField> {
+/// Returns the header fields of a request or answer that are forwarded.
+pub fn forwarded_header_fields(headers: &HeaderMap) -> Vec<HeaderField> {
     headers
         .iter()
-        .filter(|(name, _)| !is_dropped(name.as_str()))
+        .filter(|(name, _)| !is_stripped(name.as_str()))
         .map(|(name, value)| HeaderField {
             name: name.as_str().to_owned(),
             value: value.as_bytes().to_vec(),
@@ -125,7 +129,9 @@
         .collect()
 }
 
-fn is_dropped(name: &str) -> bool {
+/// Returns whether the host strips a header field, which either applies only to a single
+/// connection or is set by the host.
+fn is_stripped(name: &str) -> bool {
     let names = [
         header::CONNECTION.as_str(),
         header::HOST.as_str(),
@@ -140,38 +146,42 @@
     names.contains(&name)
 }
 
-/// Reads the body of a request.
+/// Reads the complete body of a request.
 ///
 /// # Errors
 ///
-/// Returns an error when the body is not whole.
+/// Returns an error if the caller cancels the request, or if the body is too long or does
+/// not have the announced length.
 pub async fn read_body<S: BidiStream<Bytes>>(
     headers: &HeaderMap,
     stream: &mut RequestStream<S, Bytes>,
 ) -> Result<Vec<u8>, BodyError> {
     let mut body = Vec::new();
     while let Some(mut chunk) = stream.recv_data().await.map_err(|_| BodyError::Cancelled)? {
-        if body.len() + chunk.remaining() > MAX_BODY {
+        if body.len() + chunk.remaining() > MAX_BODY_BYTES {
             return Err(BodyError::TooLong);
         }
         body.extend_from_slice(&chunk.copy_to_bytes(chunk.remaining()));
     }
-    let announced = headers.get(header::CONTENT_LENGTH);
-    let is_right =
-        announced.is_none_or(|value| value.as_bytes() == body.len().to_string().as_bytes());
-    if !is_right {
-        return Err(BodyError::WrongLength);
+    let content_length = headers.get(header::CONTENT_LENGTH);
+    let has_expected_length =
+        content_length.is_none_or(|value| value.as_bytes() == body.len().to_string().as_bytes());
+    if !has_expected_length {
+        return Err(BodyError::LengthMismatch);
     }
     Ok(body)
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> &'a str {
+/// Returns the value of a header, or an empty string if it is missing or not ASCII text.
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> &'a str {
     headers
         .get(name)
         .and_then(|value| value.to_str().ok())
         .unwrap_or("")
 }
 
+/// Parses a gRPC timeout, a number followed by a unit, such as `250m` for 250
+/// milliseconds.
 fn parse_grpc_timeout(text: &str) -> Option<Duration> {
     let (number, unit) = text.split_at_checked(text.len().checked_sub(1)?)?;
     let number: u64 = number.parse().ok()?;
--- a/crates/hyssopstaird/src/host/slots.rs
+++ b/crates/hyssopstaird/src/host/slots.rs
@@ -1,4 +1,7 @@
-//! Slots of the backend server, and the requests that wait for one.
+//! Slots of the backend server, and the queue of requests that wait for one.
+//!
+//! [`AdmissionController`] decides which requests run, wait or are refused. This module passes
+//! its decisions to the tasks of the requests and releases slots when they end.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,56 +24,64 @@
 use crate::control::node::lock;
 use crate::host::state::HostState;
 
-/// Shortest time between two looks at the queue.
-const MIN_SLEEP: Duration = Duration::from_millis(1);
+/// Minimum time between two advances of the queue by a waiting request.
+const MIN_WAIT: Duration = Duration::from_millis(1);
 
-/// A request that waits, and where it hears what became of it.
+/// A waiting request and the channel over which it receives its decision.
 #[derive(Debug)]
 struct SlotWaiter {
     key: RequestKey,
     sender: Sender<SlotDecision>,
 }
 
-/// The slots of a host and the channels of the requests that wait.
+/// The slots of a host, and the waiting requests.
 #[derive(Debug, Default)]
-pub struct SlotDesk {
+pub struct SlotScheduler {
     admission: AdmissionController,
-    /// Sorted by key.
+    /// The waiting requests, sorted by key.
     waiters: Vec<SlotWaiter>,
-    next_key: u64,
+    last_key: u64,
 }
 
-impl SlotDesk {
-    /// Returns the slots and the queue.
+impl SlotScheduler {
+    /// Returns the state of the slots and the queue.
     pub fn admission(&mut self) -> &mut AdmissionController {
         &mut self.admission
     }
 
-    fn next_key(&mut self) -> RequestKey {
-        self.next_key += 1;
-        RequestKey(self.next_key)
+    /// Returns a new key for a request.
+    fn allocate_key(&mut self) -> RequestKey {
+        self.last_key += 1;
+        RequestKey(self.last_key)
     }
 
-    /// Tells waiting requests what became of them.
-    fn dispatch(&mut self, changes: &[QueueDecision], rules: &AdmissionRules, now: MonotonicTime) {
+    /// Sends decisions to waiting requests. The slot of a request that no longer waits is
+    /// released again.
+    fn send_decisions(
+        &mut self,
+        changes: &[QueueDecision],
+        rules: &AdmissionRules,
+        now: MonotonicTime,
+    ) {
         for change in changes {
-            let sent = self
-                .take_waiter(change.key)
+            let is_sent = self
+                .remove_waiter(change.key)
                 .is_some_and(|sender| sender.send(change.decision).is_ok());
-            if !sent && change.decision == SlotDecision::Run {
-                let more = self.admission.release(SlotOutcome::Unused, rules, now);
-                self.dispatch(&more, rules, now);
+            if !is_sent && change.decision == SlotDecision::Run {
+                let follow_up_changes = self.admission.release(SlotOutcome::Unused, rules, now);
+                self.send_decisions(&follow_up_changes, rules, now);
             }
         }
     }
 
-    fn take_waiter(&mut self, key: RequestKey) -> Option<Sender<SlotDecision>> {
-        let found = self.waiters.binary_search_by_key(&key, |waiter| waiter.key);
-        Some(self.waiters.remove(found.ok()?).sender)
+    /// Removes a waiting request and returns the sender of its channel.
+    fn remove_waiter(&mut self, key: RequestKey) -> Option<Sender<SlotDecision>> {
+        let position = self.waiters.binary_search_by_key(&key, |waiter| waiter.key);
+        Some(self.waiters.remove(position.ok()?).sender)
     }
 }
 
-/// Returns what the rules of a service allow on one host.
+/// Returns the limits that the rules of a service set for one host.
 pub fn admission_rules(service: &ServiceRule) -> AdmissionRules {
     AdmissionRules {
         slots: u32::from(service.slots),
@@ -78,13 +89,13 @@
     }
 }
 
-/// A slot that is taken; it is given back when this is dropped.
+/// An acquired slot. If it is dropped, the slot is released as unused.
 #[derive(Debug)]
 pub struct SlotGuard {
     state: Arc<HostState>,
     rules: AdmissionRules,
-    start: MonotonicTime,
-    ended: bool,
+    acquired_at: MonotonicTime,
+    is_released: bool,
 }
 
 impl SlotGuard {
@@ -92,50 +103,51 @@
         Self {
             state: state.clone(),
             rules: *rules,
-            start: state.node.clock.now(),
-            ended: false,
+            acquired_at: state.node.clock.now(),
+            is_released: false,
         }
     }
 
-    /// Gives the slot back after a whole answer.
+    /// Releases the slot after a complete answer.
     pub fn complete(self) {
         let time = self.elapsed();
-        self.end(SlotOutcome::Completed(time));
+        self.release(SlotOutcome::Completed(time));
     }
 
-    /// Gives the slot back after the deadline passed without an answer.
+    /// Releases the slot after the deadline has passed without an answer.
     pub fn time_out(self) {
         let time = self.elapsed();
-        self.end(SlotOutcome::TimedOut(time));
+        self.release(SlotOutcome::TimedOut(time));
     }
 
-    /// Gives the slot back.
-    pub fn end(mut self, end: SlotOutcome) {
-        self.ended = true;
-        self.release(end);
+    /// Releases the slot. `end` tells how the request ended.
+    pub fn release(mut self, end: SlotOutcome) {
+        self.is_released = true;
+        self.release_slot(end);
     }
 
+    /// Returns the time since the slot was acquired.
     fn elapsed(&self) -> Duration {
-        self.state.node.clock.now().since(self.start)
+        self.state.node.clock.now().since(self.acquired_at)
     }
 
-    fn release(&self, end: SlotOutcome) {
+    fn release_slot(&self, end: SlotOutcome) {
         let now = self.state.node.clock.now();
-        let mut desk = lock(&self.state.slots);
-        let changes = desk.admission.release(end, &self.rules, now);
-        desk.dispatch(&changes, &self.rules, now);
+        let mut scheduler = lock(&self.state.scheduler);
+        let changes = scheduler.admission.release(end, &self.rules, now);
+        scheduler.send_decisions(&changes, &self.rules, now);
     }
 }
 
 impl Drop for SlotGuard {
     fn drop(&mut self) {
-        if !self.ended {
-            self.release(SlotOutcome::Unused);
+        if !self.is_released {
+            self.release_slot(SlotOutcome::Unused);
         }
     }
 }
 
-/// A request that waits; it gives up its place when this is dropped.
+/// A waiting request. If it is dropped, the request leaves the queue.
 struct WaitGuard<'a> {
     state: &'a Arc<HostState>,
     rules: &'a AdmissionRules,
@@ -145,58 +157,63 @@
 
 impl Drop for WaitGuard<'_> {
     fn drop(&mut self) {
-        let mut desk = lock(&self.state.slots);
-        desk.take_waiter(self.key);
-        desk.admission.cancel(self.key);
-        // Decisions are sent under the lock, so that none can come after this.
+        let mut scheduler = lock(&self.state.scheduler);
+        scheduler.remove_waiter(self.key);
+        scheduler.admission.cancel(self.key);
+        // Decisions are sent while the lock is held, so none can arrive after this check.
         if self.receiver.try_recv() == Ok(SlotDecision::Run) {
             let now = self.state.node.clock.now();
-            let changes = desk.admission.release(SlotOutcome::Unused, self.rules, now);
-            desk.dispatch(&changes, self.rules, now);
+            let changes = scheduler
+                .admission
+                .release(SlotOutcome::Unused, self.rules, now);
+            scheduler.send_decisions(&changes, self.rules, now);
         }
     }
 }
 
-/// Takes a slot, waiting for one as long as the deadline can be met.
+/// Acquires a slot, waiting for one as long as the request is expected to meet its
+/// deadline.
 ///
 /// # Errors
 ///
-/// Returns the time after which the caller may ask again.
-pub async fn take_slot(
+/// Returns the time after which the caller may retry if the request is refused.
+pub async fn acquire_slot(
     state: &Arc<HostState>,
     service: &ServiceRule,
     class: RequestClass,
     deadline: MonotonicTime,
 ) -> Result<SlotGuard, Duration> {
     let rules = admission_rules(service);
-    let (decision, mut wait) = {
-        let mut desk = lock(&state.slots);
+    let (decision, mut guard) = {
+        let mut scheduler = lock(&state.scheduler);
         let now = state.node.clock.now();
         let request = SlotRequest {
-            key: desk.next_key(),
+            key: scheduler.allocate_key(),
             class,
             deadline,
         };
         let mut changes = Vec::new();
-        let decision = desk.admission.admit(request, &rules, now, &mut changes);
-        desk.dispatch(&changes, &rules, now);
+        let decision = scheduler
+            .admission
+            .admit(request, &rules, now, &mut changes);
+        scheduler.send_decisions(&changes, &rules, now);
         let (sender, receiver) = oneshot::channel();
         if decision == SlotDecision::Wait {
-            desk.waiters.push(SlotWaiter {
+            scheduler.waiters.push(SlotWaiter {
                 key: request.key,
                 sender,
             });
         }
-        let wait = WaitGuard {
+        let guard = WaitGuard {
             state,
             rules: &rules,
             key: request.key,
             receiver,
         };
-        (decision, wait)
+        (decision, guard)
     };
     let decision = match decision {
-        SlotDecision::Wait => wait_for_admission(wait_for_slot(&mut wait)).await,
+        SlotDecision::Wait => wait_for_admission(wait_for_decision(&mut guard)).await,
         decision => decision,
     };
     match decision {
@@ -206,44 +223,47 @@
     }
 }
 
-async fn wait_for_slot(wait: &mut WaitGuard<'_>) -> SlotDecision {
+/// Waits until the request receives a decision, and advances the queue whenever that is
+/// due. Returns [`SlotDecision::Wait`] if the channel was closed without a decision.
+async fn wait_for_decision(guard: &mut WaitGuard<'_>) -> SlotDecision {
     loop {
-        let now = wait.state.node.clock.now();
-        let next = {
-            let mut desk = lock(&wait.state.slots);
-            let changes = desk.admission.advance(wait.rules, now);
-            desk.dispatch(&changes, wait.rules, now);
-            desk.admission.next_advance_at(now).unwrap_or(now)
+        let now = guard.state.node.clock.now();
+        let next_advance_at = {
+            let mut scheduler = lock(&guard.state.scheduler);
+            let changes = scheduler.admission.advance(guard.rules, now);
+            scheduler.send_decisions(&changes, guard.rules, now);
+            scheduler.admission.next_advance_at(now).unwrap_or(now)
         };
-        let sleep = next.since(now).max(MIN_SLEEP);
-        if let Ok(decision) = tokio::time::timeout(sleep, &mut wait.receiver).await {
+        let timeout = next_advance_at.since(now).max(MIN_WAIT);
+        if let Ok(decision) = tokio::time::timeout(timeout, &mut guard.receiver).await {
             return decision.unwrap_or(SlotDecision::Wait);
         }
     }
 }
 
-/// Takes a free slot for a request that another host has handed over.
+/// Acquires a slot for a request that another host has relayed, without waiting.
 ///
 /// # Errors
 ///
-/// Returns the time after which the other host may ask again.
-pub fn take_free_slot(
+/// Returns the time after which the other host may retry if no slot is free or the
+/// request is not expected to meet its deadline.
+pub fn try_acquire_slot(
     state: &Arc<HostState>,
     service: &ServiceRule,
     class: RequestClass,
     deadline: MonotonicTime,
 ) -> Result<SlotGuard, Duration> {
     let rules = admission_rules(service);
-    let mut desk = lock(&state.slots);
+    let mut scheduler = lock(&state.scheduler);
     let now = state.node.clock.now();
     let request = SlotRequest {
-        key: desk.next_key(),
+        key: scheduler.allocate_key(),
         class,
         deadline,
     };
-    match desk.admission.admit_relayed(request, &rules, now) {
+    match scheduler.admission.admit_relayed(request, &rules, now) {
         SlotDecision::Run => {
-            drop(desk);
+            drop(scheduler);
             Ok(SlotGuard::new(state, &rules))
         }
         SlotDecision::Refuse { retry_after } => Err(retry_after),
@@ -251,10 +271,11 @@
     }
 }
 
-/// Returns the load of a host, in percent of what can run at once.
+/// Returns the running and waiting requests of the host, in percent of the requests that
+/// can run concurrently.
 pub fn load_percent(state: &HostState, service: &ServiceRule) -> u16 {
     let now = state.node.clock.now();
-    lock(&state.slots)
+    lock(&state.scheduler)
         .admission
         .load_percent(&admission_rules(service), now)
 }
--- a/crates/hyssopstaird/src/host/socket.rs
+++ b/crates/hyssopstaird/src/host/socket.rs
@@ -1,7 +1,8 @@
-//! The socket that QUIC sees.
+//! The virtual UDP socket of the QUIC endpoint.
 //!
-//! QUIC reads datagrams of callers that [`crate::host::ingress`] has accepted,
-//! and what it sends to a caller is wrapped and sent to a balancer.
+//! The endpoint reads the callers' datagrams that [`crate::host::ingress`] has accepted.
+//! Each datagram that it sends to a caller is wrapped in a return header and sent to a
+//! balancer.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -30,38 +31,41 @@
 use crate::control::node::lock;
 use crate::host::state::HostState;
 
-/// Datagrams that wait for QUIC at most; later ones are dropped, as by a
-/// kernel whose buffer is full.
-const MAX_QUEUED: usize = 8_192;
+/// Maximum number of datagrams in the queue. When it is full, new datagrams are dropped,
+/// as a kernel does when a receive buffer is full.
+const MAX_QUEUED_DATAGRAMS: usize = 8_192;
 
-/// Datagrams on their way to QUIC.
+/// Accepted datagrams that the QUIC endpoint has not read yet.
 #[derive(Debug, Default)]
 pub struct PacketQueue {
     inner: Mutex<QueueState>,
 }
 
+/// Each datagram with its caller, and the task that waits for the next one.
 #[derive(Debug, Default)]
 struct QueueState {
-    packets: VecDeque<(SocketAddrV4, Vec<u8>)>,
+    datagrams: VecDeque<(SocketAddrV4, Vec<u8>)>,
     waker: Option<Waker>,
 }
 
 impl PacketQueue {
-    /// Adds a datagram of a caller.
+    /// Appends a caller's datagram and wakes the QUIC endpoint. Drops the datagram if the
+    /// queue is full.
     pub fn push(&self, caller: SocketAddrV4, datagram: Vec<u8>) {
         let mut state = lock(&self.inner);
-        if state.packets.len() >= MAX_QUEUED {
+        if state.datagrams.len() >= MAX_QUEUED_DATAGRAMS {
             return;
         }
-        state.packets.push_back((caller, datagram));
+        state.datagrams.push_back((caller, datagram));
         if let Some(waker) = state.waker.take() {
             waker.wake();
         }
     }
 
+    /// Removes and returns the first datagram, or registers the task to be woken.
     fn poll_pop(&self, context: &mut Context<'_>) -> Poll<(SocketAddrV4, Vec<u8>)> {
         let mut state = lock(&self.inner);
-        match state.packets.pop_front() {
+        match state.datagrams.pop_front() {
             Some(packet) => Poll::Ready(packet),
             None => {
                 state.waker = Some(context.waker().clone());
@@ -71,13 +75,13 @@
     }
 }
 
-/// The socket that QUIC sees.
+/// The virtual UDP socket of the QUIC endpoint.
 pub struct FlowSocket {
     state: Arc<HostState>,
 }
 
 impl FlowSocket {
-    /// Creates the socket.
+    /// Creates a socket that reads from the packet queue of `state`.
     pub fn new(state: Arc<HostState>) -> Self {
         Self { state }
     }
@@ -99,7 +103,7 @@
             return Ok(());
         };
         let now = self.state.node.clock.now();
-        let Some(route) = self.state.returns.find_route(caller, now) else {
+        let Some(route) = self.state.return_table.find_route(caller, now) else {
             return Ok(());
         };
         let Some(service) = self.state.service_id() else {
@@ -107,7 +111,7 @@
         };
         let header = ReturnHeader {
             service,
-            host: self.state.node.me(),
+            host: self.state.node.process_id(),
             load: self.state.load().report(),
             caller,
             target: route.target,
@@ -115,8 +119,8 @@
             trace: CALLER_TRACES.find_trace(caller, now),
         };
         let mut buffer = [0; MAX_PACKET_LENGTH];
-        let written = write_packet(&mut buffer, PacketKind::Return, &header, transmit.contents);
-        let Ok(length) = written else {
+        let result = write_packet(&mut buffer, PacketKind::Return, &header, transmit.contents);
+        let Ok(length) = result else {
             return Ok(());
         };
         let target = SocketAddr::V4(route.balancer);
@@ -127,10 +131,11 @@
             .try_send_to(&buffer[..length], target)
         {
             Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => {
-                self.state.returns.remove_balancer(route.balancer);
+                self.state.return_table.remove_balancer(route.balancer);
                 Ok(())
             }
-            // A full buffer loses the datagram, as a network would.
+            // A datagram that does not fit into the send buffer is lost, as on a network;
+            // QUIC retransmits its content.
             _ => Ok(()),
         }
     }
@@ -141,7 +146,7 @@
         buffers: &mut [IoSliceMut<'_>],
         meta: &mut [RecvMeta],
     ) -> Poll<io::Result<usize>> {
-        let (caller, datagram) = match self.state.queue.poll_pop(context) {
+        let (caller, datagram) = match self.state.packet_queue.poll_pop(context) {
             Poll::Ready(packet) => packet,
             Poll::Pending => return Poll::Pending,
         };
@@ -163,7 +168,8 @@
     }
 }
 
-/// Always ready: a datagram that cannot be sent is lost.
+/// A poller that always reports the socket as writable, because a datagram that cannot be
+/// sent is dropped.
 #[derive(Debug)]
 struct ReadyPoller;
 
--- a/crates/hyssopstaird/src/host/tickets.rs
+++ b/crates/hyssopstaird/src/host/tickets.rs
@@ -1,4 +1,4 @@
-//! Tickets of the requests that a host serves.
+//! Tickets, which prevent requests that are not idempotent from running twice.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,27 +19,28 @@
 use crate::host::settle;
 use crate::host::state::HostState;
 
-/// What the ticket of a request says about it.
+/// The result of claiming the ticket of a request.
 #[derive(Debug)]
 pub enum TicketResult {
-    /// The request may run.
+    /// The ticket is claimed and the request may run.
     Claimed(TicketClaim),
-    /// The request ran before, with this answer.
+    /// The request has already run, with this answer.
     Reply(BackendReply),
-    /// The request ran before; its answer is not kept.
+    /// The request has already run, but its answer was not stored.
     DoneWithoutReply,
-    /// The request needs a fresh ticket.
+    /// The request did not run and needs a new ticket.
     NeedsTicket,
-    /// Nobody knows whether the request ran.
+    /// It is unknown whether the request ran.
     MayHaveRun,
-    /// Another copy of the request is at work.
+    /// Another copy of the request is still running.
     StillRunning,
-    /// The ticket was used for another request.
+    /// The ticket was used for a different request.
     OtherRequest,
 }
 
-/// The right to run one request. When it is dropped, the request has not run,
-/// or may have run if it was handed over.
+/// A claimed ticket, which permits its request to run once. If it is dropped, the outcome
+/// is recorded as not run, or as unknown if the request was handed over to a backend
+/// server or another host.
 #[derive(Debug)]
 pub struct TicketClaim {
     state: Arc<HostState>,
@@ -49,32 +50,34 @@
 }
 
 impl TicketClaim {
-    /// Asks for the hand-over to a backend server, right before it.
+    /// Records that the request is handed over to a backend server or another host. Must
+    /// be called immediately before the request is sent, after any wait.
     ///
     /// # Errors
     ///
-    /// Returns an error when the request must not run.
+    /// Returns an error if the request must not run, because the ticket has expired or the
+    /// deadline has passed.
     pub fn hand_over(&mut self, deadline: MonotonicTime) -> Result<(), HandOverError> {
         let now = self.state.node.clock.now();
-        lock(&self.state.tickets).hand_over(self.number, deadline, now)?;
+        lock(&self.state.ledger).hand_over(self.number, deadline, now)?;
         self.is_handed_over = true;
         Ok(())
     }
 
-    /// Takes back a hand-over that provably sent nothing.
+    /// Reverts a hand-over after which the request certainly did not run.
     pub fn undo_hand_over(&mut self) {
-        lock(&self.state.tickets).undo_hand_over(self.number);
+        lock(&self.state.ledger).undo_hand_over(self.number);
         self.is_handed_over = false;
     }
 
-    /// Records how the request ended.
+    /// Records the outcome of the request.
     pub fn finish(mut self, outcome: RunOutcome) {
         self.record(outcome);
     }
 
     fn record(&mut self, outcome: RunOutcome) {
         self.is_finished = true;
-        lock(&self.state.tickets).record_outcome(self.number, outcome);
+        lock(&self.state.ledger).record_outcome(self.number, outcome);
         self.state.ticket_ended.notify_waiters();
     }
 }
@@ -93,17 +96,18 @@
     }
 }
 
-/// Issues tickets in their text form.
-pub fn issue(state: &HostState, count: usize) -> Vec<String> {
+/// Issues `count` tickets and returns them in their text form.
+pub fn issue_tickets(state: &HostState, count: usize) -> Vec<String> {
     let now = state.node.clock.now();
-    let mut ledger = lock(&state.tickets);
+    let mut ledger = lock(&state.ledger);
     (0..count)
         .map(|_| state.ticket_key.encode_ticket(&ledger.issue(now)))
         .collect()
 }
 
-/// Claims the ticket of a request, waiting for another copy of it to end.
-pub async fn claim(state: &Arc<HostState>, request: &CallerRequest) -> TicketResult {
+/// Claims the ticket of a request. If another copy of the request is running, waits for
+/// its end until the deadline.
+pub async fn claim_ticket(state: &Arc<HostState>, request: &CallerRequest) -> TicketResult {
     let Ok(ticket) = state.ticket_key.decode_ticket(&request.key) else {
         return TicketResult::NeedsTicket;
     };
@@ -114,18 +118,20 @@
     loop {
         let ended = state.ticket_ended.notified();
         let now = state.node.clock.now();
-        let decision = lock(&state.tickets).claim(&ticket, fingerprint, now);
+        let decision = lock(&state.ledger).claim(&ticket, fingerprint, now);
         if decision != TicketDecision::Wait {
-            return carry_out(state, request, &ticket, fingerprint, decision).await;
+            return apply_decision(state, request, &ticket, fingerprint, decision).await;
         }
-        let patience = request.deadline.since(now);
-        if patience.is_zero() || tokio::time::timeout(patience, ended).await.is_err() {
+        let timeout = request.deadline.since(now);
+        if timeout.is_zero() || tokio::time::timeout(timeout, ended).await.is_err() {
             return TicketResult::StillRunning;
         }
     }
 }
 
-async fn carry_out(
+/// Converts the ledger's decision to a result. Asks the issuer if another process issued
+/// the ticket.
+async fn apply_decision(
     state: &Arc<HostState>,
     request: &CallerRequest,
     ticket: &RequestTicket,
@@ -140,22 +146,24 @@
             is_finished: false,
         }),
         TicketDecision::Wait => TicketResult::StillRunning,
-        TicketDecision::Replay(reply) => replay(reply.as_ref()),
+        TicketDecision::Replay(reply) => to_ticket_result(reply.as_ref()),
         TicketDecision::NotRun => TicketResult::NeedsTicket,
         TicketDecision::MayHaveRun => TicketResult::MayHaveRun,
         TicketDecision::OtherRequest => TicketResult::OtherRequest,
         TicketDecision::AskIssuer => {
-            let patience = remaining(state, request);
-            settle::ask(state, ticket, &request.key, fingerprint, patience).await
+            let timeout = remaining_time(state, request);
+            settle::ask_issuer(state, ticket, &request.key, fingerprint, timeout).await
         }
     }
 }
 
-fn remaining(state: &HostState, request: &CallerRequest) -> Duration {
+/// Returns the time until the deadline of a request.
+fn remaining_time(state: &HostState, request: &CallerRequest) -> Duration {
     request.deadline.since(state.node.clock.now())
 }
 
-fn replay(reply: Option<&StoredReply>) -> TicketResult {
+/// Decodes the stored answer of a request that has already run.
+fn to_ticket_result(reply: Option<&StoredReply>) -> TicketResult {
     match reply.and_then(|bytes| decode_reply(bytes)) {
         Some(reply) => TicketResult::Reply(reply),
         None => TicketResult::DoneWithoutReply,
--- a/crates/hyssopstaird/src/peer/client.rs
+++ b/crates/hyssopstaird/src/peer/client.rs
@@ -1,4 +1,8 @@
-//! Asks other processes.
+//! Requests to other processes.
+//!
+//! Errors distinguish a request that was certainly not sent from one that the peer may
+//! have processed. A request is never sent a second time, because the peer could then
+//! process it twice.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -22,148 +26,156 @@
 use crate::control::node::lock;
 use crate::error::DaemonError;
 
-/// Longest wait for an answer about the configuration.
-const PEER_TIMEOUT: Duration = Duration::from_secs(1);
+/// Maximum time for the answer to a request of [`send_request`].
+const CONFIGURATION_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Links that are kept open.
-const MAX_LINKS: usize = 64;
+/// Maximum number of idle connections that a pool keeps open.
+const MAX_IDLE_CONNECTIONS: usize = 64;
 
-/// Why there is no answer.
+/// The reason why a request has no answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum PeerError {
-    /// The question was not sent.
-    #[error("the peer cannot be reached")]
+    /// The request was not sent.
+    #[error("the peer is unreachable")]
     NotSent,
-    /// The question was sent, and may have been acted upon.
+    /// The request was sent, and the peer may have processed it.
     #[error("the peer does not answer")]
     NoAnswer,
 }
 
-/// Time after which nng would connect again by itself: never, for a question
-/// that went out on the new connection could be acted upon twice.
-const NEVER: Duration = Duration::from_secs(24 * 60 * 60);
+/// Delay before nng reconnects a broken connection, long enough that it never does. A
+/// request that is sent over the new connection could be processed a second time.
+const RECONNECT_DELAY: Duration = Duration::from_secs(24 * 60 * 60);
 
-/// A connection to one peer that nobody uses at the moment.
+/// An open connection to a peer that no request uses.
 #[derive(Debug)]
-struct IdleLink {
+struct IdleConnection {
     address: SocketAddrV4,
     socket: Socket,
 }
 
-/// Connections to peers, kept until a peer is silent. A connection carries one
-/// question at a time.
+/// A pool of connections to peers. Each connection carries one request at a time and is
+/// closed if its request fails.
 #[derive(Debug, Default)]
 pub struct PeerPool {
-    idle: Mutex<Vec<IdleLink>>,
+    idle: Mutex<Vec<IdleConnection>>,
 }
 
-/// Settles whether a question was sent, between the one that waits for the
-/// answer and the thread that sends.
+/// Decides whether a request is sent or abandoned. The thread that sends the request and
+/// the task that waits for the answer and may time out share it; the first of them wins.
 #[derive(Debug, Default)]
-struct SendGate {
+struct SendLatch {
     state: Mutex<SendState>,
 }
 
+/// The state of a request in a [`SendLatch`].
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 enum SendState {
     #[default]
-    Open,
+    Pending,
     Sent,
-    GivenUp,
+    Abandoned,
 }
 
-impl SendGate {
-    /// Returns whether the question may be sent.
-    fn send(&self) -> bool {
+impl SendLatch {
+    /// Records the request as sent, unless it was abandoned. Returns whether the caller
+    /// may send it.
+    fn try_start(&self) -> bool {
         let mut state = lock(&self.state);
-        if *state == SendState::GivenUp {
+        if *state == SendState::Abandoned {
             return false;
         }
         *state = SendState::Sent;
         true
     }
 
-    /// Returns what is known of the question once nobody waits for its answer.
-    fn give_up(&self) -> PeerError {
+    /// Prevents the request from being sent, and returns [`PeerError::NotSent`] if that
+    /// succeeds or [`PeerError::NoAnswer`] if it was already sent.
+    fn abandon(&self) -> PeerError {
         let mut state = lock(&self.state);
         if *state == SendState::Sent {
             return PeerError::NoAnswer;
         }
-        *state = SendState::GivenUp;
+        *state = SendState::Abandoned;
         PeerError::NotSent
     }
 }
 
 impl PeerPool {
-    /// Asks the process at `address`.
+    /// Sends a request to the process at `address` and returns its answer.
     ///
     /// # Errors
     ///
-    /// Returns an error that says whether the question was sent.
-    pub async fn ask(
+    /// Returns [`PeerError::NotSent`] if the request was certainly not sent, and
+    /// [`PeerError::NoAnswer`] if it was sent but not answered within `timeout`.
+    pub async fn send_request(
         &self,
         address: SocketAddrV4,
         request: &PeerRequest,
         timeout: Duration,
     ) -> Result<PeerAnswer, PeerError> {
-        let kept = self.take(address);
+        let idle_socket = self.take_idle(address);
         let bytes = encode_request(request);
-        // The blocking calls of nng are used, because its asynchronous
-        // operations wait for their own end when the last handle goes in one.
-        let gate = Arc::new(SendGate::default());
-        let sender_gate = gate.clone();
-        let asking = tokio::task::spawn_blocking(move || {
-            let socket = match kept {
+        // This uses the blocking calls of nng. An asynchronous operation of nng would
+        // wait for its own end if the last handle were dropped inside it.
+        let latch = Arc::new(SendLatch::default());
+        let sender_latch = latch.clone();
+        let task = tokio::task::spawn_blocking(move || {
+            let socket = match idle_socket {
                 Some(socket) => socket,
-                None => open(address)?,
+                None => open_socket(address)?,
             };
-            if !sender_gate.send() {
+            if !sender_latch.try_start() {
                 return Err(PeerError::NotSent);
             }
-            let answer = ask_blocking(&socket, &bytes, timeout)?;
+            let answer = exchange_blocking(&socket, &bytes, timeout)?;
             Ok((socket, answer))
         });
-        // A connection to a frozen process opens only after nng's own limit of
-        // 10 seconds, for which nobody waits here.
-        let Ok(asked) = tokio::time::timeout(timeout, asking).await else {
-            return Err(gate.give_up());
+        // Connecting to a process that does not respond fails only after nng's own
+        // timeout of 10 seconds, which is too long to wait.
+        let Ok(result) = tokio::time::timeout(timeout, task).await else {
+            return Err(latch.abandon());
         };
-        let (socket, answer) = asked.map_err(|_| PeerError::NoAnswer)??;
-        self.keep(IdleLink { address, socket });
+        let (socket, answer) = result.map_err(|_| PeerError::NoAnswer)??;
+        self.store_idle(IdleConnection { address, socket });
         Ok(answer)
     }
 
-    fn take(&self, address: SocketAddrV4) -> Option<Socket> {
+    /// Removes and returns an idle connection to `address`, if there is one.
+    fn take_idle(&self, address: SocketAddrV4) -> Option<Socket> {
         let mut idle = lock(&self.idle);
         let index = idle
-            .binary_search_by_key(&address, |link| link.address)
+            .binary_search_by_key(&address, |connection| connection.address)
             .ok()?;
         Some(idle.remove(index).socket)
     }
 
-    fn keep(&self, link: IdleLink) {
+    /// Adds an idle connection, or closes it if the pool is full.
+    fn store_idle(&self, connection: IdleConnection) {
         let mut idle = lock(&self.idle);
-        if idle.len() >= MAX_LINKS {
+        if idle.len() >= MAX_IDLE_CONNECTIONS {
             return;
         }
-        let index = idle.partition_point(|other| other.address < link.address);
-        idle.insert(index, link);
+        let index = idle.partition_point(|other| other.address < connection.address);
+        idle.insert(index, connection);
     }
 }
 
-fn open(address: SocketAddrV4) -> Result<Socket, PeerError> {
+/// Opens a connection to `address`.
+fn open_socket(address: SocketAddrV4) -> Result<Socket, PeerError> {
     let connect = || -> Result<Socket, nng::Error> {
         let socket = Socket::new(Protocol::Req0)?;
-        // A question that was sent again could be acted upon twice.
+        // If nng sent a request again, the peer could process it twice.
         socket.set_opt::<ResendTime>(None)?;
-        socket.set_opt::<ReconnectMinTime>(Some(NEVER))?;
+        socket.set_opt::<ReconnectMinTime>(Some(RECONNECT_DELAY))?;
         socket.dial(&format!("tcp://{address}"))?;
         Ok(socket)
     };
     connect().map_err(|_| PeerError::NotSent)
 }
 
-fn ask_blocking(
+/// Sends an encoded request and waits for the answer.
+fn exchange_blocking(
     socket: &Socket,
     request: &[u8],
     timeout: Duration,
@@ -179,18 +191,19 @@
     decode_answer(message.as_slice()).ok_or(PeerError::NoAnswer)
 }
 
-/// Asks the process at `address` over a connection of its own.
+/// Sends a request to the process at `address` over a new connection and returns the
+/// answer.
 ///
 /// # Errors
 ///
-/// Returns an error when no answer comes in time.
-pub async fn ask(
+/// Returns an error if there is no answer within one second.
+pub async fn send_request(
     address: SocketAddrV4,
     request: PeerRequest,
 ) -> Result<PeerAnswer, Report<DaemonError>> {
-    let context = || DaemonError::new(format!("failed to ask the peer at {address}"));
+    let context = || DaemonError::new(format!("failed to send a request to the peer at {address}"));
     PeerPool::default()
-        .ask(address, &request, PEER_TIMEOUT)
+        .send_request(address, &request, CONFIGURATION_TIMEOUT)
         .await
         .change_context_lazy(context)
 }
--- a/crates/hyssopstaird/src/peer/mod.rs
+++ b/crates/hyssopstaird/src/peer/mod.rs
@@ -1,8 +1,8 @@
-//! Questions between two processes, over nng: [`server`] answers them, and
-//! [`client`] asks them.
+//! Requests between two processes, transported by nng. [`client`] sends them and
+//! [`server`] answers them.
 
 pub mod client;
 pub mod server;
 
-pub use crate::peer::client::ask;
-pub use crate::peer::server::serve;
+pub use crate::peer::client::send_request;
+pub use crate::peer::server::start_server;
--- a/crates/hyssopstaird/src/peer/server.rs
+++ b/crates/hyssopstaird/src/peer/server.rs
@@ -1,4 +1,4 @@
-//! Answers the questions of other processes.
+//! Answers to requests from other processes.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -27,18 +27,19 @@
 use crate::host::settle;
 use crate::host::state::HostState;
 
-/// Questions that are worked on at once.
-const WORKERS: usize = 64;
+/// Number of requests that are processed concurrently.
+const WORKER_COUNT: usize = 64;
 
-/// What answers are taken from.
+/// Answers requests from the state of this process.
 #[derive(Debug, Clone)]
-pub struct PeerDesk {
+pub struct PeerResponder {
     node: Arc<ControlNode>,
     host: Arc<OnceLock<Arc<HostState>>>,
 }
 
-impl PeerDesk {
-    /// Creates the desk of a process that is not a host yet.
+impl PeerResponder {
+    /// Creates a responder that refuses requests to hosts until
+    /// [`Self::set_host_state`] is called.
     pub fn new(node: Arc<ControlNode>) -> Self {
         Self {
             node,
@@ -46,83 +47,94 @@
         }
     }
 
-    /// Lets peers ask about requests from now on.
-    pub fn open_host(&self, state: Arc<HostState>) {
+    /// Sets the state of the host, from which requests to hosts are answered from now on.
+    pub fn set_host_state(&self, state: Arc<HostState>) {
         let _ = self.host.set(state);
     }
 
-    async fn answer(&self, request: PeerRequest) -> PeerAnswer {
+    async fn answer_request(&self, request: PeerRequest) -> PeerAnswer {
         match (request, self.host.get()) {
-            (PeerRequest::Configuration { above }, _) => self.configuration(above),
-            (PeerRequest::WholeConfiguration { above }, _) => self.whole_configuration(above),
+            (PeerRequest::Configuration { above }, _) => self.answer_configuration(above),
+            (PeerRequest::WholeConfiguration { above }, _) => {
+                self.answer_whole_configuration(above)
+            }
             (PeerRequest::Version, _) => PeerAnswer::Version(self.node.view().version),
             (PeerRequest::Settle(request), Some(host)) => {
-                PeerAnswer::Settled(settle::answer(host, &request))
+                PeerAnswer::Settled(settle::answer_settle_request(host, &request))
             }
             (PeerRequest::Relay(request), Some(host)) => {
-                PeerAnswer::Relayed(relay::answer(host, *request).await)
+                PeerAnswer::Relayed(relay::answer_relay_request(host, *request).await)
             }
             (PeerRequest::Settle(_) | PeerRequest::Relay(_), None) => PeerAnswer::Refused,
         }
     }
 
-    fn configuration(&self, above: u64) -> PeerAnswer {
+    /// Returns the steps from the version `above` to the one in force, or the complete
+    /// configuration if not all of these steps are stored.
+    fn answer_configuration(&self, above: u64) -> PeerAnswer {
         let version = self.node.config().version();
         if version <= above {
             return PeerAnswer::UpToDate;
         }
-        // The lock must be free again before the whole text is packed.
+        // The lock must be released before the complete text is compressed, which locks
+        // the updates again.
         let steps = lock(&self.node.updates).find_steps(above, version);
         match steps {
             Some(steps) => PeerAnswer::ConfigurationSteps(steps),
-            None => self.whole_configuration(above),
+            None => self.answer_whole_configuration(above),
         }
     }
 
-    fn whole_configuration(&self, above: u64) -> PeerAnswer {
+    /// Returns the complete configuration if its version is higher than `above`.
+    fn answer_whole_configuration(&self, above: u64) -> PeerAnswer {
         let config = self.node.config();
         let version = config.version();
         if version <= above {
             return PeerAnswer::UpToDate;
         }
-        match self.packed_text(&config) {
-            Ok(packed) => PeerAnswer::Configuration {
+        match self.compressed_text(&config) {
+            Ok(compressed) => PeerAnswer::Configuration {
                 version,
-                deflated_text: packed.to_vec(),
+                deflated_text: compressed.to_vec(),
             },
             Err(error) => {
-                log::warn!(error:% = error; "config: the text cannot be packed");
+                log::warn!(error:% = error; "config: failed to compress the text");
                 PeerAnswer::Refused
             }
         }
     }
 
-    fn packed_text(&self, config: &ConfigState) -> std::io::Result<Arc<[u8]>> {
+    /// Returns the compressed text of the configuration, and stores it for later requests.
+    fn compressed_text(&self, config: &ConfigState) -> std::io::Result<Arc<[u8]>> {
         let version = config.version();
-        if let Some(packed) = lock(&self.node.updates).find_deflated_text(version) {
-            return Ok(packed);
+        if let Some(compressed) = lock(&self.node.updates).find_deflated_text(version) {
+            return Ok(compressed);
         }
-        // The lock is not held meanwhile; at worst two questions do it twice.
-        let packed: Arc<[u8]> = deflate_text(config.text())?.into();
-        lock(&self.node.updates).store_deflated_text(version, Arc::clone(&packed));
-        Ok(packed)
+        // The lock is not held during compression; concurrent requests may compress the
+        // same text more than once.
+        let compressed: Arc<[u8]> = deflate_text(config.text())?.into();
+        lock(&self.node.updates).store_deflated_text(version, Arc::clone(&compressed));
+        Ok(compressed)
     }
 }
 
-/// What must live for as long as peers are answered: nng gives up whatever has
-/// no handle left.
+/// The handles of a running server. nng closes an object when its last handle is dropped.
 #[derive(Debug)]
 pub struct PeerServer {
     _socket: Socket,
     _workers: Vec<Aio>,
 }
 
-/// Answers questions of peers until the server that it returns is dropped.
+/// Starts to answer requests from peers at `address`. The server runs until the returned
+/// handle is dropped.
 ///
 /// # Errors
 ///
-/// Returns an error when the address is in use.
-pub fn serve(address: SocketAddrV4, desk: &PeerDesk) -> Result<PeerServer, Report<DaemonError>> {
+/// Returns an error if the address cannot be bound.
+pub fn start_server(
+    address: SocketAddrV4,
+    responder: &PeerResponder,
+) -> Result<PeerServer, Report<DaemonError>> {
     let context = || {
         DaemonError::new(format!(
             "failed to listen for peers on the address of the field \"inner\", {address}"
@@ -131,13 +143,13 @@
     let socket = Socket::new(Protocol::Rep0).change_context_lazy(context)?;
     let handle = Handle::current();
     let mut workers = Vec::new();
-    for _ in 0..WORKERS {
+    for _ in 0..WORKER_COUNT {
         let worker = Context::new(&socket).change_context_lazy(context)?;
         let receiver = worker.clone();
-        let desk = desk.clone();
+        let responder = responder.clone();
         let handle = handle.clone();
         let aio = Aio::new(move |aio, result| {
-            step(&worker, &aio, result, &desk, &handle);
+            handle_event(&worker, &aio, result, &responder, &handle);
         })
         .change_context_lazy(context)?;
         receiver.recv(&aio).change_context_lazy(context)?;
@@ -152,20 +164,28 @@
     })
 }
 
-fn step(worker: &Context, aio: &Aio, result: AioResult, desk: &PeerDesk, handle: &Handle) {
+/// Handles the completion of an asynchronous nng operation of a worker: starts to answer
+/// a received request, or waits for the next request after an answer was sent.
+fn handle_event(
+    worker: &Context,
+    aio: &Aio,
+    result: AioResult,
+    responder: &PeerResponder,
+    handle: &Handle,
+) {
     match result {
         AioResult::Recv(Ok(message)) => {
             let worker = worker.clone();
             let aio = aio.clone();
-            let desk = desk.clone();
+            let responder = responder.clone();
             handle.spawn(async move {
-                let answer = answer_message(&desk, &message).await;
+                let answer = answer_message(&responder, &message).await;
                 if worker.send(&aio, answer).is_err() {
-                    log::warn!("peer: an answer could not be sent");
+                    log::warn!("peer: failed to send an answer");
                 }
             });
         }
-        // The process stops: another wait would keep nng from letting go.
+        // The socket is being closed. Another receive operation would block its closing.
         AioResult::Recv(Err(nng::Error::Closed | nng::Error::Canceled)) => {}
         AioResult::Send(_) | AioResult::Recv(Err(_)) => {
             let _ = worker.recv(aio);
@@ -174,9 +194,10 @@
     }
 }
 
-async fn answer_message(desk: &PeerDesk, message: &Message) -> Message {
+/// Decodes a request and returns the encoded answer. Malformed requests are refused.
+async fn answer_message(responder: &PeerResponder, message: &Message) -> Message {
     let answer = match decode_request(message.as_slice()) {
-        Some(request) => desk.answer(request).await,
+        Some(request) => responder.answer_request(request).await,
         None => PeerAnswer::Refused,
     };
     Message::from(encode_answer(&answer).as_slice())
