--- a/crates/hyssopstair/src/ops/load/caller.rs
+++ b/crates/hyssopstair/src/ops/load/caller.rs
@@ -38,7 +38,7 @@
 
 /// Opens flows.
 #[derive(Debug, Clone)]
-pub struct CallerPool {
+pub struct CallerConnector {
     config: ClientConfig,
 }
 
@@ -54,7 +54,7 @@
 }
 
 /// The stream of a request whose body is sent.
-pub type AnswerStream = RequestStream<h3_quinn::BidiStream<Bytes>, Bytes>;
+pub type ResponseStream = RequestStream<h3_quinn::BidiStream<Bytes>, Bytes>;
 
 /// A flow to a service.
 #[derive(Clone)]
@@ -68,20 +68,20 @@
 
 /// A whole answer.
 #[derive(Debug)]
-pub struct WholeAnswer {
+pub struct FullResponse {
     /// Status and headers.
     pub head: Response<()>,
     /// The body.
     pub body: Vec<u8>,
 }
 
-impl CallerPool {
+impl CallerConnector {
     /// Creates a pool of callers that trust a certificate.
     ///
     /// # Errors
     ///
     /// Returns an error when the certificate cannot be used.
-    pub fn open(certificate: &Path) -> Result<Self, Report<CommandError>> {
+    pub fn with_root_certificate(certificate: &Path) -> Result<Self, Report<CommandError>> {
         let context = || {
             CommandError::new(
                 FailureKind::Input,
@@ -153,13 +153,13 @@
     /// # Errors
     ///
     /// Returns an error when the flow ends before the answer begins.
-    pub async fn ask(
+    pub async fn start_request(
         &self,
         method: &str,
         path: &str,
         key: &str,
         body: Bytes,
-    ) -> Result<(Response<()>, AnswerStream), CallerError> {
+    ) -> Result<(Response<()>, ResponseStream), CallerError> {
         let request = self
             .request(method, path, key)
             .body(())
@@ -202,7 +202,7 @@
         &self,
         request: Request<()>,
         body: Bytes,
-    ) -> Result<(Response<()>, AnswerStream), CallerError> {
+    ) -> Result<(Response<()>, ResponseStream), CallerError> {
         let mut sender = self.sender.clone();
         let mut stream = sender.send_request(request).await.map_err(|error| {
             if self.connection.close_reason().is_none() {
@@ -232,15 +232,15 @@
     /// # Errors
     ///
     /// Returns an error when the answer does not come whole.
-    pub async fn ask_whole(
+    pub async fn fetch(
         &self,
         method: &str,
         path: &str,
         key: &str,
         body: Bytes,
-    ) -> Result<WholeAnswer, CallerError> {
-        let (head, stream) = self.ask(method, path, key, body).await?;
-        read_whole(head, stream).await
+    ) -> Result<FullResponse, CallerError> {
+        let (head, stream) = self.start_request(method, path, key, body).await?;
+        read_response(head, stream).await
     }
 }
 
@@ -259,15 +259,15 @@
 /// # Errors
 ///
 /// Returns an error when the answer ends before it is whole.
-pub async fn read_whole(
+pub async fn read_response(
     head: Response<()>,
-    mut stream: AnswerStream,
-) -> Result<WholeAnswer, CallerError> {
+    mut stream: ResponseStream,
+) -> Result<FullResponse, CallerError> {
     let mut body = Vec::new();
     while let Some(chunk) = read_chunk(&mut stream).await? {
         body.extend_from_slice(&chunk);
     }
-    Ok(WholeAnswer { head, body })
+    Ok(FullResponse { head, body })
 }
 
 /// Reads the next part of an answer, or nothing at its end.
@@ -275,7 +275,7 @@
 /// # Errors
 ///
 /// Returns an error when the answer ends before it is whole.
-pub async fn read_chunk(stream: &mut AnswerStream) -> Result<Option<Bytes>, CallerError> {
+pub async fn read_chunk(stream: &mut ResponseStream) -> Result<Option<Bytes>, CallerError> {
     let chunk = stream
         .recv_data()
         .await
--- a/crates/hyssopstair/src/ops/load/feeds.rs
+++ b/crates/hyssopstair/src/ops/load/feeds.rs
@@ -5,8 +5,8 @@
 
 use bytes::Bytes;
 
-use crate::ops::load::caller::AnswerStream;
 use crate::ops::load::caller::CallerError;
+use crate::ops::load::caller::ResponseStream;
 use crate::ops::load::caller::read_chunk;
 use crate::ops::load::groups::LoadRun;
 use crate::ops::load::workload::FeedLoad;
@@ -28,7 +28,7 @@
 }
 
 async fn hold_once(run: &LoadRun, service: &ServiceLoad, name: &str, time: Duration) {
-    let flow = match run.pool.connect(&service.name, service.address).await {
+    let flow = match run.connector.connect(&service.name, service.address).await {
         Ok(flow) => flow,
         Err(error) => {
             run.tally.flow_refused(&error);
@@ -38,7 +38,7 @@
     run.tally.flow_opened();
     let reading = async {
         let path = format!("/feed/{name}");
-        let (head, mut stream) = flow.ask("GET", &path, "", Bytes::new()).await?;
+        let (head, mut stream) = flow.start_request("GET", &path, "", Bytes::new()).await?;
         if !head.status().is_success() {
             return Err(CallerError::Lost(format!("status {}", head.status())));
         }
@@ -50,7 +50,7 @@
     }
 }
 
-async fn read_lines(stream: &mut AnswerStream, name: &str) -> Result<(), CallerError> {
+async fn read_lines(stream: &mut ResponseStream, name: &str) -> Result<(), CallerError> {
     let mut expected = 0_u64;
     let mut buffer = String::new();
     while let Some(chunk) = read_chunk(stream).await? {
--- a/crates/hyssopstair/src/ops/load/groups.rs
+++ b/crates/hyssopstair/src/ops/load/groups.rs
@@ -11,7 +11,7 @@
 use rand::rngs::StdRng;
 
 use crate::ops::load::arrivals::ArrivalProcess;
-use crate::ops::load::caller::CallerPool;
+use crate::ops::load::caller::CallerConnector;
 use crate::ops::load::requests::RequestPlan;
 use crate::ops::load::requests::TicketFlow;
 use crate::ops::load::requests::ask_one;
@@ -26,7 +26,7 @@
 #[derive(Debug, Clone)]
 pub struct LoadRun {
     /// Opens flows.
-    pub pool: CallerPool,
+    pub connector: CallerConnector,
     /// Counts what comes of it.
     pub tally: Arc<LoadTally>,
     /// When the load starts.
@@ -113,7 +113,7 @@
 }
 
 async fn open_flow(run: &LoadRun, service: &ServiceLoad, place: FlowPlace) {
-    match run.pool.connect(&service.name, service.address).await {
+    match run.connector.connect(&service.name, service.address).await {
         Ok(flow) => {
             run.tally.flow_opened();
             *lock(&place) = Some(TicketFlow::new(flow));
--- a/crates/hyssopstair/src/ops/load/mod.rs
+++ b/crates/hyssopstair/src/ops/load/mod.rs
@@ -28,7 +28,7 @@
 
 use crate::error::CommandError;
 use crate::ops::load::backends::collect_backends;
-use crate::ops::load::caller::CallerPool;
+use crate::ops::load::caller::CallerConnector;
 use crate::ops::load::groups::LoadRun;
 use crate::ops::load::report::FaultRecord;
 use crate::ops::load::report::LoadReport;
@@ -51,13 +51,13 @@
     workload: &LoadWorkload,
     progress: impl Fn(String) + Send + 'static,
 ) -> Result<LoadReport, Report<CommandError>> {
-    let pool = CallerPool::open(&workload.certificate)?;
+    let connector = CallerConnector::with_root_certificate(&workload.certificate)?;
     let is_lenient = !workload.faults.is_empty();
     let before = collect_backends(&workload.services, is_lenient).await?;
     let start = Instant::now();
     let tally = Arc::new(LoadTally::new(start));
     let run = LoadRun {
-        pool,
+        connector,
         tally: tally.clone(),
         start,
         time: Duration::from_secs_f64(workload.seconds),
--- a/crates/hyssopstair/src/ops/load/requests.rs
+++ b/crates/hyssopstair/src/ops/load/requests.rs
@@ -16,8 +16,8 @@
 
 use crate::ops::load::caller::CallerError;
 use crate::ops::load::caller::CallerFlow;
-use crate::ops::load::caller::WholeAnswer;
-use crate::ops::load::caller::read_whole;
+use crate::ops::load::caller::FullResponse;
+use crate::ops::load::caller::read_response;
 use crate::ops::load::tally::LoadTally;
 use crate::ops::load::workload::RequestLoad;
 
@@ -63,7 +63,7 @@
     }
 
     /// Sends a request with its deadline and trace, and waits for the answer.
-    async fn ask(&self, request: &LoadRequest) -> Result<WholeAnswer, CallerError> {
+    async fn ask(&self, request: &LoadRequest) -> Result<FullResponse, CallerError> {
         let mut builder = self
             .flow
             .request(&request.method, &request.path, &request.key);
@@ -77,7 +77,7 @@
             .body(())
             .map_err(|error| CallerError::Lost(error.to_string()))?;
         let (head, stream) = self.flow.send(head, request.body.clone()).await?;
-        read_whole(head, stream).await
+        read_response(head, stream).await
     }
 
     /// Returns a ticket, or an empty text when there is none yet.
@@ -86,7 +86,7 @@
         tickets.pop().unwrap_or_default()
     }
 
-    fn keep_tickets(&self, answer: &WholeAnswer) {
+    fn keep_tickets(&self, answer: &FullResponse) {
         let mut tickets = self.tickets.lock().unwrap_or_else(PoisonError::into_inner);
         let fresh = answer.head.headers().get_all(TICKET_HEADER).iter();
         tickets.extend(fresh.filter_map(|value| value.to_str().ok().map(str::to_owned)));
@@ -168,7 +168,7 @@
     flow: &TicketFlow,
     other: &TicketFlow,
     request: &mut LoadRequest,
-) -> Result<WholeAnswer, CallerError> {
+) -> Result<FullResponse, CallerError> {
     let mut flow = flow;
     request.key = flow.take_ticket();
     let mut last = Err(CallerError::Lost("the request was not sent".to_owned()));
@@ -194,7 +194,7 @@
     last
 }
 
-fn is_right(request: &LoadRequest, answer: &WholeAnswer) -> bool {
+fn is_right(request: &LoadRequest, answer: &FullResponse) -> bool {
     if answer.head.status() != StatusCode::OK {
         return true;
     }
--- a/crates/hyssopstair/src/ops/load/tally.rs
+++ b/crates/hyssopstair/src/ops/load/tally.rs
@@ -11,7 +11,7 @@
 use serde::Serialize;
 
 use crate::ops::load::caller::CallerError;
-use crate::ops::load::caller::WholeAnswer;
+use crate::ops::load::caller::FullResponse;
 
 /// Digits of a latency that are kept.
 const LATENCY_DIGITS: u8 = 3;
@@ -150,7 +150,7 @@
     }
 
     /// Counts a request that was answered; its latency counts from `due`.
-    pub fn answered(&self, answer: &WholeAnswer, due: Instant, is_once: bool, is_right: bool) {
+    pub fn answered(&self, answer: &FullResponse, due: Instant, is_once: bool, is_right: bool) {
         let verdict = answer
             .head
             .headers()
--- a/crates/hyssopstaird/examples/stall.rs
+++ b/crates/hyssopstaird/examples/stall.rs
@@ -11,8 +11,8 @@
 use std::time::Instant;
 
 use bytes::Bytes;
+use hyssopstair::ops::load::caller::CallerConnector;
 use hyssopstair::ops::load::caller::CallerFlow;
-use hyssopstair::ops::load::caller::CallerPool;
 use hyssopstair::ops::load::caller::read_chunk;
 use hyssopstair_testkit::fleet::FleetPlan;
 use hyssopstair_testkit::fleet::TestFleet;
@@ -33,7 +33,7 @@
 type SharedGaps = Arc<Mutex<FeedGaps>>;
 
 async fn read_feed(flow: CallerFlow, path: String, gaps: SharedGaps) {
-    if let Ok((_, mut stream)) = flow.ask("GET", &path, "", Bytes::new()).await {
+    if let Ok((_, mut stream)) = flow.start_request("GET", &path, "", Bytes::new()).await {
         while let Ok(Some(_)) = read_chunk(&mut stream).await {
             let mut gaps = gaps.lock().expect("no reader panics");
             gaps.longest = gaps.longest.max(gaps.last.elapsed());
@@ -43,8 +43,11 @@
     gaps.lock().expect("no reader panics").ended = true;
 }
 
-async fn open_feed(pool: &CallerPool, address: SocketAddr, number: usize) -> SharedGaps {
-    let flow = pool.connect("leerplein", address).await.expect("it opens");
+async fn open_feed(connector: &CallerConnector, address: SocketAddr, number: usize) -> SharedGaps {
+    let flow = connector
+        .connect("leerplein", address)
+        .await
+        .expect("it opens");
     let gaps = Arc::new(Mutex::new(FeedGaps {
         last: Instant::now(),
         longest: Duration::ZERO,
@@ -75,11 +78,12 @@
     let mut fleet = TestFleet::start(FleetPlan::small())
         .await
         .expect("it starts");
-    let pool = CallerPool::open(&fleet.certificate()).expect("the certificate is good");
+    let connector = CallerConnector::with_root_certificate(&fleet.certificate())
+        .expect("the certificate is good");
     let address = SocketAddr::V4(fleet.service_address("leerplein"));
     let mut feeds = Vec::new();
     for number in 0..FEEDS {
-        feeds.push(open_feed(&pool, address, number).await);
+        feeds.push(open_feed(&connector, address, number).await);
     }
     tokio::time::sleep(Duration::from_secs(1)).await;
     for name in fleet.balancers() {
--- a/crates/hyssopstaird/tests/hosts.rs
+++ b/crates/hyssopstaird/tests/hosts.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 use expect_test::expect;
-use hyssopstair::ops::load::caller::CallerPool;
+use hyssopstair::ops::load::caller::CallerConnector;
 use hyssopstair_testkit::fleet::FleetPlan;
 use hyssopstair_testkit::fleet::TestFleet;
 use nix::sys::signal::Signal;
@@ -91,8 +91,8 @@
         .unwrap();
     // The flows of the dead host end by a reset, not by silence.
     wait_for_ends(&fleet, &feeds, held).await;
-    let pool = CallerPool::open(&fleet.certificate()).unwrap();
-    let later = FeedWatcher::open(&pool, &fleet, "leerplein", "later").await;
+    let connector = CallerConnector::with_root_certificate(&fleet.certificate()).unwrap();
+    let later = FeedWatcher::open(&connector, &fleet, "leerplein", "later").await;
     wait_for_lines(&fleet, std::slice::from_ref(&later), 3).await;
     expect!["None"].assert_eq(&format!("{:?}", later.state().ended));
     assert_eq!(misdelivered(&fleet).await, 0);
--- a/crates/hyssopstaird/tests/requests.rs
+++ b/crates/hyssopstaird/tests/requests.rs
@@ -8,9 +8,9 @@
 use bytes::Bytes;
 use expect_test::Expect;
 use expect_test::expect;
+use hyssopstair::ops::load::caller::CallerConnector;
 use hyssopstair::ops::load::caller::CallerFlow;
-use hyssopstair::ops::load::caller::CallerPool;
-use hyssopstair::ops::load::caller::WholeAnswer;
+use hyssopstair::ops::load::caller::FullResponse;
 use hyssopstair_testkit::backend::RunRecord;
 use hyssopstair_testkit::backend::document_bytes;
 use hyssopstair_testkit::fleet::FleetPlan;
@@ -36,7 +36,7 @@
     /// Asks with a key, and returns status, verdict and body.
     async fn ask(&self, method: &str, key: &str, body: &'static str) -> String {
         let body = Bytes::from_static(body.as_bytes());
-        match self.flow.ask_whole(method, PATH, key, body).await {
+        match self.flow.fetch(method, PATH, key, body).await {
             Ok(answer) => describe(&answer),
             Err(error) => format!("no answer: {error}"),
         }
@@ -47,7 +47,7 @@
     }
 }
 
-fn header<'a>(answer: &'a WholeAnswer, name: &str) -> &'a str {
+fn header<'a>(answer: &'a FullResponse, name: &str) -> &'a str {
     answer
         .head
         .headers()
@@ -57,7 +57,7 @@
 }
 
 /// Describes an answer without the ticket that its body may repeat.
-fn describe(answer: &WholeAnswer) -> String {
+fn describe(answer: &FullResponse) -> String {
     let body = String::from_utf8_lossy(&answer.body);
     let words = body.split_whitespace().map(|word| {
         if word.starts_with("hyt1-") {
@@ -76,22 +76,19 @@
 
 /// Opens flows until two hosts are known, and returns one flow to each.
 async fn flows_to_two_hosts(fleet: &TestFleet) -> (HostFlow, HostFlow) {
-    let pool = CallerPool::open(&fleet.certificate()).unwrap();
-    let first = open(fleet, &pool).await;
+    let connector = CallerConnector::with_root_certificate(&fleet.certificate()).unwrap();
+    let first = open(fleet, &connector).await;
     loop {
-        let second = open(fleet, &pool).await;
+        let second = open(fleet, &connector).await;
         if second.host != first.host {
             return (first, second);
         }
     }
 }
 
-async fn open(fleet: &TestFleet, pool: &CallerPool) -> HostFlow {
-    let flow = connect(pool, fleet, "leerplein").await;
-    let answer = flow
-        .ask_whole("POST", PATH, "", Bytes::new())
-        .await
-        .unwrap();
+async fn open(fleet: &TestFleet, connector: &CallerConnector) -> HostFlow {
+    let flow = connect(connector, fleet, "leerplein").await;
+    let answer = flow.fetch("POST", PATH, "", Bytes::new()).await.unwrap();
     expect!["428 not-run: not-run: the request needs the ticket that comes"]
         .assert_eq(&describe(&answer));
     let ticket = header(&answer, "hyssopstair-ticket").to_owned();
@@ -215,7 +212,7 @@
     let (ticket, host) = (first.ticket.clone(), first.host.clone());
     let unused = {
         let body = Bytes::new();
-        let answer = first.flow.ask_whole("POST", PATH, "", body).await.unwrap();
+        let answer = first.flow.fetch("POST", PATH, "", body).await.unwrap();
         header(&answer, "hyssopstair-ticket").to_owned()
     };
     let asked = tokio::spawn(async move { first.enrol(&first.ticket).await });
@@ -276,7 +273,7 @@
     // The answer to a reader breaks off, or comes whole from another host when
     // none of it had been given.
     for _ in 0..5 {
-        let asked = first.flow.ask_whole("GET", PATH, "", Bytes::new()).await;
+        let asked = first.flow.fetch("GET", PATH, "", Bytes::new()).await;
         if let Ok(answer) = asked {
             assert_eq!(answer.body.len(), document_bytes("enrol/17").len());
         }
--- a/crates/hyssopstaird/tests/silence.rs
+++ b/crates/hyssopstaird/tests/silence.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use expect_test::expect;
-use hyssopstair::ops::load::caller::CallerPool;
+use hyssopstair::ops::load::caller::CallerConnector;
 use hyssopstair_testkit::fleet::FleetPlan;
 use hyssopstair_testkit::fleet::TestFleet;
 use nix::sys::signal::Signal;
@@ -47,13 +47,13 @@
 async fn a_caller_can_open_a_flow_again_after_its_host_was_killed() {
     let mut fleet = TestFleet::start(FleetPlan::small()).await.unwrap();
     fleet.kill("leerplein-1").unwrap();
-    let pool = CallerPool::open(&fleet.certificate()).unwrap();
+    let connector = CallerConnector::with_root_certificate(&fleet.certificate()).unwrap();
     let address = std::net::SocketAddr::V4(fleet.service_address("leerplein"));
     // Callers try again as they do: each attempt has a limit of its own.
     fleet
         .wait_for("many flows in a row", async || {
             for _ in 0..MANY_FEEDS {
-                if pool.connect("leerplein", address).await.is_err() {
+                if connector.connect("leerplein", address).await.is_err() {
                     return false;
                 }
             }
--- a/crates/hyssopstaird/tests/support/mod.rs
+++ b/crates/hyssopstaird/tests/support/mod.rs
@@ -9,8 +9,8 @@
 use std::time::Instant;
 
 use bytes::Bytes;
+use hyssopstair::ops::load::caller::CallerConnector;
 use hyssopstair::ops::load::caller::CallerFlow;
-use hyssopstair::ops::load::caller::CallerPool;
 use hyssopstair::ops::load::caller::read_chunk;
 use hyssopstair_testkit::fleet::TestFleet;
 
@@ -33,8 +33,13 @@
 
 impl FeedWatcher {
     /// Opens a feed on a flow of its own.
-    pub async fn open(pool: &CallerPool, fleet: &TestFleet, service: &str, name: &str) -> Self {
-        let flow = connect(pool, fleet, service).await;
+    pub async fn open(
+        connector: &CallerConnector,
+        fleet: &TestFleet,
+        service: &str,
+        name: &str,
+    ) -> Self {
+        let flow = connect(connector, fleet, service).await;
         let watcher = Self {
             state: Arc::default(),
         };
@@ -57,7 +62,7 @@
 
 async fn read_feed(flow: &CallerFlow, name: &str, state: &Mutex<FeedState>) -> String {
     let path = format!("/feed/{name}");
-    let (_, mut stream) = match flow.ask("GET", &path, "", Bytes::new()).await {
+    let (_, mut stream) = match flow.start_request("GET", &path, "", Bytes::new()).await {
         Ok(answer) => answer,
         Err(error) => return error.to_string(),
     };
@@ -80,19 +85,21 @@
 }
 
 /// Opens a flow to a service.
-pub async fn connect(pool: &CallerPool, fleet: &TestFleet, service: &str) -> CallerFlow {
+pub async fn connect(connector: &CallerConnector, fleet: &TestFleet, service: &str) -> CallerFlow {
     let address = SocketAddr::V4(fleet.service_address(service));
-    pool.connect(service, address)
+    connector
+        .connect(service, address)
         .await
         .expect("a flow opens while the fleet is whole")
 }
 
 /// Opens `count` feeds and waits until each has a line.
 pub async fn open_feeds(fleet: &TestFleet, service: &str, count: usize) -> Vec<FeedWatcher> {
-    let pool = CallerPool::open(&fleet.certificate()).expect("the certificate is good");
+    let connector = CallerConnector::with_root_certificate(&fleet.certificate())
+        .expect("the certificate is good");
     let mut feeds = Vec::new();
     for number in 0..count {
-        feeds.push(FeedWatcher::open(&pool, fleet, service, &format!("van-{number}")).await);
+        feeds.push(FeedWatcher::open(&connector, fleet, service, &format!("van-{number}")).await);
     }
     wait_for_lines(fleet, &feeds, 1).await;
     feeds
--- a/crates/hyssopstaird/tests/traces.rs
+++ b/crates/hyssopstaird/tests/traces.rs
@@ -2,9 +2,9 @@
 
 use bytes::Bytes;
 use expect_test::expect;
+use hyssopstair::ops::load::caller::CallerConnector;
 use hyssopstair::ops::load::caller::CallerFlow;
-use hyssopstair::ops::load::caller::CallerPool;
-use hyssopstair::ops::load::caller::read_whole;
+use hyssopstair::ops::load::caller::read_response;
 use hyssopstair_testkit::collector::TraceCollector;
 use hyssopstair_testkit::fleet::FleetPlan;
 use hyssopstair_testkit::fleet::TestFleet;
@@ -13,9 +13,9 @@
 const CALLER_SPAN: &str = "b7ad6b7169203331";
 
 async fn open_flow(fleet: &TestFleet, service: &str) -> CallerFlow {
-    let pool = CallerPool::open(&fleet.certificate()).unwrap();
+    let connector = CallerConnector::with_root_certificate(&fleet.certificate()).unwrap();
     let address = fleet.service_address(service);
-    pool.connect(service, address.into()).await.unwrap()
+    connector.connect(service, address.into()).await.unwrap()
 }
 
 /// Asks for a document with a trace context, and returns the answer's length.
@@ -26,7 +26,7 @@
         .body(())
         .unwrap();
     let (head, stream) = flow.send(request, Bytes::new()).await.unwrap();
-    read_whole(head, stream).await.unwrap().body.len()
+    read_response(head, stream).await.unwrap().body.len()
 }
 
 fn plan_with_collector(url: &str) -> FleetPlan {
