--- a/crates/hyssopstair/src/commands/apply.rs
+++ b/crates/hyssopstair/src/commands/apply.rs
@@ -1,4 +1,5 @@
-//! `hyssopstair apply FILE`: puts a rule file in force.
+//! `hyssopstair apply FILE`: writes a rule file to the platform and waits until it
+//! is in force.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -16,30 +17,31 @@
 use crate::ops::runtime::block_on;
 use crate::shell::ConsoleShell;
 
-/// Puts a rule file in force on the whole fleet.
+/// Writes a rule file to the platform and waits until it is in force.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "apply")]
 pub struct ApplyArgs {
-    /// URL of the platform's key-value service; may be given more than once
+    /// URL of the platform's key-value service; may be repeated
     #[argh(option)]
     pub platform: Vec<String>,
 
-    /// admin address of a daemon that must confirm the version; may be given
-    /// more than once
+    /// admin address of a daemon that must confirm the new version; may be
+    /// repeated
     #[argh(option)]
     pub confirm: Vec<String>,
 
-    /// admin address of a daemon; all balancers that it knows must confirm the
-    /// version, where no --confirm is given
+    /// admin address of a daemon; if no --confirm is given, all balancers that
+    /// this daemon knows must confirm the new version; may be repeated, and the
+    /// first daemon that answers is used
     #[argh(option)]
     pub daemon: Vec<String>,
 
-    /// longest wait for the platform, and for confirmations, in seconds
+    /// timeout in seconds, for the platform and again for the confirmations
     #[argh(option, default = "16")]
     pub wait: u64,
 
-    /// version that the file was edited from; the file's first line names it
-    /// too, if it stems from `show`
+    /// version that the file was edited from; not needed if the first line of
+    /// the file names it, as in the output of `show`
     #[argh(option)]
     pub base: Option<u64>,
 
@@ -48,12 +50,13 @@
     pub file: PathBuf,
 }
 
-/// Runs the command.
+/// Runs `hyssopstair apply`.
 ///
 /// # Errors
 ///
-/// Returns an error when the file has mistakes, another operator changed the
-/// same lines, the platform does not take it, or it is not confirmed in time.
+/// Returns an error if the file cannot be read or is invalid, another operator
+/// changed the same lines, the platform does not confirm the write, or not all
+/// daemons confirm the new version in time.
 pub fn exec(args: &ApplyArgs, shell: &mut ConsoleShell) -> Result<(), Report<CommandError>> {
     let plan = ChangePlan {
         platform: args.platform.clone(),
--- a/crates/hyssopstair/src/commands/check.rs
+++ b/crates/hyssopstair/src/commands/check.rs
@@ -1,4 +1,4 @@
-//! `hyssopstair check FILE`: checks a rule file.
+//! `hyssopstair check FILE`: validates a rule file.
 
 use std::path::PathBuf;
 
@@ -11,7 +11,7 @@
 use crate::ops::rule_file::read_rule_file;
 use crate::shell::ConsoleShell;
 
-/// Checks a rule file and names every mistake.
+/// Validates a rule file and lists all mistakes.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "check")]
 pub struct CheckArgs {
@@ -20,11 +20,11 @@
     pub file: PathBuf,
 }
 
-/// Runs the command.
+/// Runs `hyssopstair check`.
 ///
 /// # Errors
 ///
-/// Returns an error when the file cannot be read or has mistakes.
+/// Returns an error if the file cannot be read or is invalid.
 pub fn exec(args: &CheckArgs, shell: &mut ConsoleShell) -> Result<(), Report<CommandError>> {
     let edited = split_version_line(&read_rule_file(&args.file)?);
     let rules = parse_rules(&args.file, &edited)?;
--- a/crates/hyssopstair/src/commands/diff.rs
+++ b/crates/hyssopstair/src/commands/diff.rs
@@ -1,4 +1,5 @@
-//! `hyssopstair diff FILE`: compares a rule file with the rules in force.
+//! `hyssopstair diff FILE`: compares a rule file with the rules stored in the
+//! platform.
 
 use std::path::PathBuf;
 
@@ -14,11 +15,11 @@
 use crate::ops::runtime::block_on;
 use crate::shell::ConsoleShell;
 
-/// Compares a rule file with the rules that the platform keeps.
+/// Compares a rule file with the rules stored in the platform.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "diff")]
 pub struct DiffArgs {
-    /// URL of the platform's key-value service; may be given more than once
+    /// URL of the platform's key-value service; may be repeated
     #[argh(option)]
     pub platform: Vec<String>,
 
@@ -27,22 +28,23 @@
     pub file: PathBuf,
 }
 
-/// Runs the command.
+/// Runs `hyssopstair diff`.
 ///
 /// # Errors
 ///
-/// Returns an error when the file has mistakes or the platform does not answer.
+/// Returns an error if the file cannot be read or is invalid, or the platform does
+/// not answer.
 pub fn exec(args: &DiffArgs, shell: &mut ConsoleShell) -> Result<(), Report<CommandError>> {
     let edited = split_version_line(&read_rule_file(&args.file)?);
     parse_rules(&args.file, &edited)?;
-    let found = block_on(read_configuration(&args.platform))??;
-    let (version, old) = match found {
-        Some(found) => (found.record.version, found.record.text),
+    let stored = block_on(read_configuration(&args.platform))??;
+    let (version, old) = match stored {
+        Some(stored) => (stored.record.version, stored.record.text),
         None => (0, String::new()),
     };
     let lines = diff_text(&old, &edited.text);
     if lines.is_empty() {
-        shell.print_progress(format!("no difference to version {version}"));
+        shell.print_progress(format!("no differences from version {version}"));
     }
     for line in lines {
         shell.print_line(line);
--- a/crates/hyssopstair/src/commands/drain.rs
+++ b/crates/hyssopstair/src/commands/drain.rs
@@ -1,4 +1,4 @@
-//! `hyssopstair drain ADDRESS`: lets a host take nothing new.
+//! `hyssopstair drain ADDRESS`: adds a drain rule for a host.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -15,29 +15,32 @@
 use crate::ops::runtime::block_on;
 use crate::shell::ConsoleShell;
 
-/// Adds a drain rule for a host: it takes nothing new and keeps what it has.
+/// Adds a drain rule for a host, which then accepts no new flows and requests and
+/// keeps those it has.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "drain")]
 pub struct DrainArgs {
-    /// URL of the platform's key-value service; may be given more than once
+    /// URL of the platform's key-value service; may be repeated
     #[argh(option)]
     pub platform: Vec<String>,
 
-    /// admin address of a daemon that must confirm the version; may be given
-    /// more than once
+    /// admin address of a daemon that must confirm the new version; may be
+    /// repeated
     #[argh(option)]
     pub confirm: Vec<String>,
 
-    /// admin address of a daemon; all balancers that it knows must confirm the
-    /// version, where no --confirm is given
+    /// admin address of a daemon; if no --confirm is given, all balancers that
+    /// this daemon knows must confirm the new version; may be repeated, and the
+    /// first daemon that answers is used
     #[argh(option)]
     pub daemon: Vec<String>,
 
-    /// longest wait for the platform, and for confirmations, in seconds
+    /// timeout in seconds, for the platform and again for the confirmations
     #[argh(option, default = "16")]
     pub wait: u64,
 
-    /// who asks; stands in the comment of the rule
+    /// name of the person who requests the drain; written to the comment of the
+    /// rule
     #[argh(option)]
     pub asked_by: String,
 
@@ -46,12 +49,12 @@
     pub host: SocketAddrV4,
 }
 
-/// Runs the command.
+/// Runs `hyssopstair drain`.
 ///
 /// # Errors
 ///
-/// Returns an error when the platform does not take it, or it is not confirmed
-/// in time.
+/// Returns an error if the name of the requester is invalid, the platform does not
+/// confirm the write, or not all daemons confirm the new version in time.
 pub fn exec(args: &DrainArgs, shell: &mut ConsoleShell) -> Result<(), Report<CommandError>> {
     let plan = ChangePlan {
         platform: args.platform.clone(),
@@ -65,13 +68,13 @@
     };
     let accepted = block_on(apply_change(&plan, intent))??;
     if accepted.unchanged {
-        shell.print_progress(format!("{} was drained already", args.host));
+        shell.print_progress(format!("a drain rule for {} already exists", args.host));
     }
     if let Some(daemon) = args.daemon.first()
         && !block_on(is_host_known(daemon, args.host))?
     {
         shell.print_progress(format!(
-            "note: the daemon at {daemon} knows no host {}; the rule holds for one that comes",
+            "note: the daemon at {daemon} does not know host {}; the rule applies once it joins",
             args.host
         ));
     }
--- a/crates/hyssopstair/src/commands/explain.rs
+++ b/crates/hyssopstair/src/commands/explain.rs
@@ -1,4 +1,4 @@
-//! `hyssopstair explain ADDRESS`: says where a new flow would go, and why.
+//! `hyssopstair explain ADDRESS`: explains which hosts may get a new flow.
 
 use std::net::SocketAddrV4;
 
@@ -10,26 +10,25 @@
 use crate::ops::runtime::block_on;
 use crate::shell::ConsoleShell;
 
-/// Says where a new flow to a service's address would go, and why: the hosts
-/// with their weights and states, and the rules that bear on them.
+/// Explains which hosts may get a new flow to the address of a service: lists the
+/// hosts with their weights and states, and the rules that affect them.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "explain")]
 pub struct ExplainArgs {
-    /// admin address of the daemon that is asked
+    /// admin address of the daemon whose view is shown
     #[argh(option)]
     pub daemon: String,
 
-    /// address that callers send to
+    /// address to which callers send packets
     #[argh(positional)]
     pub address: SocketAddrV4,
 }
 
-/// Runs the command.
+/// Runs `hyssopstair explain`.
 ///
 /// # Errors
 ///
-/// Returns an error when the daemon does not answer, or no service has the
-/// address.
+/// Returns an error if the daemon does not answer or no service has the address.
 pub fn exec(args: &ExplainArgs, shell: &mut ConsoleShell) -> Result<(), Report<CommandError>> {
     for line in block_on(fetch_explanation(&args.daemon, args.address))?? {
         shell.print_line(line);
--- a/crates/hyssopstair/src/commands/keygen.rs
+++ b/crates/hyssopstair/src/commands/keygen.rs
@@ -1,4 +1,4 @@
-//! `hyssopstair keygen`: makes a secret and a certificate for trials.
+//! `hyssopstair keygen`: generates a secret and a certificate for test fleets.
 
 use std::path::PathBuf;
 
@@ -9,24 +9,25 @@
 use crate::ops::keygen::generate_keys;
 use crate::shell::ConsoleShell;
 
-/// Makes a fleet secret and a self-signed certificate for the named services.
+/// Generates a fleet secret and a self-signed certificate for test fleets.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "keygen")]
 pub struct KeygenArgs {
-    /// directory for secret.hex, certificate.pem and private-key.pem
+    /// directory to which secret.hex, certificate.pem and private-key.pem are
+    /// written
     #[argh(option)]
     pub directory: PathBuf,
 
-    /// names that the certificate is for
+    /// names of the services for which the certificate is valid
     #[argh(positional)]
     pub names: Vec<String>,
 }
 
-/// Runs the command.
+/// Runs `hyssopstair keygen`.
 ///
 /// # Errors
 ///
-/// Returns an error when a file cannot be written.
+/// Returns an error if a file cannot be written.
 pub fn exec(args: &KeygenArgs, shell: &mut ConsoleShell) -> Result<(), Report<CommandError>> {
     generate_keys(&args.directory, &args.names)?;
     shell.print_line(format!("wrote keys to {}", args.directory.display()));
--- a/crates/hyssopstair/src/commands/load.rs
+++ b/crates/hyssopstair/src/commands/load.rs
@@ -1,4 +1,5 @@
-//! `hyssopstair load WORKLOAD`: asks services as callers do and reports.
+//! `hyssopstair load WORKLOAD`: sends requests to services as callers do, and
+//! reports the results.
 
 use std::fs;
 use std::path::Path;
@@ -18,7 +19,7 @@
 use crate::ops::runtime::block_on;
 use crate::shell::ConsoleShell;
 
-/// Runs a workload of feeds, requests and faults, or compares two reports.
+/// Runs a workload of feeds, requests and injected faults, or compares two reports.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "load")]
 pub struct LoadArgs {
@@ -30,27 +31,31 @@
     #[argh(option)]
     pub json: Option<PathBuf>,
 
-    /// also draw the load to this file, as SVG
+    /// also write a plot of the load to this file, as SVG
     #[argh(option)]
     pub plot: Option<PathBuf>,
 
-    /// path of the workload file, in YAML; or of two reports, in JSON
+    /// path of the workload file (YAML), or with --compare the paths of two reports
+    /// (JSON)
     #[argh(positional)]
     pub files: Vec<PathBuf>,
 }
 
-/// Runs the command.
+/// Runs `hyssopstair load`.
 ///
 /// # Errors
 ///
-/// Returns an error when the workload is wrong, or when a flow broke, a request
-/// ran twice or reached a wrong service.
+/// Returns an error if a file cannot be read or written, the workload is invalid,
+/// or a backend server sends no report. After a load, also returns an error if the
+/// report is not clean (see [`LoadReport::is_clean`]).
+///
+/// [`LoadReport::is_clean`]: crate::ops::load::report::LoadReport::is_clean
 pub fn exec(args: &LoadArgs, shell: &mut ConsoleShell) -> Result<(), Report<CommandError>> {
     match (args.compare, args.files.as_slice()) {
         (true, [before, after]) => print_comparison(before, after, shell),
         (false, [workload]) => run_workload(args, workload, shell),
-        (true, _) => Err(usage_error("--compare needs two reports")),
-        (false, _) => Err(usage_error("one workload file is needed")),
+        (true, _) => Err(usage_error("--compare requires the paths of two reports")),
+        (false, _) => Err(usage_error("the path of one workload file is required")),
     }
 }
 
@@ -98,7 +103,7 @@
     }
     Err(Report::new(CommandError::new(
         FailureKind::Finding,
-        "a flow broke, a request ran twice, a fault could not be done, or something reached a \
-         wrong service",
+        "the load failed: a flow was refused or broke, a request ran twice or got a wrong \
+         answer, something reached the wrong service, or a fault could not be injected",
     )))
 }
--- a/crates/hyssopstair/src/commands/mod.rs
+++ b/crates/hyssopstair/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The command line: one file per command.
+//! Parses the command line; each subcommand has a module.
 
 pub mod apply;
 pub mod check;
@@ -18,7 +18,7 @@
 use crate::error::CommandError;
 use crate::shell::ConsoleShell;
 
-/// Runs hyssopstair's fleet: rules, state and load.
+/// Manages the rules of a hyssopstair fleet, shows its state and generates load.
 #[derive(Debug, FromArgs)]
 pub struct TopArgs {
     #[argh(subcommand)]
@@ -41,11 +41,11 @@
     Undrain(undrain::UndrainArgs),
 }
 
-/// Runs the command that the arguments name.
+/// Runs the subcommand that was given on the command line.
 ///
 /// # Errors
 ///
-/// Returns the error of the command.
+/// Returns the error of the subcommand.
 pub fn exec(args: &TopArgs, shell: &mut ConsoleShell) -> Result<(), Report<CommandError>> {
     match &args.command {
         Command::Apply(args) => apply::exec(args, shell),
--- a/crates/hyssopstair/src/commands/status.rs
+++ b/crates/hyssopstair/src/commands/status.rs
@@ -1,4 +1,4 @@
-//! `hyssopstair status`: shows what daemons see.
+//! `hyssopstair status`: shows the state that daemons report.
 
 use argh::FromArgs;
 use error_stack::Report;
@@ -10,30 +10,31 @@
 use crate::ops::status::fetch_fleet_status;
 use crate::shell::ConsoleShell;
 
-/// Shows what daemons see: version, members by state, flows and load; and in
-/// what they disagree.
+/// Shows the state that daemons report: configuration version, number of members
+/// by state, and other figures; lists the differences between the daemons.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "status")]
 pub struct StatusArgs {
-    /// print JSON for programs
+    /// print the status as JSON
     #[argh(switch)]
     pub json: bool,
 
-    /// admin addresses of daemons
+    /// admin addresses of the daemons
     #[argh(positional)]
     pub daemons: Vec<String>,
 }
 
-/// Runs the command.
+/// Runs `hyssopstair status`.
 ///
 /// # Errors
 ///
-/// Returns an error when a daemon does not answer or two disagree.
+/// Returns an error if no daemon is given, a daemon does not answer, or two daemons
+/// report different versions or members.
 pub fn exec(args: &StatusArgs, shell: &mut ConsoleShell) -> Result<(), Report<CommandError>> {
     if args.daemons.is_empty() {
         return Err(Report::new(CommandError::new(
             FailureKind::InvalidInput,
-            "no daemon is named; give the admin addresses of some",
+            "no daemon given; pass the admin address of at least one daemon",
         )));
     }
     let status = block_on(fetch_fleet_status(&args.daemons))?;
@@ -41,7 +42,7 @@
         let text = serde_json::to_string(&status).change_context_lazy(|| {
             CommandError::new(
                 FailureKind::Unavailable,
-                "failed to write the status as JSON",
+                "failed to serialize the status as JSON",
             )
         })?;
         shell.print_line(text);
--- a/crates/hyssopstair/src/commands/undrain.rs
+++ b/crates/hyssopstair/src/commands/undrain.rs
@@ -1,4 +1,4 @@
-//! `hyssopstair undrain ADDRESS`: lets a host take new work again.
+//! `hyssopstair undrain ADDRESS`: removes the drain rules of a host.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -13,25 +13,27 @@
 use crate::ops::runtime::block_on;
 use crate::shell::ConsoleShell;
 
-/// Removes the drain rules of a host.
+/// Removes the drain rules of a host, which then accepts new flows and requests
+/// again.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "undrain")]
 pub struct UndrainArgs {
-    /// URL of the platform's key-value service; may be given more than once
+    /// URL of the platform's key-value service; may be repeated
     #[argh(option)]
     pub platform: Vec<String>,
 
-    /// admin address of a daemon that must confirm the version; may be given
-    /// more than once
+    /// admin address of a daemon that must confirm the new version; may be
+    /// repeated
     #[argh(option)]
     pub confirm: Vec<String>,
 
-    /// admin address of a daemon; all balancers that it knows must confirm the
-    /// version, where no --confirm is given
+    /// admin address of a daemon; if no --confirm is given, all balancers that
+    /// this daemon knows must confirm the new version; may be repeated, and the
+    /// first daemon that answers is used
     #[argh(option)]
     pub daemon: Vec<String>,
 
-    /// longest wait for the platform, and for confirmations, in seconds
+    /// timeout in seconds, for the platform and again for the confirmations
     #[argh(option, default = "16")]
     pub wait: u64,
 
@@ -40,12 +42,12 @@
     pub host: SocketAddrV4,
 }
 
-/// Runs the command.
+/// Runs `hyssopstair undrain`.
 ///
 /// # Errors
 ///
-/// Returns an error when the platform does not take it, or it is not confirmed
-/// in time.
+/// Returns an error if the platform does not confirm the write, or not all daemons
+/// confirm the new version in time.
 pub fn exec(args: &UndrainArgs, shell: &mut ConsoleShell) -> Result<(), Report<CommandError>> {
     let plan = ChangePlan {
         platform: args.platform.clone(),
@@ -56,7 +58,7 @@
     let intent = ChangeIntent::Undrain { host: args.host };
     let accepted = block_on(apply_change(&plan, intent))??;
     if accepted.unchanged {
-        shell.print_progress(format!("no rule drained {}", args.host));
+        shell.print_progress(format!("{} has no drain rule", args.host));
     }
     shell.print_accepted(&accepted);
     Ok(())
--- a/crates/hyssopstair/src/error.rs
+++ b/crates/hyssopstair/src/error.rs
@@ -1,34 +1,39 @@
-//! Why a command fails.
+//! The error of a failed command and its exit code.
 
 use std::process::ExitCode;
 
-/// Kinds of failure, each with an exit code of its own.
+/// The cause of a failure. Each has an exit code of its own, so that scripts can
+/// tell whether a change was written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FailureKind {
-    /// The command ran, and what it found is not good; exit code 1.
+    /// The command ran and found a problem, such as a conflict with another
+    /// operator's change; nothing was written. Exit code 1.
     Finding,
-    /// What the operator gave is wrong; exit code 2.
+    /// An argument or an input file is invalid, and nothing was written. Exit
+    /// code 2.
     InvalidInput,
-    /// Something that was asked gave no or a bad answer, and nothing was
-    /// changed; exit code 3.
+    /// A service did not answer, or answered unexpectedly, and nothing was
+    /// written. Exit code 3.
     Unavailable,
-    /// A change is written, but not confirmed by all that must; exit code 4.
+    /// A change was written, but not all daemons that must confirm it did so in
+    /// time. Exit code 4.
     Unconfirmed,
-    /// A change may have been written; exit code 5.
+    /// It is unknown whether a change was written. Exit code 5.
     UnknownOutcome,
 }
 
-/// A failed step of a command; the report carries the causes.
+/// Describes the step of a command that failed. The [`error_stack::Report`] that
+/// holds it lists the causes.
 #[derive(Debug, thiserror::Error)]
 #[error("{step}")]
 pub struct CommandError {
-    /// The kind of failure.
+    /// The cause of the failure.
     pub kind: FailureKind,
     step: String,
 }
 
 impl CommandError {
-    /// Creates an error that names the failed step.
+    /// Creates an error with a description of the failed step.
     pub fn new(kind: FailureKind, step: impl Into<String>) -> Self {
         Self {
             kind,
@@ -36,7 +41,7 @@
         }
     }
 
-    /// Returns the exit code of the process.
+    /// Returns the exit code that corresponds to [`Self::kind`].
     pub fn exit_code(&self) -> ExitCode {
         match self.kind {
             FailureKind::Finding => ExitCode::from(1),
--- a/crates/hyssopstair/src/lib.rs
+++ b/crates/hyssopstair/src/lib.rs
@@ -1,8 +1,10 @@
-//! The command of hyssopstair's operators.
+//! The `hyssopstair` command-line program, with which operators manage the rules
+//! of a fleet, inspect its daemons and generate load.
 //!
-//! Each command has one file under [`commands`], with its arguments and one
-//! `exec`, which calls an operation under [`ops`]. Operations know no command
-//! line. All text for people goes through [`shell`].
+//! Each subcommand has a module in [`commands`] that defines its arguments and an
+//! `exec` function. The work is done by the functions in [`ops`], which do not
+//! depend on the command line and so can be tested without it. Output for
+//! operators is printed by [`shell`].
 
 pub mod commands;
 pub mod error;
@@ -11,7 +13,9 @@
 
 use std::process::ExitCode;
 
-/// Runs the command line and returns the exit code of the process.
+/// Parses the arguments of the process, runs the command and returns its exit code.
+///
+/// Prints the error of a failed command to standard error.
 pub fn main() -> ExitCode {
     let args: commands::TopArgs = argh::from_env();
     let mut shell = shell::ConsoleShell::new();
--- a/crates/hyssopstair/src/main.rs
+++ b/crates/hyssopstair/src/main.rs
@@ -1,4 +1,4 @@
-//! The operators' command's entry point; see the library for everything else.
+//! Entry point of the `hyssopstair` program; the code is in the library.
 
 use std::process::ExitCode;
 
