--- a/crates/hyssopstair/src/commands/apply.rs
+++ b/crates/hyssopstair/src/commands/apply.rs
@@ -59,15 +59,15 @@
 /// daemons confirm the new version in time.
 pub fn exec(args: &ApplyArgs, shell: &mut ConsoleShell) -> Result<(), Report<CommandError>> {
     let plan = ChangePlan {
-        platform: args.platform.clone(),
-        confirm: args.confirm.clone(),
-        daemons: args.daemon.clone(),
-        wait: Duration::from_secs(args.wait),
+        platform_urls: args.platform.clone(),
+        confirm_daemons: args.confirm.clone(),
+        source_daemons: args.daemon.clone(),
+        timeout: Duration::from_secs(args.wait),
     };
     let edited = split_version_line(&read_rule_file(&args.file)?);
     parse_rules(&args.file, &edited)?;
     let accepted = block_on(async {
-        let intent = build_intent(&plan.platform, edited, args.base).await?;
+        let intent = build_intent(&plan.platform_urls, edited, args.base).await?;
         apply_change(&plan, intent).await
     })??;
     shell.print_accepted(&accepted);
--- a/crates/hyssopstair/src/commands/drain.rs
+++ b/crates/hyssopstair/src/commands/drain.rs
@@ -57,10 +57,10 @@
 /// confirm the write, or not all daemons confirm the new version in time.
 pub fn exec(args: &DrainArgs, shell: &mut ConsoleShell) -> Result<(), Report<CommandError>> {
     let plan = ChangePlan {
-        platform: args.platform.clone(),
-        confirm: args.confirm.clone(),
-        daemons: args.daemon.clone(),
-        wait: Duration::from_secs(args.wait),
+        platform_urls: args.platform.clone(),
+        confirm_daemons: args.confirm.clone(),
+        source_daemons: args.daemon.clone(),
+        timeout: Duration::from_secs(args.wait),
     };
     let intent = ChangeIntent::Drain {
         host: args.host,
--- a/crates/hyssopstair/src/commands/undrain.rs
+++ b/crates/hyssopstair/src/commands/undrain.rs
@@ -50,10 +50,10 @@
 /// confirm the new version in time.
 pub fn exec(args: &UndrainArgs, shell: &mut ConsoleShell) -> Result<(), Report<CommandError>> {
     let plan = ChangePlan {
-        platform: args.platform.clone(),
-        confirm: args.confirm.clone(),
-        daemons: args.daemon.clone(),
-        wait: Duration::from_secs(args.wait),
+        platform_urls: args.platform.clone(),
+        confirm_daemons: args.confirm.clone(),
+        source_daemons: args.daemon.clone(),
+        timeout: Duration::from_secs(args.wait),
     };
     let intent = ChangeIntent::Undrain { host: args.host };
     let accepted = block_on(apply_change(&plan, intent))??;
--- a/crates/hyssopstair/src/ops/change.rs
+++ b/crates/hyssopstair/src/ops/change.rs
@@ -1,4 +1,7 @@
-//! Makes a change of the configuration and waits until it is confirmed.
+//! Writes a change of the configuration to the platform and waits until daemons
+//! confirm it.
+//!
+//! [`ChangeState`] decides on each step; this module executes the steps.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -27,80 +30,85 @@
 use crate::ops::confirm::ConfirmationPlan;
 use crate::ops::record::decode_record;
 
-/// What is to be changed, where, and who must confirm it.
+/// Where a change is written and which daemons must confirm it.
 #[derive(Debug)]
 pub struct ChangePlan {
     /// URLs of the platform's key-value service.
-    pub platform: Vec<String>,
-    /// Admin addresses of daemons that must confirm.
-    pub confirm: Vec<String>,
-    /// Admin addresses of daemons whose balancers must confirm, where no daemon
-    /// is named.
-    pub daemons: Vec<String>,
-    /// Longest wait for the platform, and for the confirmations after it.
-    pub wait: Duration,
+    pub platform_urls: Vec<String>,
+    /// Admin addresses of daemons that must confirm the new version.
+    pub confirm_daemons: Vec<String>,
+    /// Admin addresses of daemons. Used if `confirm_daemons` is empty: all balancers
+    /// known to the first of these daemons that answers must confirm.
+    pub source_daemons: Vec<String>,
+    /// Timeout of the write, and again of the confirmations that follow.
+    pub timeout: Duration,
 }
 
-/// A change that is in force.
+/// A change that all expected daemons confirmed.
 #[derive(Debug)]
 pub struct AcceptedChange {
-    /// The version that holds it.
+    /// The version that contains the change.
     pub version: u64,
-    /// Whether it was in the platform already.
+    /// Whether the platform already contained the change, so that nothing was
+    /// written.
     pub unchanged: bool,
-    /// The number of daemons that confirmed it.
+    /// The number of daemons that confirmed the version.
     pub confirmed_count: usize,
 }
 
-/// Makes a change.
+/// Writes a change to the platform and waits until all expected daemons confirm it.
 ///
 /// # Errors
 ///
-/// Returns an error that says what is known about the change when it is not
-/// written, may be written, or is not confirmed in time.
+/// Returns an error if the change was not written, may have been written, or was
+/// written but not confirmed in time; the error says which.
 pub async fn apply_change(
     plan: &ChangePlan,
     intent: ChangeIntent,
 ) -> Result<AcceptedChange, Report<CommandError>> {
-    let confirm = ConfirmationPlan::resolve(&plan.confirm, &plan.daemons).await?;
-    let client = PlatformClient::new(&plan.platform);
-    let outcome = write_change(&client, intent, confirm.highest_version, plan.wait).await?;
+    let confirmation =
+        ConfirmationPlan::resolve(&plan.confirm_daemons, &plan.source_daemons).await?;
+    let client = PlatformClient::new(&plan.platform_urls);
+    let outcome = write_change(&client, intent, confirmation.highest_version, plan.timeout).await?;
     let (version, unchanged) = match outcome {
         ChangeOutcome::Written { version } => (version, false),
         ChangeOutcome::Unchanged { version } => (version, true),
         other => return Err(Report::new(describe_outcome(&other))),
     };
-    let missing = confirm.wait_until_confirmed(version, plan.wait).await;
-    if missing.is_empty() {
+    let unconfirmed = confirmation
+        .wait_until_confirmed(version, plan.timeout)
+        .await;
+    if unconfirmed.is_empty() {
         return Ok(AcceptedChange {
             version,
             unchanged,
-            confirmed_count: confirm.expected_count(),
+            confirmed_count: confirmation.expected_count(),
         });
     }
     Err(Report::new(CommandError::new(
         FailureKind::Unconfirmed,
         format!(
-            "written as version {version}, but {} of {} have not confirmed it: {}; it stays \
-             written and will be in force there as soon as they hear of it",
-            missing.len(),
-            confirm.expected_count(),
-            missing.join(", ")
+            "written as version {version}, but {} of {} daemons have not confirmed it: {}; the \
+             change stays written and takes effect on these daemons once they receive it",
+            unconfirmed.len(),
+            confirmation.expected_count(),
+            unconfirmed.join(", ")
         ),
     )))
 }
 
-/// Carries out the steps of a change until it ends.
+/// Executes the steps of a change until its outcome is decided. The version of the
+/// change will be higher than `highest_version`.
 async fn write_change(
     client: &PlatformClient,
     intent: ChangeIntent,
-    floor: u64,
-    wait: Duration,
+    highest_version: u64,
+    timeout: Duration,
 ) -> Result<ChangeOutcome, Report<CommandError>> {
     let origin = Instant::now();
     let now = || MonotonicTime(origin.elapsed().as_micros() as u64);
     let id = ChangeId(rand::random());
-    let mut change = ChangeState::new(id, intent, floor, now() + wait);
+    let mut change = ChangeState::new(id, intent, highest_version, now() + timeout);
     let mut step = change.start();
     loop {
         let event = match step {
@@ -162,7 +170,10 @@
 
 fn encode_record(record: &ConfigurationRecord) -> Result<Vec<u8>, Report<CommandError>> {
     let value = record.encode().change_context_lazy(|| {
-        CommandError::new(FailureKind::InvalidInput, "failed to pack the rule file")
+        CommandError::new(
+            FailureKind::InvalidInput,
+            "failed to compress the rule file",
+        )
     })?;
     if value.len() <= MAX_VALUE_BYTES {
         return Ok(value);
@@ -170,8 +181,8 @@
     Err(Report::new(CommandError::new(
         FailureKind::InvalidInput,
         format!(
-            "the rule file takes {} bytes packed, and the platform takes {MAX_VALUE_BYTES}; \
-             shorten comments or remove rules",
+            "the compressed rule file has {} bytes, more than the {MAX_VALUE_BYTES} that the \
+             platform accepts; shorten comments or remove rules",
             value.len()
         ),
     )))
--- a/crates/hyssopstair/src/ops/change_report.rs
+++ b/crates/hyssopstair/src/ops/change_report.rs
@@ -1,4 +1,4 @@
-//! Says what came of a change that is not in force.
+//! Describes the outcome of a change that did not take effect.
 
 use hyssopstair_platform::change::ChangeOutcome;
 use hyssopstair_rules::edit::LineConflict;
@@ -7,14 +7,15 @@
 use crate::error::CommandError;
 use crate::error::FailureKind;
 
-/// Returns the error of a change that was not written, or may not have been.
+/// Returns the error for the outcome of a change. It says whether the change was
+/// written and what the operator can do.
 pub fn describe_outcome(outcome: &ChangeOutcome) -> CommandError {
     match outcome {
         ChangeOutcome::Conflict { version, lines } => CommandError::new(
             FailureKind::Finding,
             format!(
-                "nothing is written: version {version} changes the same lines; edit what \
-                 \"hyssopstair show\" prints and apply that\n{}",
+                "nothing was written: version {version} changes the same lines; edit the output \
+                 of \"hyssopstair show\" and apply it\n{}",
                 format_conflicts(lines)
             ),
         ),
@@ -25,20 +26,21 @@
         } => CommandError::new(
             FailureKind::Finding,
             format!(
-                "nothing is written: merged with version {version}, the rules have mistakes\n{}",
+                "nothing was written: the rules are invalid when merged with version \
+                 {version}\n{}",
                 format_mistakes(text, mistakes)
             ),
         ),
         ChangeOutcome::NotWritten => CommandError::new(
             FailureKind::Unavailable,
-            "nothing is written: the platform does not answer; check --platform, or try again \
-             when it does",
+            "nothing was written: the platform does not answer; check --platform, or try again \
+             when the platform answers",
         ),
         ChangeOutcome::MayBeWritten { version } => CommandError::new(
             FailureKind::UnknownOutcome,
             format!(
-                "version {version} may have been written: the platform gives no answer; apply \
-                 the same again when it does, which does nothing if it was"
+                "version {version} may have been written: the platform does not answer; apply \
+                 the same change again when it does (this has no effect if it was written)"
             ),
         ),
         ChangeOutcome::Written { version } | ChangeOutcome::Unchanged { version } => {
--- a/crates/hyssopstair/src/ops/confirm.rs
+++ b/crates/hyssopstair/src/ops/confirm.rs
@@ -1,4 +1,7 @@
-//! Waits until balancers confirm a version.
+//! Waits until daemons confirm a version of the configuration.
+//!
+//! A daemon confirms a version once it reports that this version, or a higher one,
+//! is in force.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -13,78 +16,81 @@
 use crate::ops::daemon::BalancerVersion;
 use crate::ops::daemon::DaemonClient;
 
-/// Time between two questions to those that have not confirmed.
+/// Interval between two queries of the versions.
 const CONFIRM_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Daemons that are asked at once.
+/// Number of daemons that are queried at the same time.
 const MAX_CONCURRENT_QUERIES: usize = 32;
 
-/// Who must confirm a version.
+/// The daemons that must confirm a version.
 #[derive(Debug)]
 pub enum ConfirmTargets {
-    /// Daemons, by their admin addresses.
+    /// Daemons that are queried directly, by their admin addresses.
     Daemons(Vec<String>),
-    /// Balancers, by their inner addresses, asked through other daemons.
+    /// Balancers whose versions are queried through another daemon.
     Balancers {
-        /// Admin addresses of the daemons that ask for us.
+        /// Admin addresses of daemons that report the versions of the balancers.
+        /// They are tried in order until one answers.
         sources: Vec<String>,
-        /// The balancers.
+        /// Inner addresses of the balancers.
         balancers: Vec<SocketAddrV4>,
     },
 }
 
-/// A set and the highest version that any of it has.
+/// The daemons that must confirm a version, and the highest version among them.
 #[derive(Debug)]
 pub struct ConfirmationPlan {
-    /// Who must confirm.
+    /// The daemons that must confirm.
     pub targets: ConfirmTargets,
-    /// The highest version in force now.
+    /// The highest version that was in force on any of them when the plan was made;
+    /// 0 if none reported a version.
     pub highest_version: u64,
 }
 
 impl ConfirmationPlan {
-    /// Settles who must confirm: the named daemons, or else all balancers that
-    /// one of the daemons in `sources` knows.
+    /// Determines who must confirm: `daemons`, or if there are none, all balancers
+    /// known to the first daemon of `sources` that answers.
     ///
     /// # Errors
     ///
-    /// Returns an error when the set is empty or no daemon answers.
+    /// Returns an error if both lists are empty, no daemon of `sources` answers, or
+    /// the one that answers knows no balancer.
     pub async fn resolve(
         daemons: &[String],
         sources: &[String],
     ) -> Result<Self, Report<CommandError>> {
         if !daemons.is_empty() {
-            let known = query_daemons(daemons).await;
+            let versions = query_daemons(daemons).await;
             return Ok(Self {
                 targets: ConfirmTargets::Daemons(daemons.to_vec()),
-                highest_version: highest_version(&known),
+                highest_version: highest_version(&versions),
             });
         }
         if sources.is_empty() {
             return Err(Report::new(CommandError::new(
                 FailureKind::InvalidInput,
-                "no balancer is named that must confirm; give --confirm ADDRESS for each, \
+                "no daemon given that must confirm the change; pass --confirm ADDRESS for each, \
                  or --daemon ADDRESS for all balancers that this daemon knows",
             )));
         }
-        let Some(known) = query_balancers(sources).await else {
+        let Some(versions) = query_balancers(sources).await else {
             return Err(Report::new(CommandError::new(
                 FailureKind::Unavailable,
                 format!(
-                    "nothing is written: no daemon at {} answers; give another --daemon",
+                    "nothing was written: no daemon answers at {}; pass another --daemon",
                     sources.join(", ")
                 ),
             )));
         };
-        if known.is_empty() {
+        if versions.is_empty() {
             return Err(Report::new(CommandError::new(
                 FailureKind::Unavailable,
-                "nothing is written: the daemon knows no balancer that could confirm",
+                "nothing was written: the daemon knows no balancer that could confirm the change",
             )));
         }
-        let balancers = known.iter().map(|item| item.address).collect();
+        let balancers = versions.iter().map(|item| item.address).collect();
         Ok(Self {
-            highest_version: known
+            highest_version: versions
                 .iter()
                 .filter_map(|item| item.version)
                 .max()
@@ -96,7 +102,7 @@
         })
     }
 
-    /// Returns how many must confirm.
+    /// Returns the number of daemons that must confirm.
     pub fn expected_count(&self) -> usize {
         match &self.targets {
             ConfirmTargets::Daemons(addresses) => addresses.len(),
@@ -104,39 +110,44 @@
         }
     }
 
-    /// Waits until all have `version` or a higher one, and returns those that
-    /// do not have it after `wait`.
-    pub async fn wait_until_confirmed(&self, version: u64, wait: Duration) -> Vec<String> {
-        let deadline = Instant::now() + wait;
+    /// Waits until all daemons report `version` or a higher one. Returns a
+    /// description of each daemon that does not after `timeout`; empty if all do.
+    pub async fn wait_until_confirmed(&self, version: u64, timeout: Duration) -> Vec<String> {
+        let deadline = Instant::now() + timeout;
         loop {
-            let missing = self.missing(version).await;
-            if missing.is_empty() || Instant::now() >= deadline {
-                return missing;
+            let unconfirmed = self.find_unconfirmed(version).await;
+            if unconfirmed.is_empty() || Instant::now() >= deadline {
+                return unconfirmed;
             }
             tokio::time::sleep(CONFIRM_POLL_INTERVAL).await;
         }
     }
 
-    async fn missing(&self, version: u64) -> Vec<String> {
+    async fn find_unconfirmed(&self, version: u64) -> Vec<String> {
         match &self.targets {
             ConfirmTargets::Daemons(addresses) => query_daemons(addresses)
                 .await
                 .into_iter()
-                .filter(|item| item.version.is_none_or(|found| found < version))
+                .filter(|item| {
+                    item.version
+                        .is_none_or(|reported_version| reported_version < version)
+                })
                 .map(|item| describe_version(&item.address, item.version))
                 .collect(),
             ConfirmTargets::Balancers { sources, balancers } => {
-                let known = query_balancers(sources).await.unwrap_or_default();
+                let versions = query_balancers(sources).await.unwrap_or_default();
                 balancers
                     .iter()
-                    .filter_map(|address| describe_unconfirmed_balancer(*address, &known, version))
+                    .filter_map(|address| {
+                        describe_unconfirmed_balancer(*address, &versions, version)
+                    })
                     .collect()
             }
         }
     }
 }
 
-/// The version in force on a daemon that was named.
+/// The version in force on a daemon; `None` if the daemon does not answer.
 #[derive(Debug)]
 struct DaemonVersion {
     address: String,
@@ -159,6 +170,8 @@
         .await
 }
 
+/// Returns the versions of all balancers known to the first daemon that answers, or
+/// `None` if no daemon answers.
 async fn query_balancers(sources: &[String]) -> Option<Vec<BalancerVersion>> {
     let client = DaemonClient::new();
     for address in sources {
@@ -169,8 +182,8 @@
     None
 }
 
-fn highest_version(known: &[DaemonVersion]) -> u64 {
-    known
+fn highest_version(versions: &[DaemonVersion]) -> u64 {
+    versions
         .iter()
         .filter_map(|item| item.version)
         .max()
@@ -179,16 +192,16 @@
 
 fn describe_unconfirmed_balancer(
     address: SocketAddrV4,
-    known: &[BalancerVersion],
+    versions: &[BalancerVersion],
     version: u64,
 ) -> Option<String> {
-    let found = known
+    let reported_version = versions
         .iter()
         .find(|item| item.address == address)
         .and_then(|item| item.version);
-    match found {
-        Some(found) if found >= version => None,
-        _ => Some(describe_version(&address.to_string(), found)),
+    match reported_version {
+        Some(reported_version) if reported_version >= version => None,
+        _ => Some(describe_version(&address.to_string(), reported_version)),
     }
 }
 
--- a/crates/hyssopstair/src/ops/daemon.rs
+++ b/crates/hyssopstair/src/ops/daemon.rs
@@ -1,4 +1,4 @@
-//! Asks daemons on their admin addresses.
+//! Client of the HTTP interface that daemons offer on their admin addresses.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -10,40 +10,40 @@
 use serde_json::Map;
 use serde_json::Value;
 
-/// Longest wait for one daemon.
+/// Timeout of one request to a daemon.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What a daemon reports about itself.
+/// The state that a daemon reports.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct DaemonStatus {
-    /// The process.
+    /// The identity of the daemon's process: its inner address and incarnation.
     pub process: String,
-    /// The version of the configuration in force.
+    /// The version of the configuration in force on the daemon.
     pub version: u64,
-    /// The members that it knows.
+    /// The members that the daemon knows.
     pub members: Vec<MemberEntry>,
-    /// What else it reports, such as flows and load.
+    /// All other figures that the daemon reports, by name.
     #[serde(flatten)]
     pub more: Map<String, Value>,
 }
 
-/// The version in force on one balancer, as another daemon was told.
+/// The version in force on a balancer, as reported by another daemon.
 #[derive(Debug, Clone, Deserialize)]
 pub struct BalancerVersion {
     /// The inner address of the balancer.
     pub address: SocketAddrV4,
-    /// The version, or nothing when the balancer does not answer.
+    /// The version, or `None` if the balancer does not answer.
     pub version: Option<u64>,
 }
 
-/// Asks daemons.
+/// Sends requests to the admin addresses of daemons.
 #[derive(Debug, Clone)]
 pub struct DaemonClient {
     http: reqwest::Client,
 }
 
 impl DaemonClient {
-    /// Creates a client.
+    /// Creates a client whose requests time out after [`REQUEST_TIMEOUT`].
     pub fn new() -> Self {
         let http = reqwest::Client::builder()
             .timeout(REQUEST_TIMEOUT)
@@ -52,20 +52,23 @@
         Self { http }
     }
 
-    /// Asks for the state of a daemon.
+    /// Returns the state of the daemon at an admin address.
     ///
     /// # Errors
     ///
-    /// Returns an error when the daemon does not answer as expected.
+    /// Returns an error if the daemon does not answer in time, or its response is an
+    /// error or malformed.
     pub async fn fetch_status(&self, address: &str) -> Result<DaemonStatus, reqwest::Error> {
         self.fetch_json(address, "status").await
     }
 
-    /// Asks a daemon for the versions of all balancers that it knows.
+    /// Returns the versions of all balancers that the daemon at an admin address
+    /// knows.
     ///
     /// # Errors
     ///
-    /// Returns an error when the daemon does not answer as expected.
+    /// Returns an error if the daemon does not answer in time, or its response is an
+    /// error or malformed.
     pub async fn fetch_versions(
         &self,
         address: &str,
@@ -73,11 +76,12 @@
         self.fetch_json(address, "versions").await
     }
 
-    /// Asks a daemon for the rule file in force.
+    /// Returns the text of the rules in force on the daemon at an admin address.
     ///
     /// # Errors
     ///
-    /// Returns an error when the daemon does not answer as expected.
+    /// Returns an error if the daemon does not answer in time, or its response is an
+    /// error.
     pub async fn fetch_rules(&self, address: &str) -> Result<String, reqwest::Error> {
         let response = self.get(address, "rules").await?;
         response.text().await
@@ -92,8 +96,8 @@
     }
 
     async fn get(&self, address: &str, path: &str) -> Result<reqwest::Response, reqwest::Error> {
-        let response = self.http.get(format!("http://{address}/{path}"));
-        response.send().await?.error_for_status()
+        let request = self.http.get(format!("http://{address}/{path}"));
+        request.send().await?.error_for_status()
     }
 }
 
--- a/crates/hyssopstair/src/ops/diff.rs
+++ b/crates/hyssopstair/src/ops/diff.rs
@@ -1,9 +1,10 @@
-//! Compares rule files, line by line.
+//! Formats the differences between two rule files.
 
 use hyssopstair_rules::edit::LineEdit;
 use hyssopstair_rules::edit::diff_lines;
 
-/// Returns the lines that are removed (`-`) and added (`+`), by place.
+/// Returns the differences line by line: for each edit its line number in `old`, the
+/// removed lines (`-`) and the added ones (`+`). Empty if the texts are equal.
 pub fn diff_text(old: &str, new: &str) -> Vec<String> {
     let old_lines: Vec<&str> = old.lines().collect();
     diff_lines(old, new)
@@ -12,8 +13,8 @@
         .collect()
 }
 
-fn format_edit(edit: &LineEdit, old: &[&str]) -> Vec<String> {
-    let removed = &old[edit.start..edit.start + edit.removed];
+fn format_edit(edit: &LineEdit, old_lines: &[&str]) -> Vec<String> {
+    let removed = &old_lines[edit.start..edit.start + edit.removed];
     let header = format!("line {}:", edit.start + 1);
     let removed = removed.iter().map(|line| format!("- {line}"));
     let added = edit.added.iter().map(|line| format!("+ {line}"));
--- a/crates/hyssopstair/src/ops/drain.rs
+++ b/crates/hyssopstair/src/ops/drain.rs
@@ -1,4 +1,4 @@
-//! Checks what operators say about a host that is to be drained.
+//! Validates the arguments of `hyssopstair drain`.
 
 use std::net::SocketAddrV4;
 
@@ -8,24 +8,26 @@
 use crate::error::FailureKind;
 use crate::ops::daemon::DaemonClient;
 
-/// Returns the name of who asks, which must fit into the comment of a line.
+/// Returns the name of the requester without surrounding white space. The name is
+/// written to the comment of a rule, which ends with the line.
 ///
 /// # Errors
 ///
-/// Returns an error when it is empty or has a line break.
+/// Returns an error if the name is empty or contains a line break.
 pub fn parse_requester(name: &str) -> Result<String, Report<CommandError>> {
     let name = name.trim();
     if name.is_empty() || name.contains(['\n', '\r']) {
         return Err(Report::new(CommandError::new(
             FailureKind::InvalidInput,
-            "--asked-by names nobody; give a name in one line",
+            "the value of --asked-by must be a name, without line breaks",
         )));
     }
     Ok(name.to_owned())
 }
 
-/// Returns whether a daemon knows a process at an inner address, or does not
-/// answer.
+/// Returns whether the daemon knows a process at the inner address `host`. Also
+/// returns `true` if the daemon does not answer, so that the operator gets no
+/// unfounded warning.
 pub async fn is_host_known(daemon: &str, host: SocketAddrV4) -> bool {
     match DaemonClient::new().fetch_status(daemon).await {
         Ok(status) => {
--- a/crates/hyssopstair/src/ops/explain.rs
+++ b/crates/hyssopstair/src/ops/explain.rs
@@ -1,4 +1,4 @@
-//! Says where a new flow to a service would go, and why.
+//! Explains which hosts may get a new flow to a service, and why others may not.
 
 use std::net::SocketAddrV4;
 
@@ -14,12 +14,13 @@
 use crate::error::FailureKind;
 use crate::ops::daemon::DaemonClient;
 
-/// Asks a daemon and explains where it sends a new flow to `address`.
+/// Queries a daemon and returns lines of text that explain where the daemon places
+/// a new flow to `address`.
 ///
 /// # Errors
 ///
-/// Returns an error when the daemon does not answer, or no service has the
-/// address.
+/// Returns an error if the daemon does not answer, its rules are invalid, or no
+/// service has the address.
 pub async fn fetch_explanation(
     daemon: &str,
     address: SocketAddrV4,
@@ -27,7 +28,7 @@
     let context = || {
         CommandError::new(
             FailureKind::Unavailable,
-            format!("failed to ask the daemon at {daemon}; check --daemon"),
+            format!("failed to query the daemon at {daemon}; check --daemon"),
         )
     };
     let client = DaemonClient::new();
@@ -50,11 +51,13 @@
     .map_err(Report::new)
 }
 
-/// Explains where a process with these rules and members sends a new flow.
+/// Returns lines of text that explain where a process with these rules and members
+/// places a new flow to `address`. `rules_text` is the source of `rules`; `version`
+/// is their version.
 ///
 /// # Errors
 ///
-/// Returns an error when no service has the address.
+/// Returns an error if no service has the address.
 pub fn explain_flow(
     rules: &RuleSet,
     rules_text: &str,
@@ -71,7 +74,7 @@
         return Err(CommandError::new(
             FailureKind::InvalidInput,
             format!(
-                "no service has the address {address}; known are {}",
+                "no service has the address {address}; known addresses: {}",
                 known.join(", ")
             ),
         ));
@@ -91,7 +94,8 @@
     Ok(lines)
 }
 
-/// A host of the service and its part in the placement of new flows.
+/// A host of the service and its weight in the placement of new flows; the weight is
+/// 0 if the host is excluded.
 #[derive(Debug)]
 struct HostPlacement {
     address: SocketAddrV4,
@@ -130,21 +134,22 @@
     }
 
     fn describe(&self, total_weight: u32) -> String {
-        let place = format!("{} in {}", self.address, self.zone);
+        let host = format!("{} in {}", self.address, self.zone);
         let state = format!("{:?}", self.state).to_lowercase();
         match self.exclusion_reason {
             Some(reason) => {
-                format!("  {place}: {state}, takes nothing new: {reason}")
+                format!("  {host}: {state}, accepts no new flows: {reason}")
             }
             None => {
                 let share = 100.0 * f64::from(self.weight) / f64::from(total_weight.max(1));
                 let weight = self.weight;
-                format!("  {place}: {state}, weight {weight}, {share:.1} % of new flows")
+                format!("  {host}: {state}, weight {weight}, {share:.1} % of new flows")
             }
         }
     }
 }
 
+/// Returns why the host gets no new flows, or `None` if it may get some.
 fn find_exclusion_reason(
     rules: &RuleSet,
     service: &ServiceRule,
@@ -152,16 +157,16 @@
     zone_weight: u16,
 ) -> Option<&'static str> {
     match entry.state {
-        MemberState::Gone => return Some("it is gone"),
-        MemberState::Draining => return Some("it drains of its own accord"),
-        MemberState::Suspect => return Some("it does not answer"),
+        MemberState::Gone => return Some("it has left or failed"),
+        MemberState::Draining => return Some("its process is draining"),
+        MemberState::Suspect => return Some("it does not answer other members"),
         MemberState::Alive => {}
     }
     if service.withdrawn {
-        return Some("a rule withdraws the service");
+        return Some("the service is withdrawn by a rule");
     }
     if rules.is_drained(entry.process.address) {
-        return Some("a rule drains it");
+        return Some("it is drained by a rule");
     }
     (zone_weight == 0).then_some("its zone has weight 0")
 }
@@ -171,7 +176,8 @@
     zone.map_or_else(|| format!("zone {id}"), |zone| zone.name.clone())
 }
 
-/// Returns the rules that bear on the placement, each with who asked for it.
+/// Returns the lines of the rule file that affect the placement, with their comments,
+/// which name the requesters.
 fn format_related_rules(rules_text: &str, service: &str, hosts: &[HostPlacement]) -> Vec<String> {
     let is_related = |line: &&str| {
         let mut words = line.split_whitespace();
@@ -187,14 +193,15 @@
     lines.map(|line| format!("  rule: {line}")).collect()
 }
 
-fn describe_selection(total_weight: u32, hosts: usize) -> String {
-    if hosts == 0 {
-        return "no host has announced itself for the service: new flows are dropped".to_owned();
+/// Returns how a host is selected from the candidates.
+fn describe_selection(total_weight: u32, host_count: usize) -> String {
+    if host_count == 0 {
+        return "the service has no known hosts: new flows are dropped".to_owned();
     }
     if total_weight == 0 {
-        return "no host may take a new flow: new flows are dropped".to_owned();
+        return "no host accepts new flows: new flows are dropped".to_owned();
     }
-    "the flow's first packet chooses among these by rendezvous hashing, alike on all balancers; \
-     a host that is full hands it to the next"
+    "all balancers select the same host for a flow, by rendezvous hashing of its first packet; \
+     a host without capacity passes the packet on to the next"
         .to_owned()
 }
--- a/crates/hyssopstair/src/ops/keygen.rs
+++ b/crates/hyssopstair/src/ops/keygen.rs
@@ -1,4 +1,4 @@
-//! Makes secrets and certificates for trials.
+//! Generates secrets and certificates for test fleets.
 
 use std::fs;
 use std::path::Path;
@@ -9,11 +9,14 @@
 use crate::error::CommandError;
 use crate::error::FailureKind;
 
-/// Writes a secret, a self-signed certificate and its key to `directory`.
+/// Generates a fleet secret and a self-signed certificate for the services `names`,
+/// and writes `secret.hex`, `certificate.pem` and `private-key.pem` to `directory`,
+/// which is created if it does not exist.
 ///
 /// # Errors
 ///
-/// Returns an error when a file cannot be written.
+/// Returns an error if the certificate cannot be generated or a file cannot be
+/// written.
 pub fn generate_keys(directory: &Path, names: &[String]) -> Result<(), Report<CommandError>> {
     let context = || {
         CommandError::new(
--- a/crates/hyssopstair/src/ops/mod.rs
+++ b/crates/hyssopstair/src/ops/mod.rs
@@ -1,4 +1,5 @@
-//! What the commands do.
+//! The operations behind the subcommands. They take plain arguments and return
+//! results instead of printing them.
 
 pub mod apply;
 pub mod change;
--- a/crates/hyssopstair/src/ops/record.rs
+++ b/crates/hyssopstair/src/ops/record.rs
@@ -1,4 +1,4 @@
-//! Reads the configuration and its past versions from the platform.
+//! Reads the configuration and its earlier versions from the platform.
 
 use std::cmp::Reverse;
 
@@ -15,31 +15,31 @@
 use crate::error::CommandError;
 use crate::error::FailureKind;
 
-/// Reads the present configuration, or nothing when there is none.
+/// Returns the latest configuration, or `None` if the platform holds none yet.
 ///
 /// # Errors
 ///
-/// Returns an error when the platform does not answer or holds no record.
+/// Returns an error if the platform does not answer or the stored value is invalid.
 pub async fn read_configuration(
-    platform: &[String],
+    platform_urls: &[String],
 ) -> Result<Option<FoundRecord>, Report<CommandError>> {
-    let stored = PlatformClient::new(platform)
+    let stored = PlatformClient::new(platform_urls)
         .get(CONFIGURATION_KEY)
         .await
         .change_context_lazy(read_failure)?;
     decode_record(stored)
 }
 
-/// Reads one version.
+/// Returns a version of the configuration.
 ///
 /// # Errors
 ///
-/// Returns an error when the platform does not answer or no longer keeps it.
+/// Returns an error if the platform does not answer or does not store the version.
 pub async fn read_version(
-    platform: &[String],
+    platform_urls: &[String],
     version: u64,
 ) -> Result<ConfigurationRecord, Report<CommandError>> {
-    let stored = PlatformClient::new(platform)
+    let stored = PlatformClient::new(platform_urls)
         .get(&history_key(version))
         .await
         .change_context_lazy(read_failure)?;
@@ -48,22 +48,22 @@
         _ => Err(Report::new(CommandError::new(
             FailureKind::InvalidInput,
             format!(
-                "the platform does not keep version {version}; \"hyssopstair history\" lists \
-                 the versions that it keeps"
+                "the platform does not store version {version}; \"hyssopstair history\" lists \
+                 the stored versions"
             ),
         ))),
     }
 }
 
-/// Reads all versions that are kept, the newest first.
+/// Returns all stored versions of the configuration, newest first.
 ///
 /// # Errors
 ///
-/// Returns an error when the platform does not answer or holds no records.
+/// Returns an error if the platform does not answer or a stored value is invalid.
 pub async fn read_history(
-    platform: &[String],
+    platform_urls: &[String],
 ) -> Result<Vec<ConfigurationRecord>, Report<CommandError>> {
-    let stored = PlatformClient::new(platform)
+    let stored = PlatformClient::new(platform_urls)
         .get_prefix(HISTORY_PREFIX)
         .await
         .change_context_lazy(read_failure)?;
@@ -75,11 +75,12 @@
     Ok(records)
 }
 
-/// Decodes a record.
+/// Decodes the value of a key that holds a configuration; `None` if the key does not
+/// exist.
 ///
 /// # Errors
 ///
-/// Returns an error when the value is no record.
+/// Returns an error if the value is not a configuration record.
 pub fn decode_record(
     stored: Option<StoredValue>,
 ) -> Result<Option<FoundRecord>, Report<CommandError>> {
@@ -89,7 +90,7 @@
     let record = ConfigurationRecord::decode(&stored.value).change_context_lazy(|| {
         CommandError::new(
             FailureKind::Unavailable,
-            "the platform holds something else under the configuration's key",
+            "the value that the platform stores is not a configuration",
         )
     })?;
     Ok(Some(FoundRecord {
@@ -101,6 +102,7 @@
 fn read_failure() -> CommandError {
     CommandError::new(
         FailureKind::Unavailable,
-        "failed to read the configuration; check --platform, or try again when it answers",
+        "failed to read the configuration from the platform; check --platform, or try again \
+         when the platform answers",
     )
 }
--- a/crates/hyssopstair/src/ops/rule_file.rs
+++ b/crates/hyssopstair/src/ops/rule_file.rs
@@ -1,4 +1,4 @@
-//! Reads rule files.
+//! Reads and validates rule files.
 
 use std::fs;
 use std::path::Path;
@@ -11,32 +11,33 @@
 use crate::error::FailureKind;
 use crate::ops::apply::EditedRules;
 
-/// Reads the text of a file.
+/// Returns the text of a rule file.
 ///
 /// # Errors
 ///
-/// Returns an error when it cannot be read or is no text.
+/// Returns an error if the file cannot be read or is not valid UTF-8.
 pub fn read_rule_file(path: &Path) -> Result<String, Report<CommandError>> {
     fs::read_to_string(path).change_context_lazy(|| {
         CommandError::new(
             FailureKind::InvalidInput,
-            format!("failed to read {}", path.display()),
+            format!("failed to read rule file {}", path.display()),
         )
     })
 }
 
-/// Checks the rules of a file.
+/// Parses the rules of a file. `path` only appears in error messages.
 ///
 /// # Errors
 ///
-/// Returns an error that names every mistake, with lines as in the file.
+/// Returns an error that lists all mistakes, with the line numbers of the file; the
+/// line that names the version counts.
 pub fn parse_rules(path: &Path, edited: &EditedRules) -> Result<RuleSet, Report<CommandError>> {
-    let skipped = usize::from(edited.base_version.is_some());
+    let skipped_lines = usize::from(edited.base_version.is_some());
     RuleSet::parse(&edited.text).map_err(|mistakes| {
         let list: Vec<String> = mistakes
             .into_iter()
             .map(|mut mistake| {
-                mistake.line += skipped;
+                mistake.line += skipped_lines;
                 format!("{}: {mistake}", path.display())
             })
             .collect();
--- a/crates/hyssopstair/src/ops/runtime.rs
+++ b/crates/hyssopstair/src/ops/runtime.rs
@@ -1,4 +1,4 @@
-//! Runs a future to its end.
+//! Runs asynchronous operations from synchronous code.
 
 use std::future::Future;
 
@@ -8,14 +8,18 @@
 use crate::error::CommandError;
 use crate::error::FailureKind;
 
-/// Runs `future` on threads of its own.
+/// Runs `future` to completion on a new multi-threaded runtime and returns its
+/// output.
 ///
 /// # Errors
 ///
-/// Returns an error when threads cannot be started.
+/// Returns an error if the runtime cannot be started.
 pub fn block_on<F: Future>(future: F) -> Result<F::Output, Report<CommandError>> {
     let runtime = tokio::runtime::Runtime::new().change_context_lazy(|| {
-        CommandError::new(FailureKind::Unavailable, "failed to start threads")
+        CommandError::new(
+            FailureKind::Unavailable,
+            "failed to start the async runtime",
+        )
     })?;
     Ok(runtime.block_on(future))
 }
--- a/crates/hyssopstair/src/ops/status.rs
+++ b/crates/hyssopstair/src/ops/status.rs
@@ -1,4 +1,4 @@
-//! Asks daemons what they see, and compares their answers.
+//! Collects the state of daemons and reports the differences between them.
 
 use futures::StreamExt;
 use futures::stream;
@@ -11,31 +11,32 @@
 use crate::ops::daemon::DaemonClient;
 use crate::ops::daemon::DaemonStatus;
 
-/// Daemons that are asked at once.
+/// Number of daemons that are queried at the same time.
 const MAX_CONCURRENT_QUERIES: usize = 32;
 
-/// Members that a line about disagreement names at most.
+/// Number of daemons that a finding lists by name; the others are counted.
 const MAX_LISTED_ITEMS: usize = 5;
 
-/// What one daemon answered.
+/// The state of one daemon.
 #[derive(Debug, Serialize)]
 pub struct DaemonReport {
     /// The admin address of the daemon.
     pub address: String,
-    /// Its state, or nothing when it does not answer.
+    /// The state that the daemon reports, or `None` if it does not answer.
     pub status: Option<DaemonStatus>,
 }
 
-/// What all daemons answered.
+/// The states of several daemons and the differences between them.
 #[derive(Debug, Serialize)]
 pub struct FleetStatus {
-    /// The answers, in the order of the questions.
+    /// The states, in the order of the given addresses.
     pub daemons: Vec<DaemonReport>,
-    /// In what the daemons disagree, and who does not answer.
+    /// Describes daemons that do not answer or have an outdated version, and
+    /// members that the daemons see differently.
     pub findings: Vec<String>,
 }
 
-/// Asks daemons for their state.
+/// Queries daemons at their admin addresses and compares their states.
 pub async fn fetch_fleet_status(addresses: &[String]) -> FleetStatus {
     let client = DaemonClient::new();
     let daemons = stream::iter(addresses.to_vec())
@@ -53,7 +54,7 @@
 }
 
 impl FleetStatus {
-    /// Compares the answers of daemons.
+    /// Compares the states of daemons.
     pub fn from_reports(daemons: Vec<DaemonReport>) -> Self {
         let mut findings = find_unreachable_daemons(&daemons);
         findings.extend(find_outdated_daemons(&daemons));
@@ -61,7 +62,7 @@
         Self { daemons, findings }
     }
 
-    /// Returns a table for people.
+    /// Returns the rows of a text table with one row per daemon.
     pub fn table(&self) -> Vec<String> {
         let header = [
             "daemon", "role", "version", "alive", "draining", "suspect", "gone", "more",
@@ -96,18 +97,19 @@
 }
 
 fn format_role(status: &DaemonStatus) -> String {
-    let own = status
+    let own_entry = status
         .members
         .iter()
         .find(|entry| entry.process.to_string() == status.process);
-    match own.map(|entry| entry.role) {
+    match own_entry.map(|entry| entry.role) {
         Some(MemberRole::Balancer) => "balancer".to_owned(),
         Some(MemberRole::Host { service, .. }) => format!("host of service {service}"),
         None => "unknown".to_owned(),
     }
 }
 
-/// Returns the numbers that a daemon reports besides, such as flows and load.
+/// Returns the other figures that a daemon reports, as `name=value`. Lists and
+/// objects are left out.
 fn format_extra_values(status: &DaemonStatus) -> String {
     let values = status.more.iter().filter_map(|(name, value)| match value {
         Value::Number(_) | Value::Bool(_) | Value::String(_) => Some(format!("{name}={value}")),
@@ -155,12 +157,13 @@
         return None;
     }
     Some(format!(
-        "version {highest} is in force, but {}",
+        "the highest version is {highest}, but {}",
         join_limited(&outdated)
     ))
 }
 
-/// Names the members that not all daemons see in the same state.
+/// Returns a finding for each member that daemons report in different states, and for
+/// each that only some daemons know, unless its state is gone.
 fn find_member_conflicts(daemons: &[DaemonReport]) -> Vec<String> {
     let statuses = daemons.iter().filter_map(|report| report.status.as_ref());
     let mut distinct_entries: Vec<&MemberEntry> =
@@ -182,8 +185,8 @@
             .collect();
         if group.len() > 1 {
             findings.push(format!(
-                "{address} is {} to different daemons",
-                states.join(" and ")
+                "daemons disagree on the state of {address}: {}",
+                states.join(", ")
             ));
         } else if known_count < statuses.clone().count() && group[0].state != MemberState::Gone {
             findings.push(format!(
--- a/crates/hyssopstair/tests/answers.rs
+++ b/crates/hyssopstair/tests/answers.rs
@@ -1,4 +1,4 @@
-//! What the commands tell operators.
+//! Tests the text that commands print for operators.
 
 use expect_test::expect;
 use hyssopstair::ops::apply::split_version_line;
@@ -44,15 +44,15 @@
 }
 
 #[test]
-fn disagreement_between_daemons_is_pointed_out() {
-    let answer = |name: &str, status| DaemonReport {
+fn status_reports_differences_between_daemons() {
+    let report = |name: &str, status| DaemonReport {
         address: name.to_owned(),
         status,
     };
     let fleet = FleetStatus::from_reports(vec![
-        answer("a:7100", Some(status(3, &["Alive", "Alive", "Draining"]))),
-        answer("b:7100", Some(status(2, &["Alive", "Suspect"]))),
-        answer("c:7100", None),
+        report("a:7100", Some(status(3, &["Alive", "Alive", "Draining"]))),
+        report("b:7100", Some(status(2, &["Alive", "Suspect"]))),
+        report("c:7100", None),
     ]);
     let shown = [fleet.table(), fleet.findings].concat().join("\n");
     expect![[r#"
@@ -61,14 +61,14 @@
         b:7100  host of service 1  2        1      0         1        0     flows=7
         c:7100  no answer
         c:7100 does not answer
-        version 3 is in force, but b:7100 has version 2
-        127.1.2.2:7000 is alive and suspect to different daemons
+        the highest version is 3, but b:7100 has version 2
+        daemons disagree on the state of 127.1.2.2:7000: alive, suspect
         127.1.2.3:7000 is known to 1 of 2 daemons"#]]
     .assert_eq(&shown);
 }
 
 #[test]
-fn a_new_flow_is_explained_by_hosts_and_rules() {
+fn explain_lists_hosts_and_related_rules() {
     let rules = RuleSet::parse(RULES).expect("rules");
     let members = status(3, &["Alive", "Suspect", "Alive", "Gone"]).members;
     let address = "127.1.0.10:4433".parse().expect("address");
@@ -76,20 +76,22 @@
     expect![[r#"
         127.1.0.10:4433 is service leerplein (number 1) in version 3
           127.1.2.1:7000 in utr-a: alive, weight 100, 100.0 % of new flows
-          127.1.2.2:7000 in ame-b: suspect, takes nothing new: it does not answer
-          127.1.2.3:7000 in utr-a: alive, takes nothing new: a rule drains it
-          127.1.2.4:7000 in ame-b: gone, takes nothing new: it is gone
+          127.1.2.2:7000 in ame-b: suspect, accepts no new flows: it does not answer other members
+          127.1.2.3:7000 in utr-a: alive, accepts no new flows: it is drained by a rule
+          127.1.2.4:7000 in ame-b: gone, accepts no new flows: it has left or failed
           rule: weight leerplein ame-b 50  # M. Jansen
           rule: drain 127.1.2.3:7000  # M. Jansen
-        the flow's first packet chooses among these by rendezvous hashing, alike on all balancers; a host that is full hands it to the next"#]].assert_eq(&lines.join("\n"));
+        all balancers select the same host for a flow, by rendezvous hashing of its first packet; a host without capacity passes the packet on to the next"#]].assert_eq(&lines.join("\n"));
     let other = "127.1.0.11:4433".parse().expect("address");
     let error = explain_flow(&rules, RULES, &members, 3, other).expect_err("no service");
-    expect!["no service has the address 127.1.0.11:4433; known are 127.1.0.10:4433 (leerplein)"]
-        .assert_eq(&error.to_string());
+    expect![
+        "no service has the address 127.1.0.11:4433; known addresses: 127.1.0.10:4433 (leerplein)"
+    ]
+    .assert_eq(&error.to_string());
 }
 
 #[test]
-fn a_conflict_shows_the_line_as_it_was_and_both_edits() {
+fn conflict_shows_base_line_and_both_edits() {
     let outcome = ChangeOutcome::Conflict {
         version: 9,
         lines: vec![LineConflict {
@@ -100,7 +102,7 @@
         }],
     };
     expect![[r#"
-        nothing is written: version 9 changes the same lines; edit what "hyssopstair show" prints and apply that
+        nothing was written: version 9 changes the same lines; edit the output of "hyssopstair show" and apply it
         line 4:
           before: weight leerplein ame-b 50  # M. Jansen
           yours:  weight leerplein ame-b 60  # A. Visser
@@ -108,7 +110,7 @@
 }
 
 #[test]
-fn a_shown_file_names_the_version_that_it_was_edited_from() {
+fn first_line_of_shown_file_names_its_version() {
     let found =
         ["# version 7\nkey 1  # A\n", "key 1  # A\n", "# version x\n"].map(split_version_line);
     expect![[r##"
@@ -133,7 +135,7 @@
 }
 
 #[test]
-fn a_diff_names_places_and_lines() {
+fn diff_shows_line_numbers_and_lines() {
     let new = RULES
         .replace("50", "60")
         .replace("drain 127.1.2.3:7000  # M. Jansen\n", "");
