--- a/crates/hyssopstair/src/ops/daemon.rs
+++ b/crates/hyssopstair/src/ops/daemon.rs
@@ -43,7 +43,7 @@
 }
 
 impl DaemonClient {
-    /// Creates a client whose requests time out after [`REQUEST_TIMEOUT`].
+    /// Creates a client whose requests time out after `REQUEST_TIMEOUT`.
     pub fn new() -> Self {
         let http = reqwest::Client::builder()
             .timeout(REQUEST_TIMEOUT)
--- a/crates/hyssopstair/src/ops/load/backends.rs
+++ b/crates/hyssopstair/src/ops/load/backends.rs
@@ -148,7 +148,7 @@
 }
 
 /// Returns the total work of all runs. A non-idempotent request counts as
-/// [`NON_IDEMPOTENT_WORK`], an idempotent one as 1.
+/// `NON_IDEMPOTENT_WORK`, an idempotent one as 1.
 pub fn sum_work(backends: &[BackendReport], is_non_idempotent: impl Fn(&str) -> bool) -> u64 {
     requests_of(backends)
         .map(|request| request_work(is_non_idempotent(request)))
--- a/crates/hyssopstair/src/ops/load/caller.rs
+++ b/crates/hyssopstair/src/ops/load/caller.rs
@@ -117,7 +117,7 @@
     /// # Errors
     ///
     /// Returns an error if the handshake fails or does not complete within
-    /// [`OPEN_TIMEOUT`].
+    /// `OPEN_TIMEOUT`.
     pub async fn connect(
         &self,
         service: &str,
--- a/crates/hyssopstair/src/ops/load/mod.rs
+++ b/crates/hyssopstair/src/ops/load/mod.rs
@@ -45,7 +45,7 @@
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Runs a workload and returns its report. Calls `progress` with a line of text each
-/// [`PROGRESS_INTERVAL`].
+/// `PROGRESS_INTERVAL`.
 ///
 /// # Errors
 ///
