--- a/crates/hyssopstaird/src/clock.rs
+++ b/crates/hyssopstaird/src/clock.rs
@@ -1,7 +1,7 @@
 //! The monotonic clock and the wall clock of the process.
 //!
-//! Only this crate reads clocks. The decision crates receive the time as an argument,
-//! so that tests can set it.
+//! The clocks are read where events enter the process. Functions that make decisions
+//! receive the time as an argument, so that tests can set it.
 
 use std::time::Instant;
 use std::time::SystemTime;
--- a/crates/hyssopstaird/src/host/connection.rs
+++ b/crates/hyssopstaird/src/host/connection.rs
@@ -1,8 +1,8 @@
 //! Generation of QUIC connection IDs and stateless reset tokens.
 //!
 //! A connection ID is a sealed route token, from which any balancer can determine the host
-//! of a flow. Reset tokens depend only on the fleet secret, so that any process can send a
-//! stateless reset.
+//! of a flow. A reset token depends only on the connection ID and the fleet secret, so that
+//! any process can send a stateless reset.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU32;
@@ -39,8 +39,8 @@
 impl ConnectionIdGenerator for TokenIssuer {
     fn generate_cid(&mut self) -> ConnectionId {
         let view = self.state.node.view();
-        // The fallback values are not used: flows are accepted only if a configuration names
-        // the service.
+        // Flows are accepted only if a configuration names the service, so the service is
+        // known here.
         let number = view.rules.sealing_key().unwrap_or(KeyNumber(0));
         let token = RouteToken {
             key: number,
--- a/crates/hyssopstaird/src/lib.rs
+++ b/crates/hyssopstaird/src/lib.rs
@@ -4,8 +4,8 @@
 //! backend server, terminates the callers' QUIC connections and forwards their
 //! requests to the backend server over HTTP. Both roles run the tasks of
 //! [`control`], which maintain the member list and the configuration. The crates
-//! `routing`, `roster` and `requests` make the decisions and perform no I/O; the
-//! modules of this crate connect them to sockets and clocks.
+//! `routing`, `roster` and `requests` make the decisions; the modules of this crate
+//! connect them to sockets and clocks.
 //!
 //! The second mode, [`carry`], forwards flows without terminating them; callers
 //! and backend servers are their endpoints.
--- a/crates/hyssopstaird/src/peer/client.rs
+++ b/crates/hyssopstaird/src/peer/client.rs
@@ -26,7 +26,7 @@
 use crate::control::node::lock;
 use crate::error::DaemonError;
 
-/// Maximum time for the answer to a request of [`send_request`].
+/// Maximum time to wait for the answer to a request about the configuration.
 const CONFIGURATION_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Maximum number of idle connections that a pool keeps open.
