--- a/crates/hyssopstaird/tests/stateless_reset.rs
+++ b/crates/hyssopstaird/tests/stateless_reset.rs
@@ -1,4 +1,5 @@
-//! A real QUIC caller against our connection IDs and resets.
+//! Tests that a QUIC client (quinn) sends the route tokens that the server issues as connection
+//! IDs, and closes its connection on a stateless reset that is derived from such a token.
 
 use std::net::SocketAddr;
 use std::net::SocketAddrV4;
@@ -30,6 +31,7 @@
 use tokio::net::UdpSocket;
 use tokio::runtime::Runtime;
 
+/// Route token of the server, apart from the nonce.
 const TOKEN: RouteToken = RouteToken {
     key: KeyNumber(1),
     service: ServiceId(1),
@@ -40,22 +42,23 @@
     nonce: 0,
 };
 
-fn secret() -> FleetSecret {
+fn fleet_secret() -> FleetSecret {
     FleetSecret::new([3; 16])
 }
 
-struct TestIssuer {
+/// Generates connection IDs that are sealed route tokens, each with its own nonce.
+struct TokenGenerator {
     nonce: u32,
 }
 
-impl ConnectionIdGenerator for TestIssuer {
+impl ConnectionIdGenerator for TokenGenerator {
     fn generate_cid(&mut self) -> ConnectionId {
         self.nonce += 1;
         let token = RouteToken {
             nonce: self.nonce,
             ..TOKEN
         };
-        ConnectionId::new(&token.seal(&secret().route_key(token.key)))
+        ConnectionId::new(&token.seal(&fleet_secret().route_key(token.key)))
     }
 
     fn cid_len(&self) -> usize {
@@ -67,34 +70,42 @@
     }
 }
 
-fn bind() -> std::net::UdpSocket {
+fn bind_socket() -> std::net::UdpSocket {
     std::net::UdpSocket::bind("127.0.0.1:0").unwrap()
 }
 
-/// Opens the server; also returns the certificate that callers are to trust.
+/// Opens the endpoint of the server. Also returns its certificate, which callers must trust.
 fn open_server() -> (Endpoint, CertificateDer<'static>) {
     let certified = rcgen::generate_simple_self_signed(["leerplein".to_owned()]).unwrap();
     let certificate = certified.cert.der().clone();
     let key = PrivateKeyDer::try_from(certified.signing_key.serialize_der()).unwrap();
-    let config = ServerConfig::with_single_cert(vec![certificate.clone()], key).unwrap();
-    let reset_key = ResetKey::new(secret().derive(b"reset"));
-    let mut endpoint = EndpointConfig::new(Arc::new(reset_key));
-    endpoint.cid_generator(|| Box::new(TestIssuer { nonce: 0 }));
-    let server = Endpoint::new(endpoint, Some(config), bind(), Arc::new(TokioRuntime)).unwrap();
+    let server_config = ServerConfig::with_single_cert(vec![certificate.clone()], key).unwrap();
+    let reset_key = ResetKey::new(fleet_secret().derive(b"reset"));
+    let mut endpoint_config = EndpointConfig::new(Arc::new(reset_key));
+    endpoint_config.cid_generator(|| Box::new(TokenGenerator { nonce: 0 }));
+    let server = Endpoint::new(
+        endpoint_config,
+        Some(server_config),
+        bind_socket(),
+        Arc::new(TokioRuntime),
+    )
+    .unwrap();
     (server, certificate)
 }
 
+/// Opens the endpoint of a caller that trusts the certificate.
 fn open_caller(certificate: CertificateDer<'static>) -> Endpoint {
     let mut caller = Endpoint::client("127.0.0.1:0".parse().unwrap()).unwrap();
     let mut roots = RootCertStore::empty();
     roots.add(certificate).unwrap();
-    let config = quinn::ClientConfig::with_root_certificates(Arc::new(roots)).unwrap();
-    caller.set_default_client_config(config);
+    let client_config = quinn::ClientConfig::with_root_certificates(Arc::new(roots)).unwrap();
+    caller.set_default_client_config(client_config);
     caller
 }
 
-/// Ends the server without a word, as `kill -9` does, and takes its address.
-async fn take_address(server: Runtime, address: SocketAddr) -> UdpSocket {
+/// Ends the server without closing its connections, as `kill -9` does, and returns a socket that
+/// is bound to its address.
+async fn take_over_address(server: Runtime, address: SocketAddr) -> UdpSocket {
     server.shutdown_background();
     loop {
         match UdpSocket::bind(address).await {
@@ -105,7 +116,7 @@
 }
 
 #[tokio::test]
-async fn caller_routes_by_token_and_believes_the_reset() {
+async fn caller_sends_route_tokens_and_accepts_the_reset() {
     let runtime = Runtime::new().unwrap();
     let (server, certificate) = {
         let _guard = runtime.enter();
@@ -118,30 +129,31 @@
     });
     let caller = open_caller(certificate);
     let connection = caller.connect(address, "leerplein").unwrap().await.unwrap();
-    let socket = take_address(runtime, address).await;
+    let socket = take_over_address(runtime, address).await;
     connection.send_datagram(vec![0; 100].into()).unwrap();
-    let ring = KeyRing::derive(&secret(), &[KeyNumber(1)]);
-    let reset = async {
+    let key_ring = KeyRing::derive(&fleet_secret(), &[KeyNumber(1)]);
+    let answer_with_reset = async {
         let mut buffer = [0; 2_048];
         loop {
             let (length, from) = socket.recv_from(&mut buffer).await.unwrap();
-            let packet = parse_header(&buffer[..length]).unwrap();
-            let token = RouteToken::open(&ring, packet.destination_id).unwrap();
+            let header = parse_header(&buffer[..length]).unwrap();
+            let token = RouteToken::open(&key_ring, header.destination_id).unwrap();
             assert_eq!(token.host, TOKEN.host);
-            // The end of a handshake may be repeated; no reset answers it.
-            if packet.form == QuicForm::Handshake {
+            // The caller may retransmit its last handshake packet, which is not answered by a
+            // reset.
+            if header.form == QuicForm::Handshake {
                 continue;
             }
-            assert_eq!(packet.form, QuicForm::Short);
-            let key = secret().derive(b"reset");
-            if let Some(reset) = reset_packet(&key, packet.destination_id, length, 1) {
+            assert_eq!(header.form, QuicForm::Short);
+            let reset_key = fleet_secret().derive(b"reset");
+            if let Some(reset) = reset_packet(&reset_key, header.destination_id, length, 1) {
                 socket.send_to(&reset, from).await.unwrap();
             }
         }
     };
-    let closed = tokio::time::timeout(Duration::from_secs(10), connection.closed());
+    let close_reason = tokio::time::timeout(Duration::from_secs(10), connection.closed());
     tokio::select! {
-        reason = closed => assert_eq!(reason.unwrap(), ConnectionError::Reset),
-        () = reset => {}
+        reason = close_reason => assert_eq!(reason.unwrap(), ConnectionError::Reset),
+        () = answer_with_reset => {}
     }
 }
--- a/crates/hyssopstaird/tests/updates.rs
+++ b/crates/hyssopstaird/tests/updates.rs
@@ -1,4 +1,5 @@
-//! Configurations that one process sends another, as edits and as whole texts.
+//! Tests of the configurations that one process sends to another: as steps, which are the edits
+//! from one version to the next, or as a whole text.
 
 use std::net::SocketAddr;
 use std::net::SocketAddrV4;
@@ -22,30 +23,34 @@
 use hyssopstaird::peer::server::PeerServer;
 use hyssopstaird::peer::server::start_server;
 
-const TIMEOUT: Duration = Duration::from_secs(10);
+/// Maximum time until a process has fetched a configuration from a peer.
+const FETCH_TIMEOUT: Duration = Duration::from_secs(10);
 
-const FIRST: &str = "zone utr-a id 1 # test: first\n";
-const OTHER: &str = "zone utr-b id 1 # test: another first\n";
-const SECOND: &str = "zone utr-a id 1 # test: first\nkey 2 # test: second\n";
-const THIRD: &str = "zone utr-a id 1 # test: first\nkey 3 # test: third\n";
-const BROKEN: &str = "zone utr-a id 1 # test: first\nno rule\n";
+const FIRST_RULES: &str = "zone utr-a id 1 # test: first\n";
+/// Rules of version 1 that differ from those of the sender.
+const OTHER_RULES: &str = "zone utr-b id 1 # test: another first\n";
+const SECOND_RULES: &str = "zone utr-a id 1 # test: first\nkey 2 # test: second\n";
+const THIRD_RULES: &str = "zone utr-a id 1 # test: first\nkey 3 # test: third\n";
+const INVALID_RULES: &str = "zone utr-a id 1 # test: first\nno rule\n";
 
-/// The file with the secret, written once for all tests.
-static SECRET: LazyLock<PathBuf> = LazyLock::new(|| {
+/// Path of the file with the secret, which is written once for all tests.
+static SECRET_PATH: LazyLock<PathBuf> = LazyLock::new(|| {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("updates-secret");
     std::fs::write(&path, "00112233445566778899aabbccddeeff").unwrap();
     path
 });
 
+/// Returns a loopback address whose port was free a moment ago.
 fn free_address() -> SocketAddrV4 {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     match listener.local_addr().unwrap() {
         SocketAddr::V4(address) => address,
-        SocketAddr::V6(address) => panic!("unexpected address {address}"),
+        SocketAddr::V6(address) => panic!("unexpected IPv6 address {address}"),
     }
 }
 
-fn settings() -> DaemonSettings {
+/// Returns the settings of a balancer on free ports, without a platform and contacts.
+fn balancer_settings() -> DaemonSettings {
     DaemonSettings {
         role: RoleSettings::Balancer(BalancerSettings {
             entry: free_address(),
@@ -56,19 +61,19 @@
         zone: "utr-a".to_owned(),
         platform: Vec::new(),
         contacts: Vec::new(),
-        secret: SecretSource::File(SECRET.clone()),
+        secret: SecretSource::File(SECRET_PATH.clone()),
         traces: None,
     }
 }
 
 async fn start_node() -> Arc<ControlNode> {
-    Arc::new(ControlNode::start(&settings()).await.unwrap())
+    Arc::new(ControlNode::start(&balancer_settings()).await.unwrap())
 }
 
-/// A process with versions 1, 2 and 3 that answers peers.
+/// Starts a process that has applied versions 1, 2 and 3 and answers the requests of peers.
 async fn start_sender() -> (Arc<ControlNode>, PeerServer) {
     let node = start_node().await;
-    for (version, text) in (1..).zip([FIRST, SECOND, THIRD]) {
+    for (version, text) in (1..).zip([FIRST_RULES, SECOND_RULES, THIRD_RULES]) {
         assert!(node.apply_config(version, text, Vec::new()));
     }
     let server =
@@ -76,45 +81,50 @@
     (node, server)
 }
 
-/// Lets a process hear of version 3, and returns it when it has that version.
-async fn fetched(version: u64, text: &str) -> Arc<ControlNode> {
+/// Starts a process with the given version (0 for none), tells it that a peer has version 3, and
+/// returns it when it has fetched that version.
+async fn fetch_version_3(version: u64, text: &str) -> Arc<ControlNode> {
     let (sender, _server) = start_sender().await;
     let receiver = start_node().await;
     if version > 0 {
         assert!(receiver.apply_config(version, text, Vec::new()));
     }
     let platform = PlatformClient::new(&[]);
-    let fetching = tokio::spawn(configuration::run(receiver.clone(), platform));
+    let fetch_task = tokio::spawn(configuration::run(receiver.clone(), platform));
     configuration::record_peer_version(&receiver, sender.process_id().address, 3);
     let start = Instant::now();
     while receiver.view().version < 3 {
-        assert!(start.elapsed() < TIMEOUT, "version 3 did not come");
+        assert!(
+            start.elapsed() < FETCH_TIMEOUT,
+            "version 3 was not fetched in time"
+        );
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    fetching.abort();
+    fetch_task.abort();
     receiver
 }
 
-/// Checks the versions of the steps that a process can pass on to others.
-fn check_steps(node: &ControlNode, from: u64, expected: &Expect) {
+/// Compares the steps from version `from` to 3 that a process can send to others, and the text
+/// of its configuration, with the expected text. A step is shown as its two versions.
+fn assert_steps(node: &ControlNode, from: u64, expected: &Expect) {
     let steps = lock(&node.updates).find_steps(from, 3);
-    let versions: Option<Vec<(u64, u64)>> =
+    let version_pairs: Option<Vec<(u64, u64)>> =
         steps.map(|steps| steps.iter().map(|step| (step.from, step.to)).collect());
-    expected.assert_eq(&format!("{versions:?} {:?}", node.config().text()));
+    expected.assert_eq(&format!("{version_pairs:?} {:?}", node.config().text()));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn process_that_lags_is_sent_the_steps_and_can_pass_them_on() {
-    let receiver = fetched(1, FIRST).await;
-    check_steps(
+async fn stale_process_receives_the_steps_and_can_forward_them() {
+    let receiver = fetch_version_3(1, FIRST_RULES).await;
+    assert_steps(
         &receiver,
         1,
         &expect![[
             r#"Some([(1, 2), (2, 3)]) "zone utr-a id 1 # test: first\nkey 3 # test: third\n""#
         ]],
     );
-    let receiver = fetched(2, SECOND).await;
-    check_steps(
+    let receiver = fetch_version_3(2, SECOND_RULES).await;
+    assert_steps(
         &receiver,
         2,
         &expect![[r#"Some([(2, 3)]) "zone utr-a id 1 # test: first\nkey 3 # test: third\n""#]],
@@ -122,21 +132,21 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn process_without_a_text_is_sent_the_whole_one() {
-    let receiver = fetched(0, "").await;
-    check_steps(
+async fn process_without_a_configuration_receives_the_whole_text() {
+    let receiver = fetch_version_3(0, "").await;
+    assert_steps(
         &receiver,
         0,
         &expect![[r#"None "zone utr-a id 1 # test: first\nkey 3 # test: third\n""#]],
     );
 }
 
-/// The checksum of the first step does not agree; the whole text is fetched,
-/// and one step from the other text is made of it.
+/// The checksum of the first step does not match the text of the receiver, so that it fetches
+/// the whole text and derives a single step from the difference.
 #[tokio::test(flavor = "multi_thread")]
-async fn process_whose_text_differs_is_sent_the_whole_one() {
-    let receiver = fetched(1, OTHER).await;
-    check_steps(
+async fn process_whose_text_differs_receives_the_whole_text() {
+    let receiver = fetch_version_3(1, OTHER_RULES).await;
+    assert_steps(
         &receiver,
         1,
         &expect![[r#"Some([(1, 3)]) "zone utr-a id 1 # test: first\nkey 3 # test: third\n""#]],
@@ -144,12 +154,12 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn text_that_cannot_be_read_or_is_older_leaves_no_step() {
+async fn invalid_or_older_text_creates_no_step() {
     let node = start_node().await;
-    assert!(node.apply_config(2, SECOND, Vec::new()));
-    assert!(!node.apply_config(3, BROKEN, Vec::new()));
-    assert!(!node.apply_config(1, FIRST, Vec::new()));
-    check_steps(
+    assert!(node.apply_config(2, SECOND_RULES, Vec::new()));
+    assert!(!node.apply_config(3, INVALID_RULES, Vec::new()));
+    assert!(!node.apply_config(1, FIRST_RULES, Vec::new()));
+    assert_steps(
         &node,
         2,
         &expect![[r#"None "zone utr-a id 1 # test: first\nkey 2 # test: second\n""#]],
