--- a/crates/hyssopstaird/examples/flood.rs
+++ b/crates/hyssopstaird/examples/flood.rs
@@ -1,7 +1,8 @@
-//! Measures how many packets a balancer process forwards in a second.
+//! Measures how many packets per second a balancer process forwards.
 //!
-//! Sends packets of an open flow to the entry address, and counts them at an
-//! address that stands for the host. `./demo --keep` brings up a balancer.
+//! Sends packets of an established flow to the entry address of a running balancer and counts
+//! the packets that arrive at the address of a simulated host. `./demo --keep` starts a fleet
+//! with a balancer. Prints JSON.
 
 use std::net::SocketAddrV4;
 use std::net::UdpSocket;
@@ -23,22 +24,22 @@
 use hyssopstair_wire::token::RouteToken;
 use hyssopstaird::secret::read_secret;
 
-/// Floods a balancer with packets of one flow.
+/// Sends packets of one flow to a balancer as fast as possible and prints the rates.
 #[derive(FromArgs)]
 struct FloodArgs {
     /// entry address of the balancer
     #[argh(option)]
     entry: SocketAddrV4,
 
-    /// address of the service with number 1
+    /// address of the service with ID 1
     #[argh(option)]
     service: SocketAddrV4,
 
-    /// address that stands for the host
+    /// host address that this program binds to receive the forwarded packets
     #[argh(option)]
     host: SocketAddrV4,
 
-    /// file of the fleet's secret
+    /// file with the secret of the fleet
     #[argh(option)]
     secret: PathBuf,
 
@@ -46,13 +47,16 @@
     #[argh(option, default = "1200")]
     length: usize,
 
-    /// time in seconds
+    /// duration of the measurement in seconds
     #[argh(option, default = "5")]
     seconds: u64,
 }
 
-fn packet(args: &FloodArgs) -> Vec<u8> {
-    let secret = read_secret(&SecretSource::File(args.secret.clone())).expect("a secret is there");
+/// Builds a datagram for the entry address: a packet with a short header, whose connection ID
+/// is a route token for the host.
+fn build_packet(args: &FloodArgs) -> Vec<u8> {
+    let secret = read_secret(&SecretSource::File(args.secret.clone()))
+        .expect("failed to read the secret of the fleet");
     let token = RouteToken {
         key: KeyNumber(1),
         service: ServiceId(1),
@@ -73,35 +77,36 @@
 
 fn main() {
     let args: FloodArgs = argh::from_env();
-    let packet = packet(&args);
-    let host = UdpSocket::bind(args.host).expect("the address is free");
-    host.set_read_timeout(Some(Duration::from_millis(200)))
-        .expect("a time is allowed");
-    let stopped = Arc::new(AtomicBool::new(false));
-    let sender = std::thread::spawn({
-        let stopped = stopped.clone();
+    let packet = build_packet(&args);
+    let host_socket = UdpSocket::bind(args.host).expect("failed to bind the host address");
+    host_socket
+        .set_read_timeout(Some(Duration::from_millis(200)))
+        .expect("failed to set the read timeout");
+    let is_stopped = Arc::new(AtomicBool::new(false));
+    let sender_thread = std::thread::spawn({
+        let is_stopped = is_stopped.clone();
         move || {
-            let socket = UdpSocket::bind("127.0.0.1:0").expect("a port is free");
-            let mut sent = 0_u64;
-            while !stopped.load(Ordering::Relaxed) {
-                sent += u64::from(socket.send_to(&packet, args.entry).is_ok());
+            let socket = UdpSocket::bind("127.0.0.1:0").expect("failed to bind a socket");
+            let mut sent_count = 0_u64;
+            while !is_stopped.load(Ordering::Relaxed) {
+                sent_count += u64::from(socket.send_to(&packet, args.entry).is_ok());
             }
-            sent
+            sent_count
         }
     });
     let start = Instant::now();
     let mut buffer = [0; 2_048];
-    let mut received = 0_u64;
+    let mut received_count = 0_u64;
     while start.elapsed() < Duration::from_secs(args.seconds) {
-        received += u64::from(host.recv(&mut buffer).is_ok());
+        received_count += u64::from(host_socket.recv(&mut buffer).is_ok());
     }
-    let seconds = start.elapsed().as_secs_f64();
-    stopped.store(true, Ordering::Relaxed);
-    let sent = sender.join().expect("the sender ends");
+    let elapsed_seconds = start.elapsed().as_secs_f64();
+    is_stopped.store(true, Ordering::Relaxed);
+    let sent_count = sender_thread.join().expect("the sender thread panicked");
     println!(
         "{{\"length\":{},\"sent_per_s\":{:.0},\"forwarded_per_s\":{:.0}}}",
         args.length,
-        sent as f64 / seconds,
-        received as f64 / seconds,
+        sent_count as f64 / elapsed_seconds,
+        received_count as f64 / elapsed_seconds,
     );
 }
--- a/crates/hyssopstaird/examples/gossip_carrier.rs
+++ b/crates/hyssopstaird/examples/gossip_carrier.rs
@@ -1,10 +1,10 @@
-//! Measures what one gossip message costs by UDP datagram and by nng, and what a
-//! silent peer does to the sender.
+//! Compares UDP datagrams and nng, over TCP, as transports of gossip messages: the bytes and the
+//! time per message, and the effect of an unresponsive peer on the sender.
 //!
-//! Payload bytes on the TCP connection are counted by a relay in this program.
-//! Headers are estimated: 28 bytes a datagram, 40 bytes a TCP segment, and one
-//! acknowledgement of 40 bytes for each segment, as for messages that are
-//! further apart than the delay of acknowledgements. Prints JSON.
+//! A relay in this program counts the payload bytes on the TCP connection. The size of the
+//! headers is estimated: 28 bytes for a datagram, 40 bytes for a TCP segment, and one
+//! acknowledgement of 40 bytes for each segment, as is the case if the interval between messages
+//! exceeds the delayed acknowledgement timeout. Prints JSON.
 
 use std::fs;
 use std::io::Read;
@@ -40,108 +40,123 @@
 use serde_json::Value;
 use serde_json::json;
 
-/// Messages of each size.
-const MESSAGES: u64 = 1_000;
+/// Number of messages of each size.
+const MESSAGE_COUNT: u64 = 1_000;
 
-/// Entries in a message.
+/// Numbers of member entries in the measured messages.
 const ENTRY_COUNTS: [usize; 2] = [1, 10];
 
-/// Bytes of the IPv4 and TCP headers of a segment without options.
+/// Length in bytes of the IPv4 and TCP headers of a segment without options.
 const SEGMENT_OVERHEAD: u64 = 40;
 
-/// Segments that open a connection.
+/// Number of segments that open a connection.
 const OPENING_SEGMENTS: u64 = 3;
 
-/// Segments that close a connection.
+/// Number of segments that close a connection.
 const CLOSING_SEGMENTS: u64 = 4;
 
-/// Connections to silent peers that are kept open to measure their memory.
-const KEPT_LINKS: usize = 200;
+/// Number of connections that are open at once when the memory per connection is measured.
+const CONNECTION_COUNT: usize = 200;
 
-/// How long a send by nng may block.
+/// Timeout of a send by nng.
 const SEND_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long a silent peer is watched for an error other than a time limit.
-const WATCH_TIME: Duration = Duration::from_secs(30);
+/// Maximum time to wait until a send to an unresponsive peer fails with an error other than a
+/// timeout.
+const OBSERVATION_TIME: Duration = Duration::from_secs(30);
 
-/// What the pull protocol says first: "SP", version 0, protocol 81.
+/// The greeting of a pull socket, sent when a connection opens: "SP", version 0, protocol 81.
 const PULL_GREETING: [u8; 8] = [0, b'S', b'P', 0, 0, 81, 0, 0];
 
+/// The loopback address with a port that the system selects.
 const LOOPBACK: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0);
 
-/// What passed a relay in one direction.
+/// Counts what a relay has forwarded in one direction. Each read counts as one segment.
 #[derive(Debug, Default)]
-struct RelayCount {
+struct TrafficCounter {
     bytes: AtomicU64,
     segments: AtomicU64,
 }
 
-impl RelayCount {
-    fn add(&self, length: usize) {
+impl TrafficCounter {
+    fn record_segment(&self, length: usize) {
         self.bytes.fetch_add(length as u64, Ordering::SeqCst);
         self.segments.fetch_add(1, Ordering::SeqCst);
     }
 
-    fn read(&self) -> (u64, u64) {
+    /// Returns the numbers of bytes and segments.
+    fn totals(&self) -> (u64, u64) {
         let bytes = self.bytes.load(Ordering::SeqCst);
         (bytes, self.segments.load(Ordering::SeqCst))
     }
 }
 
-/// A relay of one TCP connection that counts payload bytes.
+/// A relay for one TCP connection that counts the payload bytes.
 #[derive(Debug)]
 struct CountingRelay {
     address: SocketAddr,
-    forth: Arc<RelayCount>,
-    back: Arc<RelayCount>,
+    to_receiver: Arc<TrafficCounter>,
+    to_sender: Arc<TrafficCounter>,
 }
 
 impl CountingRelay {
+    /// Starts a relay that forwards one connection to `target`.
     fn start(target: SocketAddr) -> Self {
-        let listener = TcpListener::bind(LOOPBACK).expect("a free port");
-        let address = listener.local_addr().expect("bound");
-        let forth = Arc::new(RelayCount::default());
-        let back = Arc::new(RelayCount::default());
-        let counts = (forth.clone(), back.clone());
+        let listener = TcpListener::bind(LOOPBACK).expect("failed to bind a free port");
+        let address = listener
+            .local_addr()
+            .expect("a bound socket has an address");
+        let to_receiver = Arc::new(TrafficCounter::default());
+        let to_sender = Arc::new(TrafficCounter::default());
+        let counters = (to_receiver.clone(), to_sender.clone());
         thread::spawn(move || {
-            let (near, _) = listener.accept().expect("a connection");
-            let far = TcpStream::connect(target).expect("the receiver listens");
-            let near_reader = near.try_clone().expect("a descriptor");
-            let far_reader = far.try_clone().expect("a descriptor");
-            thread::spawn(move || copy_counted(near_reader, far, &counts.0));
-            copy_counted(far_reader, near, &counts.1);
+            let (sender_stream, _) = listener.accept().expect("failed to accept the connection");
+            let receiver_stream =
+                TcpStream::connect(target).expect("failed to connect to the receiver");
+            let sender_reader = sender_stream
+                .try_clone()
+                .expect("failed to clone the stream");
+            let receiver_reader = receiver_stream
+                .try_clone()
+                .expect("failed to clone the stream");
+            thread::spawn(move || copy_counted(sender_reader, receiver_stream, &counters.0));
+            copy_counted(receiver_reader, sender_stream, &counters.1);
         });
         Self {
             address,
-            forth,
-            back,
+            to_receiver,
+            to_sender,
         }
     }
 }
 
-fn copy_counted(mut from: TcpStream, mut to: TcpStream, count: &RelayCount) {
+/// Copies from one stream to the other until either is closed, and counts what is copied.
+fn copy_counted(mut source: TcpStream, mut target: TcpStream, counter: &TrafficCounter) {
     let mut buffer = [0; 65_536];
-    while let Ok(length) = from.read(&mut buffer) {
-        // Counted before it is passed on, so that it is there when it arrives.
-        count.add(length);
-        if length == 0 || to.write_all(&buffer[..length]).is_err() {
+    while let Ok(length) = source.read(&mut buffer) {
+        // Counted before it is forwarded, so that the count is complete when the receiver has
+        // the message.
+        counter.record_segment(length);
+        if length == 0 || target.write_all(&buffer[..length]).is_err() {
             return;
         }
     }
 }
 
-fn control_packet(entries: usize) -> Vec<u8> {
-    let entries: Vec<MemberEntry> = (0..entries).map(member_entry).collect();
+/// Encodes a gossip packet with the given number of member entries.
+fn control_packet(entry_count: usize) -> Vec<u8> {
+    let entries: Vec<MemberEntry> = (0..entry_count).map(member_entry).collect();
     let message = ControlMessage {
         sender: entries[0].process,
         version: 1_000_000,
         body: ControlBody::Changes(entries),
     };
-    encode_packet(PacketKind::Control, &message, &[]).expect("it fits")
+    encode_packet(PacketKind::Control, &message, &[])
+        .expect("the message does not fit into a packet")
 }
 
-fn member_entry(number: usize) -> MemberEntry {
-    let ip = Ipv4Addr::from_bits(0x0a00_0000 + number as u32);
+fn member_entry(member_number: usize) -> MemberEntry {
+    let ip = Ipv4Addr::from_bits(0x0a00_0000 + member_number as u32);
     MemberEntry {
         process: ProcessId {
             address: SocketAddrV4::new(ip, 7_000),
@@ -157,221 +172,252 @@
     }
 }
 
+/// Measures bytes and time per message over UDP.
 fn measure_datagrams(packet: &[u8]) -> Value {
-    let receiver = UdpSocket::bind(LOOPBACK).expect("a free port");
-    let sender = UdpSocket::bind(LOOPBACK).expect("a free port");
-    let target = receiver.local_addr().expect("bound");
+    let receiver = UdpSocket::bind(LOOPBACK).expect("failed to bind a free port");
+    let sender = UdpSocket::bind(LOOPBACK).expect("failed to bind a free port");
+    let target = receiver
+        .local_addr()
+        .expect("a bound socket has an address");
     let mut buffer = [0; 2_048];
     let start = Instant::now();
-    for _ in 0..MESSAGES {
-        sender.send_to(packet, target).expect("it is sent");
-        receiver.recv(&mut buffer).expect("it arrives");
+    for _ in 0..MESSAGE_COUNT {
+        sender
+            .send_to(packet, target)
+            .expect("failed to send the message");
+        receiver
+            .recv(&mut buffer)
+            .expect("failed to receive the message");
     }
     json!({
         "payload_bytes_per_message": packet.len(),
         "bytes_per_message": packet.len() as u64 + DATAGRAM_OVERHEAD,
-        "micros_per_message": start.elapsed().as_micros() as f64 / MESSAGES as f64,
+        "micros_per_message": start.elapsed().as_micros() as f64 / MESSAGE_COUNT as f64,
     })
 }
 
-/// Sends each message after the one before has arrived, so that none share a
-/// segment.
+/// Measures bytes and time per message over nng. Sends a message only after the previous one
+/// has arrived, so that no two messages share a segment.
 fn measure_nng(packet: &[u8]) -> Value {
-    let receiver = Socket::new(Protocol::Pull0).expect("nng works");
+    let receiver = Socket::new(Protocol::Pull0).expect("failed to open an nng socket");
     let target = listen_on_free_port(&receiver);
     let relay = CountingRelay::start(target);
-    let sender = Socket::new(Protocol::Push0).expect("nng works");
-    sender.dial(&url(relay.address)).expect("the relay listens");
-    sender.send(packet).expect("it is sent");
-    receiver.recv().expect("it arrives");
-    let first = relay.forth.read();
-    let back = relay.back.read();
+    let sender = Socket::new(Protocol::Push0).expect("failed to open an nng socket");
+    sender
+        .dial(&socket_url(relay.address))
+        .expect("failed to connect to the relay");
+    sender.send(packet).expect("failed to send the message");
+    receiver.recv().expect("failed to receive the message");
+    let totals_before = relay.to_receiver.totals();
+    let totals_to_sender = relay.to_sender.totals();
     let start = Instant::now();
-    for _ in 0..MESSAGES {
-        sender.send(packet).expect("it is sent");
-        receiver.recv().expect("it arrives");
+    for _ in 0..MESSAGE_COUNT {
+        sender.send(packet).expect("failed to send the message");
+        receiver.recv().expect("failed to receive the message");
     }
-    let took = start.elapsed();
-    let last = relay.forth.read();
-    let each = |(from, to)| (to - from) as f64 / MESSAGES as f64;
-    let bytes = each((first.0, last.0));
-    let segments = each((first.1, last.1));
-    let headers = segments * SEGMENT_OVERHEAD as f64;
-    let greeting = first.0 + back.0 - bytes as u64;
-    // The greetings are one segment each way.
+    let elapsed = start.elapsed();
+    let totals_after = relay.to_receiver.totals();
+    let per_message = |(before, after)| (after - before) as f64 / MESSAGE_COUNT as f64;
+    let payload_bytes = per_message((totals_before.0, totals_after.0));
+    let segments_per_message = per_message((totals_before.1, totals_after.1));
+    let header_bytes = segments_per_message * SEGMENT_OVERHEAD as f64;
+    let greeting_bytes = totals_before.0 + totals_to_sender.0 - payload_bytes as u64;
+    // Each side sends its greeting in one segment.
     let setup_segments = OPENING_SEGMENTS + 2;
     json!({
-        "payload_bytes_per_message": bytes,
-        "segments_per_message": segments,
-        "bytes_per_message": bytes + headers,
-        "bytes_per_message_with_acknowledgement": bytes + 2.0 * headers,
-        "micros_per_message_through_relay": took.as_micros() as f64 / MESSAGES as f64,
-        "greeting_payload_bytes": greeting,
-        "setup_bytes": greeting + setup_segments * SEGMENT_OVERHEAD,
+        "payload_bytes_per_message": payload_bytes,
+        "segments_per_message": segments_per_message,
+        "bytes_per_message": payload_bytes + header_bytes,
+        "bytes_per_message_with_acknowledgement": payload_bytes + 2.0 * header_bytes,
+        "micros_per_message_through_relay": elapsed.as_micros() as f64 / MESSAGE_COUNT as f64,
+        "greeting_payload_bytes": greeting_bytes,
+        "setup_bytes": greeting_bytes + setup_segments * SEGMENT_OVERHEAD,
         "closing_bytes": CLOSING_SEGMENTS * SEGMENT_OVERHEAD,
     })
 }
 
-/// Has a socket listen on a port that was free a moment ago.
+/// Makes a socket listen on a port that was free a moment ago, and returns its address.
 fn listen_on_free_port(socket: &Socket) -> SocketAddr {
-    let probe = TcpListener::bind(LOOPBACK).expect("a free port");
-    let address = probe.local_addr().expect("bound");
-    drop(probe);
-    socket.listen(&url(address)).expect("the port is free");
+    let listener = TcpListener::bind(LOOPBACK).expect("failed to bind a free port");
+    let address = listener
+        .local_addr()
+        .expect("a bound socket has an address");
+    drop(listener);
+    socket
+        .listen(&socket_url(address))
+        .expect("failed to listen on the port");
     address
 }
 
-fn url(address: SocketAddr) -> String {
+fn socket_url(address: SocketAddr) -> String {
     format!("tcp://{address}")
 }
 
-/// Sends to a socket that nobody reads.
-fn measure_silent_datagrams(packet: &[u8]) -> Value {
-    let silent = UdpSocket::bind(LOOPBACK).expect("a free port");
-    let sender = UdpSocket::bind(LOOPBACK).expect("a free port");
-    let target = silent.local_addr().expect("bound");
-    let mut longest = Duration::ZERO;
-    let mut errors = 0;
-    for _ in 0..10 * MESSAGES {
+/// Sends datagrams to a socket that is never read, and measures the longest send.
+fn measure_unread_datagrams(packet: &[u8]) -> Value {
+    let receiver = UdpSocket::bind(LOOPBACK).expect("failed to bind a free port");
+    let sender = UdpSocket::bind(LOOPBACK).expect("failed to bind a free port");
+    let target = receiver
+        .local_addr()
+        .expect("a bound socket has an address");
+    let mut longest_send = Duration::ZERO;
+    let mut error_count = 0;
+    for _ in 0..10 * MESSAGE_COUNT {
         let start = Instant::now();
-        errors += u64::from(sender.send_to(packet, target).is_err());
-        longest = longest.max(start.elapsed());
+        error_count += u64::from(sender.send_to(packet, target).is_err());
+        longest_send = longest_send.max(start.elapsed());
     }
     json!({
-        "sends": 10 * MESSAGES,
-        "errors": errors,
-        "longest_send_micros": longest.as_micros(),
+        "sends": 10 * MESSAGE_COUNT,
+        "errors": error_count,
+        "longest_send_micros": longest_send.as_micros(),
     })
 }
 
-/// Accepts connections and greets as a pull socket does, or not at all, and
-/// reads nothing more.
-fn start_silent_peer(greets: bool) -> SocketAddr {
-    let listener = TcpListener::bind(LOOPBACK).expect("a free port");
-    let address = listener.local_addr().expect("bound");
+/// Starts a peer that accepts connections and reads no messages. It answers the greeting as a
+/// pull socket does if `sends_greeting` is true, and sends nothing otherwise.
+fn start_unresponsive_peer(sends_greeting: bool) -> SocketAddr {
+    let listener = TcpListener::bind(LOOPBACK).expect("failed to bind a free port");
+    let address = listener
+        .local_addr()
+        .expect("a bound socket has an address");
     thread::spawn(move || {
-        let mut held = Vec::new();
+        let mut streams = Vec::new();
         while let Ok((mut stream, _)) = listener.accept() {
-            if greets {
+            if sends_greeting {
                 let mut greeting = [0; PULL_GREETING.len()];
                 let _ = stream.read_exact(&mut greeting);
                 let _ = stream.write_all(&PULL_GREETING);
             }
-            held.push(stream);
+            streams.push(stream);
         }
     });
     address
 }
 
-/// Connects to a peer that accepts and leaves the greeting unanswered.
+/// Connects to a peer that accepts the connection but does not answer the greeting.
 fn measure_unanswered_greeting(packet: &[u8]) -> Value {
-    let address = start_silent_peer(false);
-    let sender = Socket::new(Protocol::Push0).expect("nng works");
+    let address = start_unresponsive_peer(false);
+    let sender = Socket::new(Protocol::Push0).expect("failed to open an nng socket");
     sender
         .set_opt::<SendTimeout>(Some(SEND_TIMEOUT))
-        .expect("the option exists");
+        .expect("failed to set the send timeout");
     let start = Instant::now();
-    let dialed = sender.dial(&url(address));
+    let dial_result = sender.dial(&socket_url(address));
     let dial_time = start.elapsed();
-    let other = Socket::new(Protocol::Push0).expect("nng works");
-    other
+    let async_sender = Socket::new(Protocol::Push0).expect("failed to open an nng socket");
+    async_sender
         .set_opt::<SendTimeout>(Some(SEND_TIMEOUT))
-        .expect("the option exists");
-    other.dial_async(&url(address)).expect("it starts");
-    let (sent, blocked, error) = send_until_blocked(&other, packet);
+        .expect("failed to set the send timeout");
+    async_sender
+        .dial_async(&socket_url(address))
+        .expect("failed to start the connection");
+    let (sent_count, block_time, error) = send_until_blocked(&async_sender, packet);
     json!({
         "dial_blocks_millis": dial_time.as_millis(),
-        "dial_error": dialed.err().map(|error| error.to_string()),
-        "messages_taken_before_block": sent,
-        "send_blocks_millis": blocked.as_millis(),
+        "dial_error": dial_result.err().map(|error| error.to_string()),
+        "messages_taken_before_block": sent_count,
+        "send_blocks_millis": block_time.as_millis(),
         "send_error": error,
     })
 }
 
+/// Sends until a send fails. Returns the number of messages sent, the duration of the failed
+/// send and its error.
 fn send_until_blocked(socket: &Socket, packet: &[u8]) -> (u64, Duration, String) {
-    let mut sent = 0;
+    let mut sent_count = 0;
     loop {
         let start = Instant::now();
         match socket.send(packet) {
-            Ok(()) => sent += 1,
-            Err((_, error)) => return (sent, start.elapsed(), error.to_string()),
+            Ok(()) => sent_count += 1,
+            Err((_, error)) => return (sent_count, start.elapsed(), error.to_string()),
         }
     }
 }
 
-/// Sends to a peer that greets and then reads nothing.
-fn measure_stopped_reader(packet: &[u8]) -> Value {
-    let address = start_silent_peer(true);
-    let sender = Socket::new(Protocol::Push0).expect("nng works");
+/// Sends to a peer that answers the greeting and then reads nothing.
+fn measure_peer_that_stops_reading(packet: &[u8]) -> Value {
+    let address = start_unresponsive_peer(true);
+    let sender = Socket::new(Protocol::Push0).expect("failed to open an nng socket");
     sender
         .set_opt::<SendTimeout>(Some(SEND_TIMEOUT))
-        .expect("the option exists");
-    sender.dial(&url(address)).expect("it greets");
-    let (sent, blocked, error) = send_until_blocked(&sender, packet);
+        .expect("failed to set the send timeout");
+    sender
+        .dial(&socket_url(address))
+        .expect("failed to connect to the peer");
+    let (sent_count, block_time, error) = send_until_blocked(&sender, packet);
     let start = Instant::now();
-    let mut noticed = None;
-    while start.elapsed() < WATCH_TIME && noticed.is_none() {
+    let mut error_millis = None;
+    while start.elapsed() < OBSERVATION_TIME && error_millis.is_none() {
         let result = sender.send(packet);
-        let other = result
+        let send_error = result
             .err()
             .filter(|(_, error)| *error != nng::Error::TimedOut);
-        noticed = other.map(|_| start.elapsed().as_millis());
+        error_millis = send_error.map(|_| start.elapsed().as_millis());
     }
     json!({
-        "messages_taken_before_block": sent,
-        "bytes_taken_before_block": sent * packet.len() as u64,
-        "send_blocks_millis": blocked.as_millis(),
+        "messages_taken_before_block": sent_count,
+        "bytes_taken_before_block": sent_count * packet.len() as u64,
+        "send_blocks_millis": block_time.as_millis(),
         "send_error": error,
-        "noticed_after_millis": noticed,
+        "noticed_after_millis": error_millis,
         "watched_millis": start.elapsed().as_millis(),
     })
 }
 
-/// Keeps one socket for each peer, as a message for a certain peer needs.
-fn measure_kept_links() -> Value {
-    let address = start_silent_peer(true);
-    let before = resident_bytes();
-    let links: Vec<Socket> = (0..KEPT_LINKS)
+/// Measures the memory of an open connection. Opens one socket for each peer, because a push
+/// socket with several connections does not let the sender select the peer.
+fn measure_open_connections() -> Value {
+    let address = start_unresponsive_peer(true);
+    let bytes_before = resident_bytes();
+    let sockets: Vec<Socket> = (0..CONNECTION_COUNT)
         .map(|_| {
-            let socket = Socket::new(Protocol::Push0).expect("nng works");
-            socket.dial(&url(address)).expect("it greets");
+            let socket = Socket::new(Protocol::Push0).expect("failed to open an nng socket");
+            socket
+                .dial(&socket_url(address))
+                .expect("failed to connect to the peer");
             socket
         })
         .collect();
-    let memory = resident_bytes().saturating_sub(before);
+    let memory_bytes = resident_bytes().saturating_sub(bytes_before);
     json!({
-        "links": links.len(),
-        "memory_per_peer_bytes": memory / KEPT_LINKS as u64,
+        "links": sockets.len(),
+        "memory_per_peer_bytes": memory_bytes / CONNECTION_COUNT as u64,
     })
 }
 
+/// Returns the resident memory of this process in bytes, or 0 if it is unknown.
 fn resident_bytes() -> u64 {
     const PAGE_BYTES: u64 = 4_096;
-    let text = fs::read_to_string("/proc/self/statm").unwrap_or_default();
-    let second = text.split_whitespace().nth(1);
-    second.and_then(|word| word.parse().ok()).unwrap_or(0) * PAGE_BYTES
+    let statm = fs::read_to_string("/proc/self/statm").unwrap_or_default();
+    let resident_pages = statm.split_whitespace().nth(1);
+    resident_pages
+        .and_then(|word| word.parse().ok())
+        .unwrap_or(0)
+        * PAGE_BYTES
 }
 
-fn measure_size(entries: usize) -> Value {
-    let packet = control_packet(entries);
+/// Measures both transports with messages of the given number of entries.
+fn measure_message_size(entry_count: usize) -> Value {
+    let packet = control_packet(entry_count);
     json!({
-        "entries": entries,
+        "entries": entry_count,
         "udp": measure_datagrams(&packet),
         "nng": measure_nng(&packet),
     })
 }
 
 fn main() {
-    let sizes: Vec<Value> = ENTRY_COUNTS.into_iter().map(measure_size).collect();
+    let sizes: Vec<Value> = ENTRY_COUNTS.into_iter().map(measure_message_size).collect();
     let packet = control_packet(1);
     let report = json!({
-        "messages": MESSAGES,
+        "messages": MESSAGE_COUNT,
         "sizes": sizes,
-        "kept_links": measure_kept_links(),
+        "kept_links": measure_open_connections(),
         "silent_peer": {
-            "udp": measure_silent_datagrams(&packet),
+            "udp": measure_unread_datagrams(&packet),
             "nng_greeting_unanswered": measure_unanswered_greeting(&packet),
-            "nng_reader_stopped": measure_stopped_reader(&packet),
+            "nng_reader_stopped": measure_peer_that_stops_reading(&packet),
         },
     });
     println!("{report:#}");
