--- a/crates/hyssopstaird/tests/requests.rs
+++ b/crates/hyssopstaird/tests/requests.rs
@@ -26,8 +26,7 @@
 /// Maximum length in bytes of the text of a response body in [`describe_response`].
 const MAX_TEXT_BYTES: usize = 60;
 
-/// A flow together with the host that serves it, which is identified by the ticket that it
-/// issues.
+/// A flow, the host that serves it, and a ticket that this host has issued.
 struct HostFlow {
     host: String,
     flow: CallerFlow,
@@ -45,7 +44,7 @@
         }
     }
 
-    /// Sends the same enrolment, which is not idempotent, with each call.
+    /// Sends an enrolment, which is not idempotent. Only the key differs between calls.
     async fn post_enrolment(&self, key: &str) -> String {
         self.send_request("POST", key, "coach 4").await
     }
--- a/crates/hyssopstaird/tests/traces.rs
+++ b/crates/hyssopstaird/tests/traces.rs
@@ -11,9 +11,11 @@
 
 /// Trace ID of the caller.
 const TRACE_ID: &str = "0af7651916cd43dd8448eb211c80319c";
+
 /// ID of the span of the caller, which is the parent of the exported spans.
 const CALLER_SPAN_ID: &str = "b7ad6b7169203331";
 
+/// Opens a flow to a service.
 async fn open_flow(fleet: &TestFleet, service: &str) -> CallerFlow {
     let connector = CallerConnector::with_root_certificate(&fleet.certificate()).unwrap();
     let address = fleet.service_address(service);
--- a/crates/hyssopstaird/tests/updates.rs
+++ b/crates/hyssopstaird/tests/updates.rs
@@ -26,11 +26,19 @@
 /// Maximum time until a process has fetched a configuration from a peer.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(10);
 
+/// Rules of version 1 of the sender.
 const FIRST_RULES: &str = "zone utr-a id 1 # test: first\n";
+
 /// Rules of version 1 that differ from those of the sender.
 const OTHER_RULES: &str = "zone utr-b id 1 # test: another first\n";
+
+/// Rules of version 2.
 const SECOND_RULES: &str = "zone utr-a id 1 # test: first\nkey 2 # test: second\n";
+
+/// Rules of version 3.
 const THIRD_RULES: &str = "zone utr-a id 1 # test: first\nkey 3 # test: third\n";
+
+/// Rules that cannot be parsed.
 const INVALID_RULES: &str = "zone utr-a id 1 # test: first\nno rule\n";
 
 /// Path of the file with the secret, which is written once for all tests.
