--- a/crates/soak/src/caller.rs
+++ b/crates/soak/src/caller.rs
@@ -1,4 +1,4 @@
-//! A stand-in of a caller, with one flow at a time.
+//! A stand-in for a caller, which has one flow open at a time.
 
 use std::cell::RefCell;
 use std::net::IpAddr;
@@ -20,38 +20,40 @@
 use tokio::time::sleep;
 use tokio::time::timeout;
 
-use crate::judge::RequestEnd;
+use crate::judge::RequestOutcome;
 use crate::judge::SoakJudge;
-use crate::network::PACKETS;
+use crate::network::PACKET_PORT;
 use crate::router::SoakRouter;
-use crate::server::answer_text;
-use crate::server::request_start;
+use crate::server::build_answer;
+use crate::server::request_prefix;
 
-/// Times after the first opening packet at which the next copies are sent, and at
-/// which the caller gives up.
-const OPENING_TIMES: [Duration; 3] = [
+/// Times after the first opening packet at which it is retransmitted. At the last of them
+/// the caller gives up.
+const OPENING_TIMEOUTS: [Duration; 3] = [
     Duration::from_millis(200),
     Duration::from_millis(600),
     Duration::from_millis(1_400),
 ];
 
-/// Pause before a packet is sent again; it doubles.
-const FIRST_REPEAT: Duration = Duration::from_millis(200);
+/// Delay before the first retransmission of a request. It doubles with each one.
+const INITIAL_RETRANSMIT_DELAY: Duration = Duration::from_millis(200);
 
-/// Time after which a caller gives a request up.
-const TIME_BUDGET: Duration = Duration::from_millis(4_000);
+/// Time after which a caller gives up a request.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(4_000);
 
-/// Pause after a flow that has failed.
-const RETRY_PAUSE: Duration = Duration::from_millis(20);
+/// Delay after a failed flow before the next one is opened.
+const RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// How far a reset may be from the position that the caller acknowledged last.
-const RESET_WINDOW: u32 = 76_800;
+/// Maximum distance in bytes between the position of a reset and the position that the
+/// caller acknowledged last. Other resets are ignored.
+const RESET_WINDOW_BYTES: u32 = 76_800;
 
-/// Requests on a long flow at most, and the longest pause between two.
-const MAX_REQUESTS: u32 = 40;
-const LONGEST_PAUSE_MILLIS: u64 = 300;
+/// Maximum number of requests on a flow.
+const MAX_REQUESTS_PER_FLOW: u32 = 40;
+/// Maximum delay between two requests on a flow, in milliseconds.
+const MAX_REQUEST_DELAY_MILLIS: u64 = 300;
 
-/// A caller.
+/// A caller at one address.
 #[derive(Debug)]
 pub struct SoakCaller {
     address: Ipv4Addr,
@@ -60,6 +62,7 @@
     judge: Rc<RefCell<SoakJudge>>,
     targets: Vec<SocketAddrV4>,
     random: SmallRng,
+    /// Port of the current flow.
     port: u16,
 }
 
@@ -67,26 +70,28 @@
 #[derive(Debug)]
 struct CallerFlow {
     key: FlowKey,
-    /// Position of the next byte that the caller sends.
-    position: u32,
-    /// Position in the server's stream up to which the caller has everything.
-    acknowledged: u32,
+    /// Position of the next byte in the caller's stream.
+    send_position: u32,
+    /// Position in the server's stream up to which the caller has received all data.
+    receive_position: u32,
 }
 
-/// What came back.
+/// A packet that the caller received.
 #[derive(Debug)]
-enum Reply {
+enum CallerReply {
+    /// A packet with its data.
     Packet(PacketHeader, Vec<u8>),
+    /// A reset with the address of its sender.
     Reset(PacketHeader, Ipv4Addr),
 }
 
 impl SoakCaller {
-    /// Creates a caller at an address.
+    /// Creates a caller that sends requests to `targets` from an address.
     ///
     /// # Errors
     ///
-    /// Returns an error when the address is taken.
-    pub async fn create(
+    /// Returns an error if the address is in use.
+    pub async fn bind(
         address: Ipv4Addr,
         router: SoakRouter,
         judge: Rc<RefCell<SoakJudge>>,
@@ -95,7 +100,7 @@
     ) -> std::io::Result<Self> {
         Ok(Self {
             address,
-            socket: UdpSocket::bind((address, PACKETS)).await?,
+            socket: UdpSocket::bind((address, PACKET_PORT)).await?,
             router,
             judge,
             targets,
@@ -104,158 +109,175 @@
         })
     }
 
-    /// Asks again and again.
+    /// Opens flows and sends requests until the task is aborted.
     pub async fn run(mut self) {
         loop {
-            let is_long = self.random.random_bool(0.6);
-            let requests = if is_long {
-                self.random.random_range(2..=MAX_REQUESTS)
+            let is_reused = self.random.random_bool(0.6);
+            let request_count = if is_reused {
+                self.random.random_range(2..=MAX_REQUESTS_PER_FLOW)
             } else {
                 1
             };
-            let end = match self.open().await {
-                Ok(mut flow) => self.use_flow(&mut flow, requests).await,
-                Err(end) => end,
+            let outcome = match self.open_flow().await {
+                Ok(mut flow) => self.send_requests(&mut flow, request_count).await,
+                Err(outcome) => outcome,
             };
-            if let Some(end) = end {
-                self.judge.borrow_mut().count(end);
-                sleep(RETRY_PAUSE).await;
+            if let Some(outcome) = outcome {
+                self.judge.borrow_mut().count_request(outcome);
+                sleep(RETRY_DELAY).await;
             }
         }
     }
 
-    async fn open(&mut self) -> Result<CallerFlow, Option<RequestEnd>> {
+    /// Opens a flow. On failure, returns the outcome to count, or `None` if the failure is
+    /// no fault of the system.
+    async fn open_flow(&mut self) -> Result<CallerFlow, Option<RequestOutcome>> {
         self.port = self.port.checked_add(1).unwrap_or(1_024);
         let target = self.targets[self.random.random_range(0..self.targets.len())];
         let key = FlowKey {
             caller: SocketAddrV4::new(self.address, self.port),
             target,
         };
-        let started = Instant::now();
-        for (copy, until) in OPENING_TIMES.iter().enumerate() {
+        let started_at = Instant::now();
+        for (copy_number, end_time) in OPENING_TIMEOUTS.iter().enumerate() {
             let packet = PacketHeader {
                 is_open: true,
                 has_ack: false,
-                acknowledged: copy as u32,
-                ..plain(&key, 100, 0)
+                acknowledged: copy_number as u32,
+                ..acknowledge_header(&key, 100, 0)
             };
-            self.send(&key, &packet, &[]);
-            while let Some(left) = until.checked_sub(started.elapsed()) {
-                match self.receive(&key, left).await {
-                    Some(Reply::Packet(header, _)) if header.is_open && header.has_ack => {
+            self.send_packet(&key, &packet, &[]);
+            while let Some(remaining) = end_time.checked_sub(started_at.elapsed()) {
+                match self.receive_packet(&key, remaining).await {
+                    Some(CallerReply::Packet(header, _)) if header.is_open && header.has_ack => {
                         return Ok(CallerFlow {
                             key,
-                            position: 101,
-                            acknowledged: header.sequence.wrapping_add(1),
+                            send_position: 101,
+                            receive_position: header.sequence.wrapping_add(1),
                         });
                     }
-                    // A route may be gone; that is no failure of the system.
-                    Some(Reply::Reset(..)) => return Err(self.refusal(&key)),
-                    Some(Reply::Packet(..)) => {
-                        self.find(&format!("{key:?} got data before it was open"));
+                    // The flow may be refused because its route was removed.
+                    Some(CallerReply::Reset(..)) => return Err(self.refused_outcome(&key)),
+                    Some(CallerReply::Packet(..)) => {
+                        self.record_finding(&format!("{key:?} received data before it was open"));
                     }
                     None => break,
                 }
             }
         }
-        Err(self.refusal(&key).map(|_| RequestEnd::GivenUp))
+        Err(self.refused_outcome(&key).map(|_| RequestOutcome::GivenUp))
     }
 
-    /// Sends requests on a flow, and returns how the one that failed has ended.
-    async fn use_flow(&mut self, flow: &mut CallerFlow, requests: u32) -> Option<RequestEnd> {
-        for number in 0..requests {
-            match self.ask(flow, number).await {
-                RequestEnd::Answered(took) => {
-                    self.judge.borrow_mut().count(RequestEnd::Answered(took));
+    /// Sends requests on a flow and closes it. Returns the outcome of the request that
+    /// failed, if any; the flow is not used after it.
+    async fn send_requests(
+        &mut self,
+        flow: &mut CallerFlow,
+        request_count: u32,
+    ) -> Option<RequestOutcome> {
+        for number in 0..request_count {
+            match self.send_request(flow, number).await {
+                RequestOutcome::Answered(elapsed) => {
+                    self.judge
+                        .borrow_mut()
+                        .count_request(RequestOutcome::Answered(elapsed));
                 }
-                end => {
-                    self.judge.borrow_mut().note_end(&flow.key);
-                    return Some(end);
+                outcome => {
+                    self.judge.borrow_mut().record_flow_end(&flow.key);
+                    return Some(outcome);
                 }
             }
-            let pause = self.random.random_range(1..=LONGEST_PAUSE_MILLIS);
-            sleep(Duration::from_millis(pause)).await;
+            let delay = self.random.random_range(1..=MAX_REQUEST_DELAY_MILLIS);
+            sleep(Duration::from_millis(delay)).await;
         }
-        self.judge.borrow_mut().note_end(&flow.key);
+        self.judge.borrow_mut().record_flow_end(&flow.key);
         let last = PacketHeader {
             is_finish: true,
-            ..plain(&flow.key, flow.position, flow.acknowledged)
+            ..acknowledge_header(&flow.key, flow.send_position, flow.receive_position)
         };
-        self.send(&flow.key, &last, &[]);
+        self.send_packet(&flow.key, &last, &[]);
         None
     }
 
-    async fn ask(&mut self, flow: &mut CallerFlow, number: u32) -> RequestEnd {
-        let text = format!("{}{number}", request_start(&flow.key));
+    /// Sends a request, retransmits it until an answer arrives, and returns its outcome.
+    async fn send_request(&mut self, flow: &mut CallerFlow, number: u32) -> RequestOutcome {
+        let text = format!("{}{number}", request_prefix(&flow.key));
         let packet = PacketHeader {
             data_length: text.len() as u16,
-            ..plain(&flow.key, flow.position, flow.acknowledged)
+            ..acknowledge_header(&flow.key, flow.send_position, flow.receive_position)
         };
-        let end = flow.position.wrapping_add(text.len() as u32);
-        let started = Instant::now();
-        let mut repeat = FIRST_REPEAT;
-        let mut next = FIRST_REPEAT;
-        self.send(&flow.key, &packet, text.as_bytes());
-        while started.elapsed() < TIME_BUDGET {
-            let Some(left) = next.min(TIME_BUDGET).checked_sub(started.elapsed()) else {
-                self.send(&flow.key, &packet, text.as_bytes());
-                repeat *= 2;
-                next += repeat;
+        let end = flow.send_position.wrapping_add(text.len() as u32);
+        let started_at = Instant::now();
+        let mut retransmit_delay = INITIAL_RETRANSMIT_DELAY;
+        let mut retransmit_time = INITIAL_RETRANSMIT_DELAY;
+        self.send_packet(&flow.key, &packet, text.as_bytes());
+        while started_at.elapsed() < REQUEST_TIMEOUT {
+            let Some(remaining) = retransmit_time
+                .min(REQUEST_TIMEOUT)
+                .checked_sub(started_at.elapsed())
+            else {
+                self.send_packet(&flow.key, &packet, text.as_bytes());
+                retransmit_delay *= 2;
+                retransmit_time += retransmit_delay;
                 continue;
             };
-            match self.receive(&flow.key, left).await {
-                Some(Reply::Packet(header, data)) if header.acknowledged == end => {
-                    if data != answer_text(&text).as_bytes() {
-                        self.find(&format!("{:?} got another answer", flow.key));
+            match self.receive_packet(&flow.key, remaining).await {
+                Some(CallerReply::Packet(header, data)) if header.acknowledged == end => {
+                    if data != build_answer(&text).as_bytes() {
+                        self.record_finding(&format!("{:?} received the wrong answer", flow.key));
                     }
-                    flow.position = end;
-                    flow.acknowledged = header.sequence.wrapping_add(data.len() as u32);
-                    return RequestEnd::Answered(started.elapsed());
+                    flow.send_position = end;
+                    flow.receive_position = header.sequence.wrapping_add(data.len() as u32);
+                    return RequestOutcome::Answered(started_at.elapsed());
                 }
-                Some(Reply::Reset(header, sender)) => {
-                    let distance = header.sequence.wrapping_sub(flow.acknowledged) as i32;
-                    if distance.unsigned_abs() <= RESET_WINDOW {
+                Some(CallerReply::Reset(header, sender)) => {
+                    let distance = header.sequence.wrapping_sub(flow.receive_position) as i32;
+                    if distance.unsigned_abs() <= RESET_WINDOW_BYTES {
                         let mut judge = self.judge.borrow_mut();
-                        judge.judge_reset(Instant::now(), &flow.key, sender);
-                        return RequestEnd::Broken;
+                        judge.check_reset(Instant::now(), &flow.key, sender);
+                        return RequestOutcome::Broken;
                     }
                 }
-                // An earlier answer, or the end of an opening.
-                Some(Reply::Packet(..)) | None => {}
+                // An answer to an earlier request, or another reply to the opening packet.
+                Some(CallerReply::Packet(..)) | None => {}
             }
         }
-        RequestEnd::GivenUp
+        RequestOutcome::GivenUp
     }
 
-    /// Returns the end of a request whose flow has not opened; nothing if no route
-    /// is sure to exist for it.
-    fn refusal(&self, key: &FlowKey) -> Option<RequestEnd> {
+    /// Returns the outcome of a request whose flow was refused, or `None` if not all
+    /// configurations have a route for the flow.
+    fn refused_outcome(&self, key: &FlowKey) -> Option<RequestOutcome> {
         let judge = self.judge.borrow();
         judge
-            .has_steady_route(&key.target)
-            .then_some(RequestEnd::Refused)
+            .has_permanent_route(&key.target)
+            .then_some(RequestOutcome::Refused)
     }
 
-    fn find(&self, text: &str) {
-        self.judge.borrow_mut().find(Instant::now(), text);
+    fn record_finding(&self, text: &str) {
+        self.judge.borrow_mut().record_finding(Instant::now(), text);
     }
 
-    fn send(&self, key: &FlowKey, packet: &PacketHeader, data: &[u8]) {
-        let Some(balancer) = self.router.pick(key) else {
+    fn send_packet(&self, key: &FlowKey, packet: &PacketHeader, data: &[u8]) {
+        let Some(balancer) = self.router.select_balancer(key) else {
             return;
         };
         let mut bytes = encode_header(packet).to_vec();
         bytes.extend_from_slice(data);
-        // A datagram that cannot be sent is lost.
-        let _ = self.socket.try_send_to(&bytes, (balancer, PACKETS).into());
+        // A datagram that cannot be sent counts as lost.
+        let _ = self
+            .socket
+            .try_send_to(&bytes, (balancer, PACKET_PORT).into());
     }
 
-    /// Waits for a packet of a flow; those of earlier flows are passed over.
-    async fn receive(&self, key: &FlowKey, limit: Duration) -> Option<Reply> {
+    /// Waits for a packet of a flow for at most `time_limit`, and ignores those of earlier
+    /// flows.
+    async fn receive_packet(&self, key: &FlowKey, time_limit: Duration) -> Option<CallerReply> {
         let mut buffer = [0; 2_048];
-        let started = Instant::now();
-        while let Some(left) = limit.checked_sub(started.elapsed()) {
-            let Ok(Ok((length, from))) = timeout(left, self.socket.recv_from(&mut buffer)).await
+        let started_at = Instant::now();
+        while let Some(remaining) = time_limit.checked_sub(started_at.elapsed()) {
+            let Ok(Ok((length, from))) =
+                timeout(remaining, self.socket.recv_from(&mut buffer)).await
             else {
                 continue;
             };
@@ -263,25 +285,32 @@
                 continue;
             };
             let Some(header) = decode_header(&buffer[..length]) else {
-                self.find(&format!("{} got what is no packet", self.address));
+                self.record_finding(&format!("{} received a malformed packet", self.address));
                 continue;
             };
             if header.server_flow() != *key {
                 if header.destination.ip() != &self.address {
-                    self.find(&format!("{} got a packet of another caller", self.address));
+                    self.record_finding(&format!(
+                        "{} received a packet for another caller",
+                        self.address
+                    ));
                 }
                 continue;
             }
             if header.is_reset {
-                return Some(Reply::Reset(header, sender));
+                return Some(CallerReply::Reset(header, sender));
             }
-            return Some(Reply::Packet(header, buffer[HEADER_BYTES..length].to_vec()));
+            return Some(CallerReply::Packet(
+                header,
+                buffer[HEADER_BYTES..length].to_vec(),
+            ));
         }
         None
     }
 }
 
-fn plain(key: &FlowKey, sequence: u32, acknowledged: u32) -> PacketHeader {
+/// Returns the header of a packet from a caller that has only the acknowledge flag.
+fn acknowledge_header(key: &FlowKey, sequence: u32, acknowledged: u32) -> PacketHeader {
     PacketHeader {
         source: key.caller,
         destination: key.target,
--- a/crates/soak/src/fleet/configuration.rs
+++ b/crates/soak/src/fleet/configuration.rs
@@ -1,4 +1,4 @@
-//! The configurations that operators write, and what they send where.
+//! The configurations that operators write during a run, and their routes.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddrV4;
@@ -9,16 +9,17 @@
 use crate::fleet::SoakFleet;
 
 impl SoakFleet {
-    /// Writes the next configuration. Of four addresses the first two keep their
-    /// services, the third goes from one to the other, and the last comes and goes.
-    pub fn configure(&self) {
-        *self.version.borrow_mut() += 1;
-        let version = *self.version.borrow();
+    /// Writes the next configuration. The routes of the first two of four addresses never
+    /// change, the third address alternates between the services, and the fourth has a
+    /// route only in every other configuration.
+    pub fn write_configuration(&self) {
+        *self.configuration_version.borrow_mut() += 1;
+        let version = *self.configuration_version.borrow();
         let is_odd = version % 2 == 1;
-        let mut services = vec![(target(0), "one"), (target(1), "two")];
-        services.push((target(2), if is_odd { "one" } else { "two" }));
+        let mut services = vec![(target_address(0), "one"), (target_address(1), "two")];
+        services.push((target_address(2), if is_odd { "one" } else { "two" }));
         if is_odd {
-            services.push((target(3), "one"));
+            services.push((target_address(3), "one"));
         }
         let routes: Vec<_> = services
             .iter()
@@ -29,7 +30,7 @@
                 })
             })
             .collect();
-        self.store.configure(&json!({
+        self.store.write_configuration(&json!({
             "version": version * 3, "routes": routes, "limits": { "idleTimeoutMs": 15_000 },
             "services": [
                 { "name": "one", "healthCheckPath": "/healthz" },
@@ -42,16 +43,16 @@
             .collect();
         self.judge
             .borrow_mut()
-            .note_routes(Instant::now(), services);
+            .record_configuration(Instant::now(), services);
     }
 }
 
-/// Returns an address that callers send to.
-pub fn target(number: u8) -> SocketAddrV4 {
+/// Returns the address to which callers send that has the given number.
+pub fn target_address(number: u8) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::new(198, 18, 0, 1 + number), 443)
 }
 
-/// Returns the service of a host's first server.
-pub fn service_of(host: usize) -> &'static str {
+/// Returns the service of the first backend server of a host.
+pub fn initial_service(host: usize) -> &'static str {
     if host.is_multiple_of(2) { "one" } else { "two" }
 }
--- a/crates/soak/src/fleet/events.rs
+++ b/crates/soak/src/fleet/events.rs
@@ -1,4 +1,4 @@
-//! What is done to the processes and stand-ins from outside.
+//! Applies the events of a plan to the processes and stand-ins.
 
 use std::net::Ipv4Addr;
 use std::time::Duration;
@@ -11,149 +11,171 @@
 use tokio::time::sleep;
 
 use crate::fleet::SoakFleet;
-use crate::network::INNER_BEHIND_RELAY;
-use crate::network::PACKETS;
+use crate::network::INNER_BIND_PORT;
+use crate::network::PACKET_PORT;
 use crate::plan::SoakEvent;
 use crate::relay::ConnectionFault;
 use crate::relay::LinkFaults;
 use crate::store::StoreFault;
 
-/// Time after a server's drain before it ends: more than it has to serve.
-const DRAIN_LINGER: Duration = Duration::from_millis(4_000);
+/// Time for which a draining server keeps serving after its host was informed. It is longer
+/// than the time for which such a server must serve.
+const DRAIN_STOP_DELAY: Duration = Duration::from_millis(4_000);
 
-/// Time after which an address is used again by another service.
-const REUSE_PAUSE: Duration = Duration::from_secs(2);
+/// Time before an address is used again by a host of another service.
+const ADDRESS_REUSE_DELAY: Duration = Duration::from_secs(2);
 
-/// How far a server's clock is set back.
-const CLOCK_STEP: Duration = Duration::from_secs(3_600);
+/// Offset by which the clock of a server is set back.
+const CLOCK_OFFSET: Duration = Duration::from_secs(3_600);
 
 impl SoakFleet {
-    /// Lets an event begin, and end after `lasts`.
-    pub fn act(&self, event: SoakEvent, lasts: Duration) {
+    /// Applies an event, whose effect ends after `duration`.
+    pub fn apply_event(&self, event: SoakEvent, duration: Duration) {
         let now = Instant::now();
         match event {
-            SoakEvent::Kill(index) => self.kill(index, now + lasts),
-            SoakEvent::Stop(index) => self.stop(index),
-            SoakEvent::Pause(index) => self.pause(index, lasts),
-            SoakEvent::KillAll => self.kill_all(now),
+            SoakEvent::Kill(index) => self.kill_process(index, now + duration),
+            SoakEvent::Stop(index) => self.stop_process(index),
+            SoakEvent::Pause(index) => self.pause_process(index, duration),
+            SoakEvent::KillAll => self.kill_all_processes(now),
             SoakEvent::LosePower => {
-                self.kill_all(now);
+                self.kill_all_processes(now);
                 for host in 0..self.servers.len() {
-                    self.replace_crashed(host, lasts / 4, Duration::ZERO);
+                    self.replace_crashed_server(host, duration / 4, Duration::ZERO);
                 }
             }
-            SoakEvent::Reload(index, is_wrong) => self.reload(index, is_wrong, lasts),
-            SoakEvent::CrashServer(host) => self.replace_crashed(host, lasts, Duration::ZERO),
-            SoakEvent::SetServerBack(host) => self.replace_crashed(host, lasts, CLOCK_STEP),
-            SoakEvent::ReplaceServer(host) => self.replace(host),
+            SoakEvent::Reload(index, is_invalid) => {
+                self.reload_settings(index, is_invalid, duration)
+            }
+            SoakEvent::CrashServer(host) => {
+                self.replace_crashed_server(host, duration, Duration::ZERO)
+            }
+            SoakEvent::SetServerBack(host) => {
+                self.replace_crashed_server(host, duration, CLOCK_OFFSET)
+            }
+            SoakEvent::ReplaceServer(host) => self.replace_server(host),
             SoakEvent::Lossy(index) => {
-                self.disturb_links(index, lasts, |links, is_on| links.is_lossy = is_on);
+                self.inject_link_fault(index, duration, |links, is_active| {
+                    links.is_lossy = is_active
+                });
             }
             SoakEvent::Delay(index) => {
-                self.disturb_links(index, lasts, |links, is_on| links.is_delayed = is_on);
+                self.inject_link_fault(index, duration, |links, is_active| {
+                    links.is_delayed = is_active
+                });
             }
             SoakEvent::CutOut(index) => {
-                self.disturb_links(index, lasts, |links, is_on| links.is_cut_out = is_on);
+                self.inject_link_fault(index, duration, |links, is_active| {
+                    links.drops_outgoing = is_active
+                });
             }
             SoakEvent::CutIn(index) => {
-                self.disturb_links(index, lasts, |links, is_on| links.is_cut_in = is_on);
+                self.inject_link_fault(index, duration, |links, is_active| {
+                    links.drops_incoming = is_active
+                });
             }
-            SoakEvent::Garbage(index) => self.send_garbage(index),
+            SoakEvent::Garbage(index) => self.send_random_datagrams(index),
             SoakEvent::StoreSilent(index) => {
-                self.disturb_connections(index, lasts, ConnectionFault::Silent);
+                self.inject_connection_fault(index, duration, ConnectionFault::Silent);
             }
             SoakEvent::StoreReset(index) => {
-                self.disturb_connections(index, lasts, ConnectionFault::Reset);
+                self.inject_connection_fault(index, duration, ConnectionFault::Reset);
+            }
+            SoakEvent::StoreDown => self.inject_store_fault(duration, StoreFault::Down),
+            SoakEvent::StoreSlow => self.inject_store_fault(duration, StoreFault::Slow),
+            SoakEvent::StoreLosesAnswers => {
+                self.inject_store_fault(duration, StoreFault::LosesAnswers)
             }
-            SoakEvent::StoreDown => self.disturb_store(lasts, StoreFault::Down),
-            SoakEvent::StoreSlow => self.disturb_store(lasts, StoreFault::Slow),
-            SoakEvent::StoreLosesAnswers => self.disturb_store(lasts, StoreFault::LosesAnswers),
             SoakEvent::StoreForgets => {
-                self.judge.borrow_mut().disturb_store(now);
-                self.store.forget();
+                self.judge.borrow_mut().record_store_fault(now);
+                self.store.compact_history();
             }
-            SoakEvent::Configure => self.configure(),
+            SoakEvent::Configure => self.write_configuration(),
         }
     }
 
-    fn kill_all(&self, now: Instant) {
+    fn kill_all_processes(&self, now: Instant) {
         let count = self.members.borrow().len();
         for index in 0..count {
-            let pause = self.random.borrow_mut().random_range(300..900);
-            self.kill(index, now + Duration::from_millis(pause));
+            let delay_millis = self.random.borrow_mut().random_range(300..900);
+            self.kill_process(index, now + Duration::from_millis(delay_millis));
         }
     }
 
-    fn pause(&self, index: usize, lasts: Duration) {
-        let (address, life) = self.signal(index, Signal::SIGSTOP);
+    fn pause_process(&self, index: usize, duration: Duration) {
+        let (address, incarnation) = self.send_signal(index, Signal::SIGSTOP);
         self.judge
             .borrow_mut()
-            .disturb(address, Instant::now() + lasts);
+            .record_fault(address, Instant::now() + duration);
         let fleet = self.clone();
         spawn_local(async move {
-            sleep(lasts).await;
-            let is_same = fleet.members.borrow()[index].life == life;
-            if is_same {
-                fleet.signal(index, Signal::SIGCONT);
+            sleep(duration).await;
+            let is_current = fleet.members.borrow()[index].incarnation == incarnation;
+            if is_current {
+                fleet.send_signal(index, Signal::SIGCONT);
             }
         });
     }
 
-    fn reload(&self, index: usize, is_wrong: bool, lasts: Duration) {
-        self.write_settings(index, is_wrong);
-        let (address, _) = self.signal(index, Signal::SIGHUP);
-        self.judge.borrow_mut().disturb(address, Instant::now());
+    fn reload_settings(&self, index: usize, is_invalid: bool, duration: Duration) {
+        self.write_settings(index, is_invalid);
+        let (address, _) = self.send_signal(index, Signal::SIGHUP);
+        self.judge
+            .borrow_mut()
+            .record_fault(address, Instant::now());
         let fleet = self.clone();
         spawn_local(async move {
-            sleep(lasts.min(Duration::from_millis(150))).await;
+            sleep(duration.min(Duration::from_millis(150))).await;
             fleet.write_settings(index, false);
         });
     }
 
-    fn write_settings(&self, index: usize, is_wrong: bool) {
+    fn write_settings(&self, index: usize, is_invalid: bool) {
         let members = self.members.borrow();
         let member = &members[index];
-        // A process that starts now would read the mistake and end, as it should.
-        if is_wrong && (!member.program.is_running() || member.stopping.is_some()) {
+        // A process that is starting would read the invalid settings and rightly exit.
+        if is_invalid && (!member.process.is_running() || member.stop_requested_at.is_some()) {
             return;
         }
-        if let Err(error) = member.program.write_settings(is_wrong) {
+        if let Err(error) = member.process.write_settings(is_invalid) {
             self.judge
                 .borrow_mut()
-                .find(Instant::now(), &format!("{error}"));
+                .record_finding(Instant::now(), &format!("{error}"));
         }
     }
 
-    fn replace_crashed(&self, host: usize, pause: Duration, set_back: Duration) {
+    /// Crashes a server and starts a new one after `delay`.
+    fn replace_crashed_server(&self, host: usize, delay: Duration, clock_offset: Duration) {
         self.servers[host].crash();
         let fleet = self.clone();
         spawn_local(async move {
-            sleep(pause).await;
-            fleet.start_server(host, set_back).await;
+            sleep(delay).await;
+            fleet.start_server(host, clock_offset).await;
         });
     }
 
-    fn replace(&self, host: usize) {
+    /// Drains a server and starts a new one, possibly for the other service.
+    fn replace_server(&self, host: usize) {
         let fleet = self.clone();
         spawn_local(async move {
-            fleet.servers[host].leave(DRAIN_LINGER).await;
-            // Addresses go to other services, but each keeps some servers. Another
-            // event may have started the next server already.
-            let is_free = host >= 2 && !fleet.servers[host].is_alive();
-            if is_free && fleet.random.borrow_mut().random_bool(0.5) {
-                fleet.give_away(host).await;
+            fleet.servers[host].drain(DRAIN_STOP_DELAY).await;
+            // The first two hosts keep their services, so that each service always has a
+            // server. Another event may have started the next server already.
+            let is_reassignable = host >= 2 && !fleet.servers[host].is_running();
+            if is_reassignable && fleet.random.borrow_mut().random_bool(0.5) {
+                fleet.reassign_host(host).await;
             }
             fleet.start_server(host, Duration::ZERO).await;
         });
     }
 
-    /// Takes the machine of a host away, and gives its address to another service.
-    async fn give_away(&self, host: usize) {
-        let index = self.balancers + host;
-        self.stop(index);
+    /// Stops a host and assigns its address to the other service, as when an instance is
+    /// replaced.
+    async fn reassign_host(&self, host: usize) {
+        let index = self.balancer_count + host;
+        self.stop_process(index);
         let service = {
             let member = &mut self.members.borrow_mut()[index];
-            member.away_until = Instant::now() + REUSE_PAUSE;
+            member.unavailable_until = Instant::now() + ADDRESS_REUSE_DELAY;
             if member.service == "one" {
                 "two"
             } else {
@@ -161,54 +183,58 @@
             }
         };
         self.set_service(host, service);
-        sleep(REUSE_PAUSE).await;
+        sleep(ADDRESS_REUSE_DELAY).await;
     }
 
-    fn disturb_links(
+    /// Sets a fault of the datagrams of a process for a while.
+    fn inject_link_fault(
         &self,
         index: usize,
-        lasts: Duration,
+        duration: Duration,
         set: impl Fn(&mut LinkFaults, bool) + 'static,
     ) {
-        let address = self.members.borrow()[index].program.address;
+        let address = self.members.borrow()[index].process.address;
         self.judge
             .borrow_mut()
-            .disturb(address, Instant::now() + lasts);
-        self.relay.set_links(address, |links| set(links, true));
+            .record_fault(address, Instant::now() + duration);
+        self.relay
+            .update_link_faults(address, |links| set(links, true));
         let relay = self.relay.clone();
         spawn_local(async move {
-            sleep(lasts).await;
-            relay.set_links(address, |links| set(links, false));
+            sleep(duration).await;
+            relay.update_link_faults(address, |links| set(links, false));
         });
     }
 
-    fn disturb_connections(&self, index: usize, lasts: Duration, fault: ConnectionFault) {
-        let address = self.members.borrow()[index].program.address;
+    /// Sets a fault of the connections of a process to the store for a while.
+    fn inject_connection_fault(&self, index: usize, duration: Duration, fault: ConnectionFault) {
+        let address = self.members.borrow()[index].process.address;
         self.judge
             .borrow_mut()
-            .disturb_store(Instant::now() + lasts);
-        self.relay.set_store(address, fault);
+            .record_store_fault(Instant::now() + duration);
+        self.relay.set_store_fault(address, fault);
         let relay = self.relay.clone();
         spawn_local(async move {
-            sleep(lasts).await;
-            relay.set_store(address, ConnectionFault::None);
+            sleep(duration).await;
+            relay.set_store_fault(address, ConnectionFault::None);
         });
     }
 
-    fn disturb_store(&self, lasts: Duration, fault: StoreFault) {
+    /// Sets a fault of the store for a while.
+    fn inject_store_fault(&self, duration: Duration, fault: StoreFault) {
         self.judge
             .borrow_mut()
-            .disturb_store(Instant::now() + lasts);
+            .record_store_fault(Instant::now() + duration);
         self.store.set_fault(fault);
         let store = self.store.clone();
         spawn_local(async move {
-            sleep(lasts).await;
+            sleep(duration).await;
             store.set_fault(StoreFault::None);
         });
     }
 
-    fn send_garbage(&self, index: usize) {
-        let address = self.members.borrow()[index].program.address;
+    fn send_random_datagrams(&self, index: usize) {
+        let address = self.members.borrow()[index].process.address;
         let mut random = self.random.borrow_mut();
         let datagrams: Vec<Vec<u8>> = (0..40)
             .map(|_| {
@@ -217,17 +243,17 @@
             })
             .collect();
         spawn_local(async move {
-            // From an address that no process has.
+            // No process of the run has this address.
             let Ok(socket) = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).await else {
                 return;
             };
             for (number, bytes) in datagrams.iter().enumerate() {
                 let port = if number % 2 == 0 {
-                    INNER_BEHIND_RELAY
+                    INNER_BIND_PORT
                 } else {
-                    PACKETS
+                    PACKET_PORT
                 };
-                // What is lost on the way was garbage.
+                // A lost datagram is no error, as it carries no meaning.
                 let _ = socket.send_to(bytes, (address, port)).await;
             }
         });
--- a/crates/soak/src/fleet/mod.rs
+++ b/crates/soak/src/fleet/mod.rs
@@ -1,4 +1,7 @@
-//! All processes and stand-ins of a run; [`events`] has what is done to them.
+//! The processes and stand-ins of a run.
+//!
+//! The fleet starts processes, restarts those that have exited, and checks that they exit
+//! only when they should. [`events`] applies the events of the plan.
 
 pub mod configuration;
 mod events;
@@ -17,64 +20,67 @@
 use tokio::time::sleep;
 use tokio::time::sleep_until;
 
-use crate::http_call::call;
+use crate::http_call::send_http_request;
 use crate::judge::SoakJudge;
-use crate::network::METRICS;
-use crate::program::Program;
+use crate::network::METRICS_PORT;
+use crate::program::SoakProcess;
 use crate::relay::SoakRelay;
 use crate::server::SoakServer;
 use crate::store::SoakStore;
 
-/// Time that a process has to end after it was told to.
-const GRACE: Duration = Duration::from_secs(6);
+/// Time within which a process must exit after SIGTERM.
+const STOP_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// How much longer a process on a busy machine may take.
-const GRACE_SLACK: Duration = Duration::from_secs(4);
+/// Additional time that a process may take on a busy machine.
+const STOP_TIMEOUT_SLACK: Duration = Duration::from_secs(4);
 
-/// Pause before a process that ended in order starts again.
-const RESTART_PAUSE: Duration = Duration::from_millis(300);
+/// Delay before a process that has exited starts again.
+const RESTART_DELAY: Duration = Duration::from_millis(300);
 
-/// Time between two looks at the processes.
+/// Interval at which the states of the processes are checked.
 const WATCH_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time between two looks at the versions of routes.
+/// Interval at which the versions of the routes are checked, and timeout of each request.
 const VERSION_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A process with what is known of its state.
+/// A process and its state.
 #[derive(Debug)]
 struct FleetMember {
-    program: Program,
-    /// Counts the starts.
-    life: u32,
-    /// When it was told to stop.
-    stopping: Option<Instant>,
-    /// When it is to start again.
+    process: SoakProcess,
+    /// Number of starts so far.
+    incarnation: u32,
+    /// Time at which SIGTERM was sent, until the process has exited.
+    stop_requested_at: Option<Instant>,
+    /// Time at which the process is to be started.
     start_at: Option<Instant>,
-    /// Before when it is not started, as its machine is away.
-    away_until: Instant,
-    /// Service of the server beside it.
+    /// Time before which the process is not started, because its instance is being
+    /// replaced.
+    unavailable_until: Instant,
+    /// Service of the backend server beside the process.
     service: &'static str,
 }
 
-/// The processes and stand-ins.
+/// The processes and stand-ins of a run.
 #[derive(Clone)]
 pub struct SoakFleet {
+    /// The balancers, followed by the hosts.
     members: Rc<RefCell<Vec<FleetMember>>>,
     servers: Rc<Vec<SoakServer>>,
     relay: SoakRelay,
     store: SoakStore,
     judge: Rc<RefCell<SoakJudge>>,
-    balancers: usize,
-    /// Counts the configurations that were written.
-    version: Rc<RefCell<u64>>,
+    balancer_count: usize,
+    /// Number of configurations that were written.
+    configuration_version: Rc<RefCell<u64>>,
     random: Rc<RefCell<SmallRng>>,
 }
 
 impl SoakFleet {
-    /// Puts together the parts; `programs` has the balancers first.
+    /// Creates a fleet whose processes are to be started at once. The balancers come first
+    /// in `processes`.
     pub fn new(
-        programs: Vec<Program>,
-        balancers: usize,
+        processes: Vec<SoakProcess>,
+        balancer_count: usize,
         servers: Vec<SoakServer>,
         relay: SoakRelay,
         store: SoakStore,
@@ -82,12 +88,12 @@
         seed: u64,
     ) -> Self {
         let now = Instant::now();
-        let members = programs.into_iter().map(|program| FleetMember {
-            program,
-            life: 0,
-            stopping: None,
+        let members = processes.into_iter().map(|process| FleetMember {
+            process,
+            incarnation: 0,
+            stop_requested_at: None,
             start_at: Some(now),
-            away_until: now,
+            unavailable_until: now,
             service: "one",
         });
         Self {
@@ -96,159 +102,178 @@
             relay,
             store,
             judge,
-            balancers,
-            version: Rc::new(RefCell::new(0)),
+            balancer_count,
+            configuration_version: Rc::new(RefCell::new(0)),
             random: Rc::new(RefCell::new(SmallRng::seed_from_u64(seed))),
         }
     }
 
-    /// Starts, restarts and watches processes until the run is over.
-    pub async fn watch(self) {
+    /// Starts and restarts processes, and records unexpected exits, until the task is
+    /// aborted.
+    pub async fn supervise(self) {
         loop {
             let now = Instant::now();
             for member in self.members.borrow_mut().iter_mut() {
-                self.look_after(member, now);
+                self.update_member(member, now);
             }
             sleep(WATCH_INTERVAL).await;
         }
     }
 
-    /// Looks at the routes that processes go by, as their metrics tell.
-    pub async fn watch_versions(self) {
+    /// Reads the versions of the routes from the metrics of the processes and checks them,
+    /// until the task is aborted.
+    pub async fn check_versions(self) {
         let count = self.members.borrow().len();
         loop {
             for index in 0..count {
-                let (address, life) = {
+                let (address, incarnation) = {
                     let members = self.members.borrow();
-                    (members[index].program.address, members[index].life)
+                    (members[index].process.address, members[index].incarnation)
                 };
-                let at = SocketAddrV4::new(address, METRICS);
-                let answer = call(at, Method::GET, "/metrics", String::new(), VERSION_INTERVAL);
+                let endpoint = SocketAddrV4::new(address, METRICS_PORT);
+                let answer = send_http_request(
+                    endpoint,
+                    Method::GET,
+                    "/metrics",
+                    String::new(),
+                    VERSION_INTERVAL,
+                );
                 let text = answer.await.map(|(_, body)| body).unwrap_or_default();
                 let text = String::from_utf8_lossy(&text);
                 let version = text.lines().find_map(|line| {
                     let value = line.strip_prefix("hyssopstair_routes_version ")?;
                     value.parse::<f64>().ok()
                 });
-                let is_same = self.members.borrow()[index].life == life;
-                if let Some(version) = version.filter(|_| is_same) {
+                let is_current = self.members.borrow()[index].incarnation == incarnation;
+                if let Some(version) = version.filter(|_| is_current) {
                     let mut judge = self.judge.borrow_mut();
-                    judge.judge_version(Instant::now(), address, life, version as u64);
+                    judge.check_version(Instant::now(), address, incarnation, version as u64);
                 }
             }
             sleep(VERSION_INTERVAL).await;
         }
     }
 
-    /// Tells all processes to stop, and waits for their end.
+    /// Terminates all processes and waits until they have exited.
     pub async fn stop_all(&self) {
         let count = self.members.borrow().len();
         for index in 0..count {
-            self.stop(index);
+            self.stop_process(index);
         }
-        let end = Instant::now() + GRACE + GRACE_SLACK;
-        while Instant::now() < end {
-            let is_over =
-                self.members.borrow_mut().iter_mut().all(|member| {
-                    member.program.take_end().is_some() || !member.program.is_running()
-                });
-            if is_over {
+        let deadline = Instant::now() + STOP_TIMEOUT + STOP_TIMEOUT_SLACK;
+        while Instant::now() < deadline {
+            let have_all_exited = self.members.borrow_mut().iter_mut().all(|member| {
+                member.process.take_exit_status().is_some() || !member.process.is_running()
+            });
+            if have_all_exited {
                 return;
             }
             sleep(WATCH_INTERVAL).await;
         }
         let mut judge = self.judge.borrow_mut();
-        judge.find(Instant::now(), "a process did not end when it was told to");
+        judge.record_finding(Instant::now(), "a process did not exit after SIGTERM");
     }
 
-    fn look_after(&self, member: &mut FleetMember, now: Instant) {
-        let address = member.program.address;
-        if let Some(end) = member.program.take_end() {
-            if member.stopping.take().is_none() {
-                let text = format!("{address} ended by itself: {end}");
-                self.judge.borrow_mut().find(now, &text);
+    /// Restarts a process that has exited, kills one that has not exited in time after
+    /// SIGTERM, and starts one that is due.
+    fn update_member(&self, member: &mut FleetMember, now: Instant) {
+        let address = member.process.address;
+        if let Some(status) = member.process.take_exit_status() {
+            if member.stop_requested_at.take().is_none() {
+                let text = format!("{address} exited unexpectedly: {status}");
+                self.judge.borrow_mut().record_finding(now, &text);
             }
-            member.start_at = Some(now + RESTART_PAUSE);
+            member.start_at = Some(now + RESTART_DELAY);
         }
         if member
-            .stopping
-            .is_some_and(|asked| now >= asked + GRACE + GRACE_SLACK)
+            .stop_requested_at
+            .is_some_and(|requested_at| now >= requested_at + STOP_TIMEOUT + STOP_TIMEOUT_SLACK)
         {
-            let text = format!("{address} did not end when it was told to");
-            self.judge.borrow_mut().find(now, &text);
-            member.program.kill();
-            member.stopping = None;
+            let text = format!("{address} did not exit after SIGTERM");
+            self.judge.borrow_mut().record_finding(now, &text);
+            member.process.kill();
+            member.stop_requested_at = None;
             member.start_at = Some(now);
         }
         if member
             .start_at
-            .is_some_and(|at| now >= at.max(member.away_until))
+            .is_some_and(|at| now >= at.max(member.unavailable_until))
         {
             member.start_at = None;
-            member.life += 1;
-            self.judge.borrow_mut().note_planned(address, now);
-            if let Err(error) = member.program.start() {
-                self.judge.borrow_mut().find(now, &format!("{error}"));
+            member.incarnation += 1;
+            self.judge.borrow_mut().record_planned_restart(address, now);
+            if let Err(error) = member.process.start() {
+                self.judge
+                    .borrow_mut()
+                    .record_finding(now, &format!("{error}"));
             }
         }
     }
 
-    fn kill(&self, index: usize, back: Instant) {
+    /// Kills a process, which starts again at `restart_at`.
+    fn kill_process(&self, index: usize, restart_at: Instant) {
         let member = &mut self.members.borrow_mut()[index];
-        member.program.kill();
-        member.stopping = None;
-        member.start_at = Some(back);
+        member.process.kill();
+        member.stop_requested_at = None;
+        member.start_at = Some(restart_at);
         self.judge
             .borrow_mut()
-            .disturb(member.program.address, back);
+            .record_fault(member.process.address, restart_at);
     }
 
-    fn stop(&self, index: usize) {
+    /// Terminates a process, unless it is not running or was terminated before.
+    fn stop_process(&self, index: usize) {
         let member = &mut self.members.borrow_mut()[index];
-        if member.program.is_running() && member.stopping.is_none() {
+        if member.process.is_running() && member.stop_requested_at.is_none() {
             let now = Instant::now();
-            member.stopping = Some(now);
-            member.program.signal(Signal::SIGTERM);
+            member.stop_requested_at = Some(now);
+            member.process.send_signal(Signal::SIGTERM);
             self.judge
                 .borrow_mut()
-                .note_planned(member.program.address, now + GRACE);
+                .record_planned_restart(member.process.address, now + STOP_TIMEOUT);
         }
     }
 
-    /// Sends a signal, and returns the address and the life that it was for. A
-    /// process that was told to stop is left alone.
-    fn signal(&self, index: usize, signal: Signal) -> (Ipv4Addr, u32) {
+    /// Sends a signal, and returns the address and the incarnation of the process. Once a
+    /// process was terminated, it gets no signal but SIGCONT.
+    fn send_signal(&self, index: usize, signal: Signal) -> (Ipv4Addr, u32) {
         let member = &self.members.borrow()[index];
-        if member.stopping.is_none() || signal == Signal::SIGCONT {
-            member.program.signal(signal);
+        if member.stop_requested_at.is_none() || signal == Signal::SIGCONT {
+            member.process.send_signal(signal);
         }
-        (member.program.address, member.life)
+        (member.process.address, member.incarnation)
     }
 
-    /// Writes down the service of a host's server.
+    /// Sets the service of the backend server beside a host, and writes the host's
+    /// settings.
     pub fn set_service(&self, host: usize, service: &'static str) {
-        let member = &mut self.members.borrow_mut()[self.balancers + host];
+        let member = &mut self.members.borrow_mut()[self.balancer_count + host];
         member.service = service;
-        if let Err(error) = member.program.set_service(service) {
+        if let Err(error) = member.process.set_service(service) {
             let text = format!("{error}");
-            self.judge.borrow_mut().find(Instant::now(), &text);
+            self.judge
+                .borrow_mut()
+                .record_finding(Instant::now(), &text);
         }
     }
 
-    /// Starts a server, if it does not run.
-    pub async fn start_server(&self, host: usize, set_back: Duration) {
-        let index = self.balancers + host;
+    /// Starts the backend server beside a host once the host's instance is available. Does
+    /// nothing if the server is running.
+    pub async fn start_server(&self, host: usize, clock_offset: Duration) {
+        let index = self.balancer_count + host;
         loop {
-            let away_until = self.members.borrow()[index].away_until;
-            if Instant::now() >= away_until {
+            let unavailable_until = self.members.borrow()[index].unavailable_until;
+            if Instant::now() >= unavailable_until {
                 break;
             }
-            sleep_until(away_until.into()).await;
+            sleep_until(unavailable_until.into()).await;
         }
         let service = self.members.borrow()[index].service;
-        if let Err(error) = self.servers[host].start(service, set_back).await {
+        if let Err(error) = self.servers[host].start(service, clock_offset).await {
             let text = format!("failed to start a server: {error}");
-            self.judge.borrow_mut().find(Instant::now(), &text);
+            self.judge
+                .borrow_mut()
+                .record_finding(Instant::now(), &text);
         }
     }
 }
--- a/crates/soak/src/http_call.rs
+++ b/crates/soak/src/http_call.rs
@@ -1,4 +1,4 @@
-//! One call over HTTP, with a limit on the time that it takes.
+//! A minimal HTTP client that sends single requests with a timeout.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -13,21 +13,21 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Calls an address, and returns status and body; nothing when no answer came in
-/// time.
-pub async fn call(
+/// Sends a request and returns the status and the body of the response, or `None` if the
+/// request fails or takes longer than `time_limit`.
+pub async fn send_http_request(
     address: SocketAddrV4,
     method: Method,
     path: &str,
     body: String,
-    limit: Duration,
+    time_limit: Duration,
 ) -> Option<(u16, Bytes)> {
-    timeout(limit, exchange(address, method, path, body))
+    timeout(time_limit, exchange_messages(address, method, path, body))
         .await
         .ok()?
 }
 
-async fn exchange(
+async fn exchange_messages(
     address: SocketAddrV4,
     method: Method,
     path: &str,
@@ -35,8 +35,8 @@
 ) -> Option<(u16, Bytes)> {
     let stream = TcpStream::connect(address).await.ok()?;
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
-    let task = tokio::task::spawn_local(async move {
-        // How the connection ended shows in the answer.
+    let connection_task = tokio::task::spawn_local(async move {
+        // An error of the connection also fails the request.
         let _ = connection.await;
     });
     let request = Request::builder()
@@ -55,6 +55,6 @@
         }
         None => None,
     };
-    task.abort();
+    connection_task.abort();
     answer
 }
--- a/crates/soak/src/judge.rs
+++ b/crates/soak/src/judge.rs
@@ -1,18 +1,19 @@
-//! Holds what callers and servers see against what the system promises.
+//! Checks what callers, servers and processes report against the invariants of the
+//! system.
 //!
-//! - A caller gets only what its server wrote, and a server only what a caller
-//!   wrote.
-//! - An open flow is reset by nobody but its server while that server lives, and
-//!   its packets go to no other server.
-//! - A server that has said that it leaves gets no new flows.
-//! - A new flow goes to a service that its route allows, by a configuration that
-//!   is not older than the time in which changes take effect.
-//! - No process ends by itself, and its routes never get older.
-//! - At the end, when all is calm, requests are served.
+//! - A caller receives only data that its server sent, and a server only data that a
+//!   caller sent.
+//! - While the server of an open flow is running, no other process resets the flow, and
+//!   its packets reach no other server.
+//! - A server gets no new flows after its host has acknowledged that it is draining.
+//! - A new flow reaches a service to which a route sends it, by a configuration that was
+//!   in force within the time that changes may take.
+//! - No process exits unexpectedly, and the version of its routes never decreases.
+//! - At the end of a run, after a period without faults, requests are answered.
 //!
-//! A promise about times holds only for processes that were left alone for
-//! [`CONTACT`]. One about open flows also holds while processes are stopped and
-//! started in order.
+//! Invariants that involve times are checked only for processes without faults and
+//! restarts in the last [`RECOVERY_TIME`]. Invariants of open flows also hold while
+//! processes are stopped and started in an orderly way, so only faults suspend them.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddrV4;
@@ -21,56 +22,60 @@
 
 use hyssopstair_wire::carried::FlowKey;
 
-/// Time without disturbance after which a process is held to its promises.
-pub const CONTACT: Duration = Duration::from_secs(4);
+/// Time after a fault or a restart of a process before its invariants are checked again.
+pub const RECOVERY_TIME: Duration = Duration::from_secs(4);
 
-/// Time after which a server that leaves gets no more flows.
-const DRAIN_LIMIT: Duration = Duration::from_secs(3);
+/// Time after a confirmed drain within which new flows may still arrive.
+const MAX_DRAIN_DELAY: Duration = Duration::from_secs(3);
 
-/// Time after which a configuration is in force.
-const CONFIGURATION_LIMIT: Duration = Duration::from_secs(3);
+/// Time within which a configuration takes effect.
+const MAX_CONFIGURATION_DELAY: Duration = Duration::from_secs(3);
 
-/// Time that an opening packet takes at most, with its copies and while it waits.
-const OPENING_FLIGHT: Duration = Duration::from_millis(2_000);
+/// Maximum time that an opening packet is under way, including its retransmissions and
+/// the time that it is held back.
+const MAX_OPENING_TIME: Duration = Duration::from_millis(2_000);
 
-/// How much longer it may take while processes or the store are disturbed.
-const CONFIGURATION_STRETCH: Duration = Duration::from_secs(12);
+/// Additional time that a configuration may take after faults of processes or of the
+/// store.
+const EXTRA_CONFIGURATION_DELAY: Duration = Duration::from_secs(12);
 
-/// Packets of one flow at other servers that break a promise, if its own server
-/// gets none for [`STRAY_TIME`].
-const STRAY_PACKETS: u32 = 3;
+/// Number of packets of a flow at other servers that violates the invariant, if the
+/// flow's own server gets none for [`MISROUTED_TIME`].
+const MISROUTED_LIMIT: u32 = 3;
 
-/// See [`STRAY_PACKETS`].
-const STRAY_TIME: Duration = Duration::from_secs(2);
+/// See [`MISROUTED_LIMIT`].
+const MISROUTED_TIME: Duration = Duration::from_secs(2);
 
-/// Time within which a calm system answers a request at the end of a run.
-const LATE: Duration = Duration::from_millis(250);
+/// Time within which a system without faults answers a request. Answers that take longer
+/// count as late.
+const MAX_ANSWER_TIME: Duration = Duration::from_millis(250);
 
-/// Share of the requests in the calm end that are to be answered.
-const CALM_SHARE: f64 = 0.9;
+/// Minimum share of the requests that must be answered at the end of a run.
+const MIN_ANSWERED_SHARE: f64 = 0.9;
 
-/// Findings that are kept; more of a kind tell nothing new.
+/// Maximum number of findings that are kept. Further ones of a kind add no information.
 const MAX_FINDINGS: usize = 20;
 
-/// An open flow, or one that is opening.
+/// An open flow and the server that holds it.
 #[derive(Debug)]
 struct JudgedFlow {
     key: FlowKey,
     owner: Ipv4Addr,
-    strays: u32,
-    /// When the first stray packet came since the last at its own server.
-    stray_since: Option<Instant>,
+    misrouted_count: u32,
+    /// Time of the first packet that reached another server since the last one that
+    /// reached the flow's own server.
+    misrouted_since: Option<Instant>,
 }
 
-/// A configuration, as operators have written it.
+/// The routes of a configuration.
 #[derive(Debug)]
 struct JudgedRoutes {
-    written: Instant,
-    /// Service of each address, sorted.
+    written_at: Instant,
+    /// Addresses with their services, sorted.
     services: Vec<(SocketAddrV4, String)>,
 }
 
-/// Times by address, sorted.
+/// Times by address, sorted by address.
 #[derive(Debug, Default)]
 struct AddressTimes(Vec<(Ipv4Addr, Instant)>);
 
@@ -78,45 +83,45 @@
     fn get(&self, address: Ipv4Addr) -> Option<Instant> {
         let index = self
             .0
-            .binary_search_by_key(&address, |(known, _)| *known)
+            .binary_search_by_key(&address, |(other, _)| *other)
             .ok()?;
         Some(self.0[index].1)
     }
 
-    /// Sets the time of an address, unless a later one is set.
-    fn raise(&mut self, address: Ipv4Addr, time: Instant) {
-        match self.0.binary_search_by_key(&address, |(known, _)| *known) {
+    /// Sets the time of an address, unless a later time is set.
+    fn set_latest(&mut self, address: Ipv4Addr, time: Instant) {
+        match self.0.binary_search_by_key(&address, |(other, _)| *other) {
             Ok(index) => self.0[index].1 = self.0[index].1.max(time),
             Err(index) => self.0.insert(index, (address, time)),
         }
     }
 }
 
-/// How a request ended for its caller.
+/// The outcome of a request for its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum RequestEnd {
-    /// It was answered after this time.
+pub enum RequestOutcome {
+    /// The request was answered after this time.
     Answered(Duration),
-    /// Its flow was refused.
+    /// The flow of the request was refused.
     Refused,
-    /// Its flow was reset.
+    /// The flow of the request was reset.
     Broken,
-    /// Its caller gave up.
+    /// The request timed out at its caller.
     GivenUp,
 }
 
-/// How requests ended.
+/// Numbers of requests by their outcome.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct SoakTally {
     /// Answered in time.
     pub answered: u64,
     /// Answered late.
     pub late: u64,
-    /// Refused.
+    /// Refused before their flow opened.
     pub refused: u64,
-    /// Broken off by a reset.
+    /// Aborted by a reset of their flow.
     pub broken: u64,
-    /// Given up by callers.
+    /// Timed out at their callers.
     pub given_up: u64,
 }
 
@@ -126,101 +131,116 @@
     }
 }
 
-/// What was seen.
+/// Records observations and collects violations of the invariants.
 #[derive(Debug)]
 pub struct SoakJudge {
-    started: Instant,
-    /// Until when a process counts as disturbed, by faults alone.
-    disturbed: AddressTimes,
-    /// The same by faults and by planned work.
-    touched: AddressTimes,
-    any_disturbed: Instant,
+    started_at: Instant,
+    /// End of the last fault of each process.
+    fault_until: AddressTimes,
+    /// End of the last fault or planned restart of each process.
+    disturbance_until: AddressTimes,
+    /// End of the last fault or planned restart of any process or of the store.
+    any_disturbance_until: Instant,
+    /// Sorted by key.
     flows: Vec<JudgedFlow>,
+    /// Routes of all configurations, oldest first.
     routes: Vec<JudgedRoutes>,
+    /// Address, incarnation and last version of the routes of each process, sorted by
+    /// address.
     versions: Vec<(Ipv4Addr, u32, u64)>,
-    /// All requests.
+    /// All requests of the run.
     pub tally: SoakTally,
-    /// Those of the calm end.
-    pub calm: SoakTally,
-    /// Whether the calm end has begun.
-    pub is_calm_end: bool,
-    /// The broken promises, first to last.
+    /// Requests that ended while `is_final_check` was set.
+    pub final_tally: SoakTally,
+    /// Whether the final check of the run has begun.
+    pub is_final_check: bool,
+    /// Descriptions of the violations, oldest first.
     pub findings: Vec<String>,
 }
 
 impl SoakJudge {
-    /// Creates a judge that has seen nothing.
+    /// Creates a judge without observations, for a run that starts at `now`.
     pub fn new(now: Instant) -> Self {
         Self {
-            started: now,
-            disturbed: AddressTimes::default(),
-            touched: AddressTimes::default(),
-            any_disturbed: now,
+            started_at: now,
+            fault_until: AddressTimes::default(),
+            disturbance_until: AddressTimes::default(),
+            any_disturbance_until: now,
             flows: Vec::new(),
             routes: Vec::new(),
             versions: Vec::new(),
             tally: SoakTally::default(),
-            calm: SoakTally::default(),
-            is_calm_end: false,
+            final_tally: SoakTally::default(),
+            is_final_check: false,
             findings: Vec::new(),
         }
     }
 
-    /// Notes a broken promise.
-    pub fn find(&mut self, now: Instant, text: &str) {
-        let millis = now.duration_since(self.started).as_millis();
+    /// Records a violated invariant.
+    pub fn record_finding(&mut self, now: Instant, text: &str) {
+        let millis = now.duration_since(self.started_at).as_millis();
         if self.findings.len() < MAX_FINDINGS {
             self.findings.push(format!("{millis} ms: {text}"));
         }
     }
 
-    /// Notes that a process is disturbed until `until`.
-    pub fn disturb(&mut self, address: Ipv4Addr, until: Instant) {
-        self.disturbed.raise(address, until);
-        self.note_planned(address, until);
+    /// Records that a process has a fault until `until`.
+    pub fn record_fault(&mut self, address: Ipv4Addr, until: Instant) {
+        self.fault_until.set_latest(address, until);
+        self.record_planned_restart(address, until);
     }
 
-    /// Notes that a process is stopped or started in order until `until`.
-    pub fn note_planned(&mut self, address: Ipv4Addr, until: Instant) {
-        self.any_disturbed = self.any_disturbed.max(until);
-        self.touched.raise(address, until);
+    /// Records that a process is being stopped or started in an orderly way until `until`.
+    pub fn record_planned_restart(&mut self, address: Ipv4Addr, until: Instant) {
+        self.any_disturbance_until = self.any_disturbance_until.max(until);
+        self.disturbance_until.set_latest(address, until);
     }
 
-    /// Notes that the store is disturbed until `until`.
-    pub fn disturb_store(&mut self, until: Instant) {
-        self.any_disturbed = self.any_disturbed.max(until);
+    /// Records that the store, or a connection to it, has a fault until `until`.
+    pub fn record_store_fault(&mut self, until: Instant) {
+        self.any_disturbance_until = self.any_disturbance_until.max(until);
     }
 
-    fn is_in_touch(&self, address: Ipv4Addr, now: Instant) -> bool {
-        now >= self.touched.get(address).unwrap_or(self.started) + CONTACT
+    /// Returns whether a process has recovered from its last fault or planned restart.
+    fn is_undisturbed(&self, address: Ipv4Addr, now: Instant) -> bool {
+        now >= self
+            .disturbance_until
+            .get(address)
+            .unwrap_or(self.started_at)
+            + RECOVERY_TIME
     }
 
-    /// Returns whether a process was spared faults, though not planned work.
-    fn is_without_fault(&self, address: Ipv4Addr, now: Instant) -> bool {
-        now >= self.disturbed.get(address).unwrap_or(self.started) + CONTACT
+    /// Returns whether a process has recovered from its last fault. Planned restarts do
+    /// not count.
+    fn is_free_of_faults(&self, address: Ipv4Addr, now: Instant) -> bool {
+        now >= self.fault_until.get(address).unwrap_or(self.started_at) + RECOVERY_TIME
     }
 
-    /// Notes that operators have written a configuration.
-    pub fn note_routes(&mut self, now: Instant, mut services: Vec<(SocketAddrV4, String)>) {
+    /// Records that operators have written a configuration with these routes.
+    pub fn record_configuration(
+        &mut self,
+        now: Instant,
+        mut services: Vec<(SocketAddrV4, String)>,
+    ) {
         services.sort();
         self.routes.push(JudgedRoutes {
-            written: now,
+            written_at: now,
             services,
         });
     }
 
-    /// Returns whether an address has a route by all configurations so far.
-    pub fn has_steady_route(&self, target: &SocketAddrV4) -> bool {
+    /// Returns whether all configurations so far have a route for an address.
+    pub fn has_permanent_route(&self, target: &SocketAddrV4) -> bool {
         self.routes.iter().all(|routes| {
             let found = routes
                 .services
-                .binary_search_by_key(target, |(known, _)| *known);
+                .binary_search_by_key(target, |(other, _)| *other);
             found.is_ok()
         })
     }
 
-    /// Judges a new flow that a server got.
-    pub fn judge_opening(&mut self, now: Instant, flow: &FlowKey, service: &str, host: Ipv4Addr) {
+    /// Checks a new flow that reached a server of `service` beside `host`.
+    pub fn check_opening(&mut self, now: Instant, flow: &FlowKey, service: &str, host: Ipv4Addr) {
         let allows = |routes: &JudgedRoutes| {
             let found = routes
                 .services
@@ -228,48 +248,51 @@
             found.is_ok_and(|index| routes.services[index].1 == service)
         };
         if !self.routes.iter().any(allows) {
-            self.find(
+            self.record_finding(
                 now,
-                &format!("{flow:?} was never allowed at {host} of {service}"),
+                &format!("{flow:?} opened at {host} of {service}, which no configuration allows"),
             );
             return;
         }
-        let is_calm = now >= self.any_disturbed + CONTACT;
-        let stretch = if is_calm {
+        let is_system_undisturbed = now >= self.any_disturbance_until + RECOVERY_TIME;
+        let extra_delay = if is_system_undisturbed {
             Duration::ZERO
         } else {
-            CONFIGURATION_STRETCH
+            EXTRA_CONFIGURATION_DELAY
         };
-        // All versions count that were the newest one within the time.
-        let limit = CONFIGURATION_LIMIT + OPENING_FLIGHT + stretch;
-        let first = self
+        // Every configuration that was the newest at some time within the limit may apply.
+        let limit = MAX_CONFIGURATION_DELAY + MAX_OPENING_TIME + extra_delay;
+        let first_applicable = self
             .routes
             .iter()
-            .rposition(|routes| now.duration_since(routes.written) >= limit)
+            .rposition(|routes| now.duration_since(routes.written_at) >= limit)
             .unwrap_or(0);
-        if !self.routes[first..].iter().any(allows) {
-            self.find(
+        if !self.routes[first_applicable..].iter().any(allows) {
+            self.record_finding(
                 now,
-                &format!("{flow:?} went to {host} of {service} by old routes"),
+                &format!("{flow:?} opened at {host} of {service} by outdated routes"),
             );
         }
     }
 
-    /// Judges a new flow at a server that leaves since `confirmed`.
-    pub fn judge_drain(&mut self, now: Instant, confirmed: Instant, host: Ipv4Addr) {
-        let is_late = now.duration_since(confirmed) > DRAIN_LIMIT;
-        if is_late && self.is_in_touch(host, now) {
-            self.find(now, &format!("{host} got a flow after its server had left"));
+    /// Checks a new flow at a server whose drain its host acknowledged at `confirmed_at`.
+    pub fn check_drain(&mut self, now: Instant, confirmed_at: Instant, host: Ipv4Addr) {
+        let is_late = now.duration_since(confirmed_at) > MAX_DRAIN_DELAY;
+        if is_late && self.is_undisturbed(host, now) {
+            self.record_finding(
+                now,
+                &format!("{host} received a flow after its server was drained"),
+            );
         }
     }
 
-    /// Notes that a flow is open at a server.
-    pub fn note_open(&mut self, key: FlowKey, owner: Ipv4Addr) {
+    /// Records that a flow is open at the server beside `owner`.
+    pub fn record_open_flow(&mut self, key: FlowKey, owner: Ipv4Addr) {
         let flow = JudgedFlow {
             key,
             owner,
-            strays: 0,
-            stray_since: None,
+            misrouted_count: 0,
+            misrouted_since: None,
         };
         match self.find_flow(&key) {
             Ok(index) => self.flows[index] = flow,
@@ -277,107 +300,122 @@
         }
     }
 
-    /// Notes that a flow has ended, for its caller or its server.
-    pub fn note_end(&mut self, key: &FlowKey) {
+    /// Records that a flow has ended.
+    pub fn record_flow_end(&mut self, key: &FlowKey) {
         if let Ok(index) = self.find_flow(key) {
             self.flows.remove(index);
         }
     }
 
-    /// Notes that the server at an address has ended, with all its flows.
-    pub fn note_server_end(&mut self, owner: Ipv4Addr) {
+    /// Records that the server beside `owner` has stopped, which ends all its flows.
+    pub fn record_server_end(&mut self, owner: Ipv4Addr) {
         self.flows.retain(|flow| flow.owner != owner);
     }
 
-    /// Notes that a server got a packet of one of its flows.
-    pub fn note_own(&mut self, key: &FlowKey) {
+    /// Records that a packet reached the server that holds its flow.
+    pub fn record_delivery(&mut self, key: &FlowKey) {
         if let Ok(index) = self.find_flow(key) {
-            self.flows[index].strays = 0;
-            self.flows[index].stray_since = None;
+            self.flows[index].misrouted_count = 0;
+            self.flows[index].misrouted_since = None;
         }
     }
 
-    /// Judges a packet that came to a server that does not hold its flow.
-    pub fn judge_stray(&mut self, now: Instant, key: &FlowKey, host: Ipv4Addr) {
+    /// Checks a packet that reached a server that does not hold its flow.
+    pub fn check_misrouted(&mut self, now: Instant, key: &FlowKey, host: Ipv4Addr) {
         let Ok(index) = self.find_flow(key) else {
             return;
         };
         let owner = self.flows[index].owner;
-        if !(self.is_without_fault(host, now) && self.is_without_fault(owner, now)) {
+        if !(self.is_free_of_faults(host, now) && self.is_free_of_faults(owner, now)) {
             return;
         }
         let flow = &mut self.flows[index];
-        flow.strays += 1;
-        let since = *flow.stray_since.get_or_insert(now);
-        if flow.strays >= STRAY_PACKETS && now.duration_since(since) >= STRAY_TIME {
-            self.find(
+        flow.misrouted_count += 1;
+        let first_misrouted_at = *flow.misrouted_since.get_or_insert(now);
+        if flow.misrouted_count >= MISROUTED_LIMIT
+            && now.duration_since(first_misrouted_at) >= MISROUTED_TIME
+        {
+            self.record_finding(
                 now,
-                &format!("packets of {key:?} at {owner} went to {host}"),
+                &format!("packets of {key:?}, which is open at {owner}, reached {host}"),
             );
         }
     }
 
-    /// Judges a reset that a caller took on an open flow, sent by a process.
-    pub fn judge_reset(&mut self, now: Instant, key: &FlowKey, sender: Ipv4Addr) {
+    /// Checks a reset that a caller accepted on a flow and that came from `sender`.
+    pub fn check_reset(&mut self, now: Instant, key: &FlowKey, sender: Ipv4Addr) {
         let Ok(index) = self.find_flow(key) else {
             return;
         };
         let owner = self.flows[index].owner;
-        if self.is_without_fault(owner, now) && self.is_without_fault(sender, now) {
-            self.find(
+        if self.is_free_of_faults(owner, now) && self.is_free_of_faults(sender, now) {
+            self.record_finding(
                 now,
-                &format!("{sender} reset {key:?}, which lives at {owner}"),
+                &format!("{sender} reset {key:?}, which is open at {owner}"),
             );
         }
     }
 
-    /// Judges the version of the routes that a process has in one life.
-    pub fn judge_version(&mut self, now: Instant, address: Ipv4Addr, life: u32, version: u64) {
+    /// Checks the version of the routes that an incarnation of a process uses.
+    pub fn check_version(
+        &mut self,
+        now: Instant,
+        address: Ipv4Addr,
+        incarnation: u32,
+        version: u64,
+    ) {
         match self
             .versions
-            .binary_search_by_key(&address, |(known, ..)| *known)
+            .binary_search_by_key(&address, |(other, ..)| *other)
         {
             Ok(index) => {
-                let (_, known_life, known) = self.versions[index];
-                if known_life == life && version < known {
-                    let text = format!("{address} went back from routes {known} to {version}");
-                    self.find(now, &text);
+                let (_, last_incarnation, last_version) = self.versions[index];
+                if last_incarnation == incarnation && version < last_version {
+                    let text =
+                        format!("{address} went back from routes {last_version} to {version}");
+                    self.record_finding(now, &text);
                 }
-                self.versions[index] = (address, life, version);
+                self.versions[index] = (address, incarnation, version);
             }
-            Err(index) => self.versions.insert(index, (address, life, version)),
+            Err(index) => self.versions.insert(index, (address, incarnation, version)),
         }
     }
 
-    /// Counts the end of a request.
-    pub fn count(&mut self, end: RequestEnd) {
+    /// Counts a request by its outcome.
+    pub fn count_request(&mut self, outcome: RequestOutcome) {
         let tallies = [
             Some(&mut self.tally),
-            self.is_calm_end.then_some(&mut self.calm),
+            self.is_final_check.then_some(&mut self.final_tally),
         ];
         for tally in tallies.into_iter().flatten() {
-            match end {
-                RequestEnd::Answered(took) if took <= LATE => tally.answered += 1,
-                RequestEnd::Answered(_) => tally.late += 1,
-                RequestEnd::Refused => tally.refused += 1,
-                RequestEnd::Broken => tally.broken += 1,
-                RequestEnd::GivenUp => tally.given_up += 1,
+            match outcome {
+                RequestOutcome::Answered(elapsed) if elapsed <= MAX_ANSWER_TIME => {
+                    tally.answered += 1
+                }
+                RequestOutcome::Answered(_) => tally.late += 1,
+                RequestOutcome::Refused => tally.refused += 1,
+                RequestOutcome::Broken => tally.broken += 1,
+                RequestOutcome::GivenUp => tally.given_up += 1,
             }
         }
     }
 
-    /// Judges the calm end of the run.
-    pub fn judge_calm_end(&mut self, now: Instant) {
-        let total = self.calm.total();
-        let served = self.calm.answered + self.calm.late;
-        if total == 0 || (served as f64) < total as f64 * CALM_SHARE {
-            self.find(
+    /// Checks that enough requests were answered at the end of the run.
+    pub fn check_final_requests(&mut self, now: Instant) {
+        let total = self.final_tally.total();
+        let answered_count = self.final_tally.answered + self.final_tally.late;
+        if total == 0 || (answered_count as f64) < total as f64 * MIN_ANSWERED_SHARE {
+            self.record_finding(
                 now,
-                &format!("not served again at the end: {:?}", self.calm),
+                &format!(
+                    "too few requests were answered at the end: {:?}",
+                    self.final_tally
+                ),
             );
         }
     }
 
+    /// Returns the index of a flow, or the index at which to insert it.
     fn find_flow(&self, key: &FlowKey) -> Result<usize, usize> {
         self.flows.binary_search_by_key(key, |flow| flow.key)
     }
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,12 +1,12 @@
-//! A randomized soak of the programs that carry flows.
+//! A randomized soak test of the programs that carry flows.
 //!
-//! It runs balancers and hosts as separate processes on loopback, between
-//! stand-ins of callers, backend servers and the store, and disturbs them from
-//! outside: by signals, in a relay between the processes, and in the store. What
-//! callers and servers see is held against the promises in [`judge`].
+//! It runs balancers and hosts as separate processes on loopback, between stand-ins for
+//! callers, backend servers and the store. Faults are injected from outside the
+//! processes: by signals, in a relay between the processes, and in the store. What
+//! callers and servers observe is checked against the invariants in [`judge`].
 //!
-//! [`plan`] turns a seed into events, [`fleet`] carries them out, and [`run`]
-//! plays a whole plan.
+//! [`plan`] turns a seed into events, [`fleet`] applies them, and [`run`] executes a
+//! whole plan.
 
 pub mod caller;
 pub mod fleet;
@@ -21,7 +21,7 @@
 pub mod server;
 pub mod store;
 
-/// An error that ends a run before it has a verdict.
+/// An error that ends a run before its result is known.
 #[derive(Debug, thiserror::Error)]
 #[error("{0}")]
 pub struct SoakError(pub String);
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,4 +1,7 @@
-//! Plays random faults against real processes, and says what was broken.
+//! Injects random faults into real processes and reports violated invariants.
+//!
+//! The last line of the output is the report in JSON. The exit status is 1 if an
+//! invariant was violated, and 2 if the run could not be completed.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -8,19 +11,19 @@
 use hyssopstair_soak::run::SoakOptions;
 use hyssopstair_soak::run::run_plan;
 
-/// Play random faults against real processes on loopback.
+/// Inject random faults into real processes on loopback.
 #[derive(Debug, FromArgs)]
 struct SoakArgs {
-    /// seed of the events
+    /// seed of the random choices
     #[argh(option, default = "1")]
     seed: u64,
     /// length of the run in minutes, such as 0.5
     #[argh(option, default = "0.5")]
     minutes: f64,
-    /// processes of the system, balancers and hosts together
+    /// number of processes, balancers and hosts together
     #[argh(option, default = "10")]
     processes: u16,
-    /// the program to run
+    /// path of the hyssopstaird program
     #[argh(option)]
     program: PathBuf,
     /// directory for settings and logs
@@ -37,7 +40,7 @@
     };
     match run_plan(&plan, &options) {
         Ok(report) => {
-            println!("{}", report.line());
+            println!("{}", report.to_json_line());
             ExitCode::from(u8::from(!report.findings.is_empty()))
         }
         Err(error) => {
--- a/crates/soak/src/network.rs
+++ b/crates/soak/src/network.rs
@@ -1,4 +1,7 @@
-//! Addresses of a run, on a loopback network that no other run uses.
+//! Addresses and ports of a run.
+//!
+//! Each run reserves a loopback network of its own, so that several runs can share a
+//! machine.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddrV4;
@@ -8,55 +11,55 @@
 
 use crate::SoakError;
 
-/// Port of packets, the same everywhere.
-pub const PACKETS: u16 = 8_172;
+/// Port for the packets of flows, at callers, balancers and hosts.
+pub const PACKET_PORT: u16 = 8_172;
 
-/// Port that processes send messages for each other to; the relay listens there.
-pub const INNER: u16 = 7_720;
+/// Port to which processes send messages for each other. The relay listens there.
+pub const INNER_PORT: u16 = 7_720;
 
-/// Port at which a process itself listens for messages of others.
-pub const INNER_BEHIND_RELAY: u16 = 7_721;
+/// Port on which a process receives the messages that the relay forwards.
+pub const INNER_BIND_PORT: u16 = 7_721;
 
-/// Port of readiness.
-pub const READINESS: u16 = 8_167;
+/// Port of the readiness endpoint of a process.
+pub const READINESS_PORT: u16 = 8_167;
 
-/// Port of metrics.
-pub const METRICS: u16 = 9_464;
+/// Port of the metrics endpoint of a process.
+pub const METRICS_PORT: u16 = 9_464;
 
-/// Port at which a host takes heartbeats.
-pub const HEARTBEATS: u16 = 8_166;
+/// Port on which a host receives the heartbeats of its backend server.
+pub const HEARTBEAT_PORT: u16 = 8_166;
 
-/// Port of a backend server.
-pub const SERVER: u16 = 8_165;
+/// Port of a backend server, for packets and for health checks.
+pub const SERVER_PORT: u16 = 8_165;
 
-/// Port that a backend server sends its own packets to.
-pub const OUTBOUND: u16 = 8_162;
+/// Port of a host to which its backend server sends packets.
+pub const OUTBOUND_PORT: u16 = 8_162;
 
-/// Port of the store, and of the relay before it.
-pub const STORE: u16 = 8_169;
+/// Port of the store, and of the relay in front of it.
+pub const STORE_PORT: u16 = 8_169;
 
-/// A loopback network, 127.n.0.0/16.
+/// A reserved loopback network, 127.n.0.0/16, where n is `second_octet`.
 #[derive(Debug)]
 pub struct SoakNetwork {
-    second: u8,
-    // Keeps other runs off the network.
+    second_octet: u8,
+    // Holds the port that marks the network as reserved.
     _guard: TcpListener,
 }
 
 impl SoakNetwork {
-    /// Takes a network that is free.
+    /// Reserves a network that no other run uses.
     ///
     /// # Errors
     ///
-    /// Returns an error when all are taken.
-    pub fn take() -> Result<Self, Report<SoakError>> {
-        let start = std::process::id();
+    /// Returns an error if all networks are in use.
+    pub fn reserve() -> Result<Self, Report<SoakError>> {
+        let process_id = std::process::id();
         (0..200)
-            .map(|step| 20 + ((start + step) % 200) as u8)
-            .find_map(|second| {
-                let guard = TcpListener::bind((Ipv4Addr::new(127, second, 0, 1), 9)).ok()?;
+            .map(|attempt| 20 + ((process_id + attempt) % 200) as u8)
+            .find_map(|second_octet| {
+                let guard = TcpListener::bind((Ipv4Addr::new(127, second_octet, 0, 1), 9)).ok()?;
                 Some(Self {
-                    second,
+                    second_octet,
                     _guard: guard,
                 })
             })
@@ -64,32 +67,40 @@
     }
 
     /// Returns the address of a balancer.
-    pub fn balancer(&self, number: usize) -> Ipv4Addr {
+    pub fn balancer_address(&self, number: usize) -> Ipv4Addr {
         self.address(1, number)
     }
 
     /// Returns the address of a host.
-    pub fn host(&self, number: usize) -> Ipv4Addr {
+    pub fn host_address(&self, number: usize) -> Ipv4Addr {
         self.address(2, number)
     }
 
     /// Returns the address of a caller.
-    pub fn caller(&self, number: usize) -> Ipv4Addr {
+    pub fn caller_address(&self, number: usize) -> Ipv4Addr {
         self.address(3, number)
     }
 
     /// Returns the address of the store.
-    pub fn store(&self) -> SocketAddrV4 {
-        SocketAddrV4::new(self.address(5, 0), STORE)
+    pub fn store_address(&self) -> SocketAddrV4 {
+        SocketAddrV4::new(self.address(5, 0), STORE_PORT)
     }
 
-    /// Returns where a process reaches the store, through the relay.
-    pub fn store_of(&self, process: Ipv4Addr) -> SocketAddrV4 {
-        let [_, _, kind, last] = process.octets();
-        SocketAddrV4::new(Ipv4Addr::new(127, self.second, kind + 5, last), STORE)
+    /// Returns the address at which a process reaches the store through the relay.
+    pub fn store_relay_address(&self, process: Ipv4Addr) -> SocketAddrV4 {
+        let [_, _, third_octet, last_octet] = process.octets();
+        SocketAddrV4::new(
+            Ipv4Addr::new(127, self.second_octet, third_octet + 5, last_octet),
+            STORE_PORT,
+        )
     }
 
-    fn address(&self, kind: u8, number: usize) -> Ipv4Addr {
-        Ipv4Addr::new(127, self.second, kind, (number % 250) as u8 + 1)
+    fn address(&self, third_octet: u8, number: usize) -> Ipv4Addr {
+        Ipv4Addr::new(
+            127,
+            self.second_octet,
+            third_octet,
+            (number % 250) as u8 + 1,
+        )
     }
 }
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -1,4 +1,4 @@
-//! Turns a seed into the events of a run.
+//! Turns a seed into the events of a run. The same arguments always yield the same plan.
 
 use std::time::Duration;
 
@@ -6,37 +6,38 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-/// Time before the first event, in which the processes find each other.
-const WARM_UP: Duration = Duration::from_secs(4);
+/// Time before the first event, in which the processes discover each other.
+const WARM_UP_TIME: Duration = Duration::from_secs(4);
 
-/// Time after the last event, in which everything is to be served again.
-pub const CALM_END: Duration = Duration::from_secs(9);
+/// Time without events at the end of a run, in which the system must recover.
+pub const RECOVERY_PERIOD: Duration = Duration::from_secs(9);
 
-/// One part in this many of the processes, two at least, are balancers.
-const BALANCER_PART: u16 = 3;
+/// Processes for each balancer among them. There are at least two balancers.
+const PROCESSES_PER_BALANCER: u16 = 3;
 
-/// What is done to the processes from outside.
+/// A fault or a planned change that is applied from outside the processes. Processes and
+/// hosts are given by their numbers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SoakEvent {
-    /// Kills a process; it starts again later.
+    /// Kills a process and restarts it later.
     Kill(usize),
-    /// Tells a process to stop; it starts again once it has ended.
+    /// Terminates a process and restarts it once it has exited.
     Stop(usize),
-    /// Stops a process by signal for a while, as a freeze does.
+    /// Freezes a process by a signal for a while.
     Pause(usize),
     /// Kills all processes at once.
     KillAll,
-    /// Ends all processes and servers at once.
+    /// Kills all processes and crashes all servers at once.
     LosePower,
-    /// Lets a process read its settings again, with a mistake in them or not.
+    /// Makes a process reload its settings, which are invalid if the flag is set.
     Reload(usize, bool),
-    /// Ends a server without notice; a new one starts later.
+    /// Crashes a server and starts a new one later.
     CrashServer(usize),
-    /// Lets a server leave in order; a new one of either service follows.
+    /// Drains a server and starts a new one, possibly for the other service.
     ReplaceServer(usize),
-    /// Starts a server again whose clock was set back meanwhile.
+    /// Crashes a server and starts a new one whose clock is set back.
     SetServerBack(usize),
-    /// Loses some datagrams to and from a process.
+    /// Drops some datagrams to and from a process.
     Lossy(usize),
     /// Delays datagrams to and from a process.
     Delay(usize),
@@ -44,92 +45,96 @@
     CutOut(usize),
     /// Drops all datagrams that others send to a process.
     CutIn(usize),
-    /// Sends datagrams to a process that mean nothing, or are not from a peer.
+    /// Sends random datagrams to a process from an address that is not a peer's.
     Garbage(usize),
-    /// Holds back what a process gets from the store.
+    /// Withholds the answers of the store from a process.
     StoreSilent(usize),
-    /// Breaks the store's connections of a process.
+    /// Closes the connections of a process to the store.
     StoreReset(usize),
-    /// Lets nobody reach the store.
+    /// Makes the store reject all calls.
     StoreDown,
-    /// Lets the store answer late.
+    /// Makes the store answer late.
     StoreSlow,
-    /// Lets the store carry out calls and not answer.
+    /// Makes the store execute calls without answering.
     StoreLosesAnswers,
-    /// Lets the store forget its history.
+    /// Compacts the history of the store.
     StoreForgets,
-    /// Writes another configuration.
+    /// Writes the next configuration.
     Configure,
 }
 
-/// An event with its time and how long its effect lasts.
+/// An event with its time and duration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TimedEvent {
-    /// Time since the start of the run.
+    /// Time of the event since the start of the run.
     pub at: Duration,
-    /// Time for which it lasts.
-    pub lasts: Duration,
+    /// Duration of the event's effect.
+    pub duration: Duration,
     /// The event.
     pub event: SoakEvent,
 }
 
-/// A whole run.
+/// The plan of a run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SoakPlan {
-    /// The seed that it was made from.
+    /// The seed of the plan, from which the other random choices of the run also derive.
     pub seed: u64,
-    /// Balancers; they come before hosts in the numbers of processes.
-    pub balancers: usize,
-    /// Hosts.
-    pub hosts: usize,
-    /// Whether routers move nearly all flows when a balancer joins or leaves.
-    pub moves_all: bool,
-    /// The events in the order of their times.
+    /// Number of balancers, which are numbered before the hosts.
+    pub balancer_count: usize,
+    /// Number of hosts.
+    pub host_count: usize,
+    /// Whether routers assign flows by hash modulo the number of ready balancers, so that
+    /// nearly all flows move when a balancer joins or leaves.
+    pub uses_modulo_hashing: bool,
+    /// The events, sorted by time.
     pub events: Vec<TimedEvent>,
     /// Length of the run.
-    pub length: Duration,
+    pub run_time: Duration,
 }
 
 impl SoakPlan {
-    /// Makes the plan of a seed.
+    /// Creates the plan of a run that takes at least 0.3 minutes and has at least two
+    /// balancers and three hosts.
     pub fn from_seed(seed: u64, minutes: f64, processes: u16) -> Self {
         let mut random = SmallRng::seed_from_u64(seed);
-        let balancers = usize::from((processes / BALANCER_PART).max(2));
-        let hosts = usize::from(processes).saturating_sub(balancers).max(3);
-        let length = Duration::from_secs_f64(minutes.max(0.3) * 60.0);
-        let moves_all = random.random_bool(0.4);
+        let balancer_count = usize::from((processes / PROCESSES_PER_BALANCER).max(2));
+        let host_count = usize::from(processes).saturating_sub(balancer_count).max(3);
+        let run_time = Duration::from_secs_f64(minutes.max(0.3) * 60.0);
+        let uses_modulo_hashing = random.random_bool(0.4);
         let mut events = Vec::new();
-        let mut at = WARM_UP;
-        // The larger the fleet, the more happens at the same time.
-        let longest_gap = (16_000 / (balancers + hosts) as u64).clamp(200, 2_000);
-        let end = length.saturating_sub(CALM_END);
+        let mut at = WARM_UP_TIME;
+        // Events are more frequent in a larger fleet.
+        let max_gap_millis = (16_000 / (balancer_count + host_count) as u64).clamp(200, 2_000);
+        let end = run_time.saturating_sub(RECOVERY_PERIOD);
         while at < end {
-            let event = random_event(&mut random, balancers, hosts);
-            let left = (end - at).as_millis() as u64;
-            let lasts = random.random_range(200..=3_000u64).min(left.max(200));
+            let event = choose_event(&mut random, balancer_count, host_count);
+            let remaining_millis = (end - at).as_millis() as u64;
+            let duration_millis = random
+                .random_range(200..=3_000u64)
+                .min(remaining_millis.max(200));
             events.push(TimedEvent {
                 at,
-                lasts: Duration::from_millis(lasts),
+                duration: Duration::from_millis(duration_millis),
                 event,
             });
-            at += Duration::from_millis(random.random_range(50..=longest_gap));
+            at += Duration::from_millis(random.random_range(50..=max_gap_millis));
         }
         Self {
             seed,
-            balancers,
-            hosts,
-            moves_all,
+            balancer_count,
+            host_count,
+            uses_modulo_hashing,
             events,
-            length,
+            run_time,
         }
     }
 }
 
-fn random_event(random: &mut SmallRng, balancers: usize, hosts: usize) -> SoakEvent {
-    let process = random.random_range(0..balancers + hosts);
-    let balancer = random.random_range(0..balancers);
-    let host = random.random_range(0..hosts);
-    let is_wrong = random.random_bool(0.5);
+fn choose_event(random: &mut SmallRng, balancer_count: usize, host_count: usize) -> SoakEvent {
+    let process = random.random_range(0..balancer_count + host_count);
+    let balancer = random.random_range(0..balancer_count);
+    let host = random.random_range(0..host_count);
+    let is_invalid = random.random_bool(0.5);
     match random.random_range(0..100) {
         0..=9 => SoakEvent::Kill(process),
         10..=21 => SoakEvent::Stop(process),
@@ -137,7 +142,7 @@
         28..=35 => SoakEvent::Pause(process),
         36..=37 => SoakEvent::KillAll,
         38..=39 => SoakEvent::LosePower,
-        40..=44 => SoakEvent::Reload(process, is_wrong),
+        40..=44 => SoakEvent::Reload(process, is_invalid),
         45..=51 => SoakEvent::CrashServer(host),
         52..=60 => SoakEvent::ReplaceServer(host),
         61..=62 => SoakEvent::SetServerBack(host),
--- a/crates/soak/src/program.rs
+++ b/crates/soak/src/program.rs
@@ -1,4 +1,5 @@
-//! The processes of the system, started and signalled by their ids.
+//! A balancer or host process. Signals are sent by process ID, so that a run affects only
+//! processes that it started.
 
 use std::fs::File;
 use std::fs::OpenOptions;
@@ -16,129 +17,129 @@
 use nix::unistd::Pid;
 
 use crate::SoakError;
-use crate::network::HEARTBEATS;
-use crate::network::INNER;
-use crate::network::INNER_BEHIND_RELAY;
-use crate::network::METRICS;
-use crate::network::OUTBOUND;
-use crate::network::PACKETS;
-use crate::network::READINESS;
-use crate::network::SERVER;
+use crate::network::HEARTBEAT_PORT;
+use crate::network::INNER_BIND_PORT;
+use crate::network::INNER_PORT;
+use crate::network::METRICS_PORT;
+use crate::network::OUTBOUND_PORT;
+use crate::network::PACKET_PORT;
+use crate::network::READINESS_PORT;
+use crate::network::SERVER_PORT;
 use crate::network::SoakNetwork;
 
-/// What a process does.
+/// The role of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ProgramRole {
-    /// Callers' packets arrive at it.
+pub enum ProcessRole {
+    /// Receives the packets of callers.
     Balancer,
-    /// It runs beside a backend server.
+    /// Runs beside a backend server.
     Host,
 }
 
-/// One process, running or not.
+/// A process of the system, whether it is running or not.
 #[derive(Debug)]
-pub struct Program {
-    /// Its address.
+pub struct SoakProcess {
+    /// Address of the process.
     pub address: Ipv4Addr,
-    /// What it does.
-    pub role: ProgramRole,
-    program: PathBuf,
-    settings: PathBuf,
-    /// The settings, with `{service}` where the name of the service goes.
-    text: String,
+    /// Role of the process.
+    pub role: ProcessRole,
+    program_path: PathBuf,
+    settings_path: PathBuf,
+    /// The settings, with `{service}` in place of the name of the service.
+    settings_template: String,
     service: &'static str,
     child: Option<Child>,
 }
 
-impl Program {
-    /// Writes the settings of a process that is not started yet.
+impl SoakProcess {
+    /// Creates a process that is not running, and writes its settings.
     ///
     /// # Errors
     ///
-    /// Returns an error when the settings cannot be written.
+    /// Returns an error if the settings cannot be written.
     pub fn create(
         network: &SoakNetwork,
-        role: ProgramRole,
+        role: ProcessRole,
         number: usize,
-        program: &Path,
+        program_path: &Path,
         directory: &Path,
     ) -> Result<Self, Report<SoakError>> {
         let address = match role {
-            ProgramRole::Balancer => network.balancer(number),
-            ProgramRole::Host => network.host(number),
+            ProcessRole::Balancer => network.balancer_address(number),
+            ProcessRole::Host => network.host_address(number),
         };
-        let created = Self {
+        let process = Self {
             address,
             role,
-            program: program.to_owned(),
-            settings: directory.join(format!("{role:?}-{number}.yaml")),
-            text: settings_text(network, role, number, address),
+            program_path: program_path.to_owned(),
+            settings_path: directory.join(format!("{role:?}-{number}.yaml")),
+            settings_template: build_settings_template(network, role, number, address),
             service: "one",
             child: None,
         };
-        created.write_settings(false)?;
-        Ok(created)
+        process.write_settings(false)?;
+        Ok(process)
     }
 
-    /// Writes the settings, with a mistake in them if `is_wrong`.
+    /// Writes the settings, which are invalid if `is_invalid` is set.
     ///
     /// # Errors
     ///
-    /// Returns an error when the file cannot be written.
-    pub fn write_settings(&self, is_wrong: bool) -> Result<(), Report<SoakError>> {
-        let mistake = if is_wrong {
+    /// Returns an error if the file cannot be written.
+    pub fn write_settings(&self, is_invalid: bool) -> Result<(), Report<SoakError>> {
+        let invalid_line = if is_invalid {
             "inner_ports: [9, 1]\n"
         } else {
             ""
         };
-        let text = self.text.replace("{service}", self.service) + mistake;
-        std::fs::write(&self.settings, text)
+        let text = self.settings_template.replace("{service}", self.service) + invalid_line;
+        std::fs::write(&self.settings_path, text)
             .change_context_lazy(|| SoakError("failed to write settings".to_owned()))
     }
 
-    /// Writes the settings for a server of another service.
+    /// Sets the service of a host's backend server, and writes the settings.
     ///
     /// # Errors
     ///
-    /// Returns an error when the file cannot be written.
+    /// Returns an error if the settings cannot be written.
     pub fn set_service(&mut self, service: &'static str) -> Result<(), Report<SoakError>> {
         self.service = service;
         self.write_settings(false)
     }
 
-    /// Starts the process, unless it runs.
+    /// Starts the process, unless it is running.
     ///
     /// # Errors
     ///
-    /// Returns an error when it cannot be started.
+    /// Returns an error if the process cannot be started.
     pub fn start(&mut self) -> Result<(), Report<SoakError>> {
         if self.child.is_some() {
             return Ok(());
         }
-        let context = || SoakError(format!("failed to start {}", self.program.display()));
+        let context = || SoakError(format!("failed to start {}", self.program_path.display()));
         let log = self.open_log().change_context_lazy(context)?;
-        let errors = log.try_clone().change_context_lazy(context)?;
-        let child = Command::new(&self.program)
+        let error_log = log.try_clone().change_context_lazy(context)?;
+        let child = Command::new(&self.program_path)
             .arg("--carry")
-            .arg(&self.settings)
+            .arg(&self.settings_path)
             .stdin(Stdio::null())
             .stdout(Stdio::from(log))
-            .stderr(Stdio::from(errors))
+            .stderr(Stdio::from(error_log))
             .spawn()
             .change_context_lazy(context)?;
         self.child = Some(child);
         Ok(())
     }
 
-    /// Sends a signal to the process, if it runs.
-    pub fn signal(&self, signal: Signal) {
+    /// Sends a signal to the process, if it is running.
+    pub fn send_signal(&self, signal: Signal) {
         if let Some(child) = &self.child {
-            // It may have ended just now.
+            // The signal fails if the process has just exited.
             let _ = kill(Pid::from_raw(child.id() as i32), signal);
         }
     }
 
-    /// Kills the process and waits for its end.
+    /// Kills the process and waits until it has exited.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -146,13 +147,13 @@
         }
     }
 
-    /// Returns whether the process runs.
+    /// Returns whether the process was started and its exit status was not taken yet.
     pub fn is_running(&self) -> bool {
         self.child.is_some()
     }
 
-    /// Takes note of the end of the process, and returns how it ended.
-    pub fn take_end(&mut self) -> Option<String> {
+    /// Returns the exit status of the process, once, if it has exited by itself.
+    pub fn take_exit_status(&mut self) -> Option<String> {
         let status = self.child.as_mut()?.try_wait().ok()??;
         self.child = None;
         Some(status.to_string())
@@ -162,41 +163,42 @@
         OpenOptions::new()
             .create(true)
             .append(true)
-            .open(self.settings.with_extension("log"))
+            .open(self.settings_path.with_extension("log"))
     }
 }
 
-impl Drop for Program {
+impl Drop for SoakProcess {
     fn drop(&mut self) {
         self.kill();
     }
 }
 
-fn settings_text(
+fn build_settings_template(
     network: &SoakNetwork,
-    role: ProgramRole,
+    role: ProcessRole,
     number: usize,
     address: Ipv4Addr,
 ) -> String {
     let (role_name, server) = match role {
-        ProgramRole::Balancer => ("balancer", String::new()),
-        ProgramRole::Host => (
+        ProcessRole::Balancer => ("balancer", String::new()),
+        ProcessRole::Host => (
             "host",
             format!(
-                "server:\n  service: {{service}}\n  address: {address}:{SERVER}\n  \
-                 outbound: {address}:{OUTBOUND}\n  heartbeats: {address}:{HEARTBEATS}\n"
+                "server:\n  service: {{service}}\n  address: {address}:{SERVER_PORT}\n  \
+                 outbound: {address}:{OUTBOUND_PORT}\n  heartbeats: {address}:{HEARTBEAT_PORT}\n"
             ),
         ),
     };
-    // Two contacts, as everybody else is to be learnt from them.
-    let contacts = [network.balancer(0), network.balancer(1)].map(|ip| format!("{ip}:{INNER}"));
+    // With only two contacts, a process must learn of all others by gossip.
+    let contacts = [network.balancer_address(0), network.balancer_address(1)]
+        .map(|ip| format!("{ip}:{INNER_PORT}"));
     format!(
-        "name: {role_name}-{number}\nrole: {role_name}\nzone: z{}\npackets: {address}:{PACKETS}\n\
-         readiness: {address}:{READINESS}\nmetrics: {address}:{METRICS}\n\
-         inner_ports: [{INNER}, {INNER}]\ninner_bind: {INNER_BEHIND_RELAY}\n\
+        "name: {role_name}-{number}\nrole: {role_name}\nzone: z{}\npackets: {address}:{PACKET_PORT}\n\
+         readiness: {address}:{READINESS_PORT}\nmetrics: {address}:{METRICS_PORT}\n\
+         inner_ports: [{INNER_PORT}, {INNER_PORT}]\ninner_bind: {INNER_BIND_PORT}\n\
          contacts: [{}]\nstore: {}\nmax_flow_seconds: 60\ngrace_seconds: 6\n{server}",
         number % 3,
         contacts.join(", "),
-        network.store_of(address),
+        network.store_relay_address(address),
     )
 }
--- a/crates/soak/src/relay.rs
+++ b/crates/soak/src/relay.rs
@@ -1,8 +1,9 @@
-//! Stands between the processes, and between each of them and the store.
+//! A relay between the processes, and between each process and the store, that injects
+//! faults.
 //!
-//! Processes send datagrams to the relay's port at their peer's address; the relay
-//! hands them on from the sender's own address, late or not at all. Each process
-//! has an address of the relay for its connections to the store.
+//! Processes send datagrams to the relay's port at the address of their peer. The relay
+//! forwards a datagram from the address of its sender, delays it, or drops it. For
+//! connections to the store, each process has an address of its own at the relay.
 
 use std::cell::RefCell;
 use std::net::IpAddr;
@@ -23,106 +24,116 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-use crate::network::INNER;
-use crate::network::INNER_BEHIND_RELAY;
+use crate::network::INNER_BIND_PORT;
+use crate::network::INNER_PORT;
 
-/// Datagrams of a thousand that a lossy process loses each way.
+/// Share of the datagrams that a lossy process loses in each direction, in thousandths.
 const LOSS_PERMILLE: u32 = 150;
 
-/// Longest delay of a datagram of a process that is delayed, in milliseconds.
-const LONGEST_DELAY: u64 = 120;
+/// Maximum delay of a datagram of a delayed process, in milliseconds.
+const MAX_DELAY_MILLIS: u64 = 120;
 
-/// How the datagrams of a process are treated.
+/// Faults of the datagrams of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct LinkFaults {
-    /// Some are lost, each way.
+    /// Some datagrams are lost, in both directions.
     pub is_lossy: bool,
-    /// All come late, each way.
+    /// All datagrams are delayed, in both directions.
     pub is_delayed: bool,
-    /// What it sends is dropped.
-    pub is_cut_out: bool,
-    /// What others send to it is dropped.
-    pub is_cut_in: bool,
+    /// Datagrams that the process sends are dropped.
+    pub drops_outgoing: bool,
+    /// Datagrams that others send to the process are dropped.
+    pub drops_incoming: bool,
 }
 
-/// How the connections of a process to the store are treated.
+/// Fault of the connections of a process to the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum ConnectionFault {
-    /// They are passed on.
+    /// Connections are forwarded.
     #[default]
     None,
-    /// They stay open, and nothing comes back.
+    /// Connections stay open, but nothing that the store sends arrives.
     Silent,
-    /// They are broken, and new ones are refused.
+    /// Connections are closed, and so are new ones.
     Reset,
 }
 
-/// One process at the relay.
+/// The relay's socket and faults for one process.
 #[derive(Debug)]
 struct RelayPort {
     address: Ipv4Addr,
     socket: UdpSocket,
-    links: LinkFaults,
-    store: watch::Sender<ConnectionFault>,
+    link_faults: LinkFaults,
+    store_fault: watch::Sender<ConnectionFault>,
 }
 
-/// The relay of all processes.
+/// The relay for all processes of a run.
 #[derive(Debug, Clone)]
 pub struct SoakRelay {
+    /// Sorted by address.
     ports: Rc<RefCell<Vec<Rc<RefCell<RelayPort>>>>>,
     random: Rc<RefCell<SmallRng>>,
-    store: SocketAddrV4,
+    store_address: SocketAddrV4,
 }
 
 impl SoakRelay {
-    /// Creates a relay that passes everything on to the store at `store`.
-    pub fn new(seed: u64, store: SocketAddrV4) -> Self {
+    /// Creates a relay without processes that forwards connections to the store at
+    /// `store_address`.
+    pub fn new(seed: u64, store_address: SocketAddrV4) -> Self {
         Self {
             ports: Rc::default(),
             random: Rc::new(RefCell::new(SmallRng::seed_from_u64(seed))),
-            store,
+            store_address,
         }
     }
 
-    /// Adds a process, whose connections to the store arrive at `store_side`.
+    /// Adds a process whose connections to the store arrive at `store_listen_address`.
     ///
     /// # Errors
     ///
-    /// Returns an error when an address is taken.
-    pub async fn add(&self, address: Ipv4Addr, store_side: SocketAddrV4) -> std::io::Result<()> {
-        let socket = UdpSocket::bind((address, INNER)).await?;
-        let listener = TcpListener::bind(store_side).await?;
-        let (store, fault) = watch::channel(ConnectionFault::None);
+    /// Returns an error if an address is in use.
+    pub async fn add_process(
+        &self,
+        address: Ipv4Addr,
+        store_listen_address: SocketAddrV4,
+    ) -> std::io::Result<()> {
+        let socket = UdpSocket::bind((address, INNER_PORT)).await?;
+        let listener = TcpListener::bind(store_listen_address).await?;
+        let (store_fault, fault_receiver) = watch::channel(ConnectionFault::None);
         let port = Rc::new(RefCell::new(RelayPort {
             address,
             socket,
-            links: LinkFaults::default(),
-            store,
+            link_faults: LinkFaults::default(),
+            store_fault,
         }));
         let mut ports = self.ports.borrow_mut();
-        let index = ports.partition_point(|known| known.borrow().address < address);
+        let index = ports.partition_point(|other| other.borrow().address < address);
         ports.insert(index, Rc::clone(&port));
         drop(ports);
         tokio::task::spawn_local(self.clone().relay_datagrams(port));
-        tokio::task::spawn_local(relay_connections(listener, self.store, fault));
+        tokio::task::spawn_local(relay_connections(
+            listener,
+            self.store_address,
+            fault_receiver,
+        ));
         Ok(())
     }
 
-    /// Sets how the datagrams of a process are treated.
-    pub fn set_links(&self, address: Ipv4Addr, change: impl FnOnce(&mut LinkFaults)) {
-        if let Some(port) = self.find(address) {
-            change(&mut port.borrow_mut().links);
+    /// Changes the faults of the datagrams of a process.
+    pub fn update_link_faults(&self, address: Ipv4Addr, change: impl FnOnce(&mut LinkFaults)) {
+        if let Some(port) = self.find_port(address) {
+            change(&mut port.borrow_mut().link_faults);
         }
     }
 
-    /// Sets how the connections of a process to the store are treated.
-    pub fn set_store(&self, address: Ipv4Addr, fault: ConnectionFault) {
-        if let Some(port) = self.find(address) {
-            port.borrow().store.send_replace(fault);
+    /// Sets the fault of the connections of a process to the store.
+    pub fn set_store_fault(&self, address: Ipv4Addr, fault: ConnectionFault) {
+        if let Some(port) = self.find_port(address) {
+            port.borrow().store_fault.send_replace(fault);
         }
     }
 
-    fn find(&self, address: Ipv4Addr) -> Option<Rc<RefCell<RelayPort>>> {
+    fn find_port(&self, address: Ipv4Addr) -> Option<Rc<RefCell<RelayPort>>> {
         let ports = self.ports.borrow();
         let index = ports
             .binary_search_by_key(&address, |port| port.borrow().address)
@@ -133,44 +144,50 @@
     async fn relay_datagrams(self, port: Rc<RefCell<RelayPort>>) {
         let mut buffer = [0; 2_048];
         loop {
-            let read = std::future::poll_fn(|context| {
-                let mut space = tokio::io::ReadBuf::new(&mut buffer);
+            let received = std::future::poll_fn(|context| {
+                let mut read_buffer = tokio::io::ReadBuf::new(&mut buffer);
                 let port = port.borrow();
                 port.socket
-                    .poll_recv_from(context, &mut space)
-                    .map_ok(|from| (space.filled().len(), from))
+                    .poll_recv_from(context, &mut read_buffer)
+                    .map_ok(|sender_address| (read_buffer.filled().len(), sender_address))
             });
-            // An earlier datagram found nobody listening.
-            let Ok((length, from)) = read.await else {
+            // The receiver of an earlier datagram was not listening.
+            let Ok((length, sender_address)) = received.await else {
                 continue;
             };
-            let IpAddr::V4(from) = from.ip() else {
+            let IpAddr::V4(sender_address) = sender_address.ip() else {
                 continue;
             };
-            self.pass(from, &port, &buffer[..length]);
+            self.forward_datagram(sender_address, &port, &buffer[..length]);
         }
     }
 
-    fn pass(&self, from: Ipv4Addr, to: &Rc<RefCell<RelayPort>>, bytes: &[u8]) {
-        let Some(sender) = self.find(from) else {
+    fn forward_datagram(
+        &self,
+        sender_address: Ipv4Addr,
+        receiver: &Rc<RefCell<RelayPort>>,
+        bytes: &[u8],
+    ) {
+        let Some(sender) = self.find_port(sender_address) else {
             return;
         };
-        let (out, into) = (sender.borrow().links, to.borrow().links);
-        if out.is_cut_out || into.is_cut_in {
+        let (sender_faults, receiver_faults) =
+            (sender.borrow().link_faults, receiver.borrow().link_faults);
+        if sender_faults.drops_outgoing || receiver_faults.drops_incoming {
             return;
         }
         let mut random = self.random.borrow_mut();
-        let is_lossy = out.is_lossy || into.is_lossy;
+        let is_lossy = sender_faults.is_lossy || receiver_faults.is_lossy;
         if is_lossy && random.random_range(0..1_000) < LOSS_PERMILLE {
             return;
         }
-        let target = (to.borrow().address, INNER_BEHIND_RELAY);
-        if !(out.is_delayed || into.is_delayed) {
-            // A datagram that cannot be sent is lost.
+        let target = (receiver.borrow().address, INNER_BIND_PORT);
+        if !(sender_faults.is_delayed || receiver_faults.is_delayed) {
+            // A datagram that cannot be sent counts as lost.
             let _ = sender.borrow().socket.try_send_to(bytes, target.into());
             return;
         }
-        let delay = Duration::from_millis(random.random_range(0..=LONGEST_DELAY));
+        let delay = Duration::from_millis(random.random_range(0..=MAX_DELAY_MILLIS));
         let bytes = bytes.to_vec();
         tokio::task::spawn_local(async move {
             sleep(delay).await;
@@ -181,49 +198,53 @@
 
 async fn relay_connections(
     listener: TcpListener,
-    store: SocketAddrV4,
-    fault: watch::Receiver<ConnectionFault>,
+    store_address: SocketAddrV4,
+    fault_receiver: watch::Receiver<ConnectionFault>,
 ) {
     while let Ok((stream, _)) = listener.accept().await {
-        if *fault.borrow() == ConnectionFault::Reset {
+        if *fault_receiver.borrow() == ConnectionFault::Reset {
             continue;
         }
-        tokio::task::spawn_local(relay_connection(stream, store, fault.clone()));
+        tokio::task::spawn_local(relay_connection(
+            stream,
+            store_address,
+            fault_receiver.clone(),
+        ));
     }
 }
 
 async fn relay_connection(
-    mut near: TcpStream,
-    store: SocketAddrV4,
-    fault: watch::Receiver<ConnectionFault>,
+    mut process_stream: TcpStream,
+    store_address: SocketAddrV4,
+    fault_receiver: watch::Receiver<ConnectionFault>,
 ) {
-    let Ok(mut far) = TcpStream::connect(store).await else {
+    let Ok(mut store_stream) = TcpStream::connect(store_address).await else {
         return;
     };
-    let (mut near_read, mut near_write) = near.split();
-    let (mut far_read, mut far_write) = far.split();
-    let out = copy(&mut near_read, &mut far_write);
-    let back = async {
+    let (mut process_reader, mut process_writer) = process_stream.split();
+    let (mut store_reader, mut store_writer) = store_stream.split();
+    let upstream = copy(&mut process_reader, &mut store_writer);
+    let downstream = async {
         let mut buffer = [0; 4_096];
         loop {
-            let length = far_read.read(&mut buffer).await.unwrap_or(0);
+            let length = store_reader.read(&mut buffer).await.unwrap_or(0);
             if length == 0 {
                 return;
             }
-            if *fault.borrow() == ConnectionFault::Silent {
-                // Nothing more comes on a connection that has lost an answer.
+            if *fault_receiver.borrow() == ConnectionFault::Silent {
+                // A connection that has lost data stays silent after the fault ends.
                 std::future::pending::<()>().await;
             }
-            if near_write.write_all(&buffer[..length]).await.is_err() {
+            if process_writer.write_all(&buffer[..length]).await.is_err() {
                 return;
             }
         }
     };
-    let mut watched = fault.clone();
-    let is_reset = watched.wait_for(|fault| *fault == ConnectionFault::Reset);
+    let mut reset_receiver = fault_receiver.clone();
+    let reset = reset_receiver.wait_for(|fault| *fault == ConnectionFault::Reset);
     tokio::select! {
-        _ = out => {}
-        () = back => {}
-        _ = is_reset => {}
+        _ = upstream => {}
+        () = downstream => {}
+        _ = reset => {}
     }
 }
--- a/crates/soak/src/router.rs
+++ b/crates/soak/src/router.rs
@@ -1,4 +1,4 @@
-//! A stand-in of the routers that hand callers' packets to balancers.
+//! A stand-in for the routers that send the packets of callers to balancers.
 
 use std::cell::RefCell;
 use std::net::Ipv4Addr;
@@ -12,80 +12,94 @@
 use hyssopstair_wire::carried::FlowKey;
 use tokio::time::sleep;
 
-use crate::http_call::call;
-use crate::network::READINESS;
+use crate::http_call::send_http_request;
+use crate::network::READINESS_PORT;
 
-/// Time between two questions whether a balancer is ready.
+/// Time between two readiness probes of a balancer.
 const PROBE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time in which it is to answer.
+/// Timeout of a readiness probe.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Misses in a row after which it gets no more packets.
-const MISSES: u8 = 2;
+/// Consecutive failed probes after which a balancer gets no more packets.
+const MAX_FAILED_PROBES: u8 = 2;
 
-/// The routers.
+/// The routers in front of the balancers.
 #[derive(Debug, Clone)]
 pub struct SoakRouter {
-    /// Balancers with their misses in a row.
+    /// Balancers with their numbers of consecutive failed probes.
     balancers: Rc<RefCell<Vec<(Ipv4Addr, u8)>>>,
-    moves_all: bool,
+    /// Whether flows are assigned by their hash modulo the number of ready balancers,
+    /// instead of by rendezvous hashing.
+    uses_modulo_hashing: bool,
 }
 
 impl SoakRouter {
-    /// Creates routers that have not seen a balancer ready yet.
-    pub fn new(balancers: &[Ipv4Addr], moves_all: bool) -> Self {
-        let balancers = balancers.iter().map(|address| (*address, MISSES)).collect();
+    /// Creates routers to which no balancer is ready yet.
+    pub fn new(balancers: &[Ipv4Addr], uses_modulo_hashing: bool) -> Self {
+        let balancers = balancers
+            .iter()
+            .map(|address| (*address, MAX_FAILED_PROBES))
+            .collect();
         Self {
             balancers: Rc::new(RefCell::new(balancers)),
-            moves_all,
+            uses_modulo_hashing,
         }
     }
 
-    /// Asks the balancers from now on whether they are ready.
-    pub fn start(&self) {
+    /// Starts to probe the balancers.
+    pub fn start_probes(&self) {
         let count = self.balancers.borrow().len();
         for index in 0..count {
-            tokio::task::spawn_local(self.clone().probe(index));
+            tokio::task::spawn_local(self.clone().probe_balancer(index));
         }
     }
 
-    /// Returns the balancer that gets the packets of a flow now.
-    pub fn pick(&self, flow: &FlowKey) -> Option<Ipv4Addr> {
+    /// Returns the balancer to which the packets of a flow are sent now, or `None` if
+    /// there are no balancers. If less than half of the balancers are ready, readiness is
+    /// ignored.
+    pub fn select_balancer(&self, flow: &FlowKey) -> Option<Ipv4Addr> {
         let balancers = self.balancers.borrow();
         let mut ready: Vec<Ipv4Addr> = balancers
             .iter()
-            .filter(|(_, misses)| *misses < MISSES)
+            .filter(|(_, failed_probes)| *failed_probes < MAX_FAILED_PROBES)
             .map(|(address, _)| *address)
             .collect();
         if ready.len() * 2 < balancers.len() {
             ready = balancers.iter().map(|(address, _)| *address).collect();
         }
         let hash = hash_flow(flow);
-        if self.moves_all {
+        if self.uses_modulo_hashing {
             return ready.get(hash as usize % ready.len().max(1)).copied();
         }
         rank_hosts(hash, &mut ready);
         ready.first().copied()
     }
 
-    async fn probe(self, index: usize) {
+    async fn probe_balancer(self, index: usize) {
         loop {
             let address = self.balancers.borrow()[index].0;
-            let at = SocketAddrV4::new(address, READINESS);
-            let answer = call(at, Method::GET, "/readyz", String::new(), PROBE_TIMEOUT).await;
+            let endpoint = SocketAddrV4::new(address, READINESS_PORT);
+            let answer = send_http_request(
+                endpoint,
+                Method::GET,
+                "/readyz",
+                String::new(),
+                PROBE_TIMEOUT,
+            )
+            .await;
             let is_ready = answer.is_some_and(|(status, _)| status == 200);
-            self.note_probe(index, is_ready);
+            self.record_probe(index, is_ready);
             sleep(PROBE_INTERVAL).await;
         }
     }
 
-    fn note_probe(&self, index: usize, is_ready: bool) {
-        let misses = &mut self.balancers.borrow_mut()[index].1;
-        *misses = if is_ready {
+    fn record_probe(&self, index: usize, is_ready: bool) {
+        let failed_probes = &mut self.balancers.borrow_mut()[index].1;
+        *failed_probes = if is_ready {
             0
         } else {
-            misses.saturating_add(1)
+            failed_probes.saturating_add(1)
         };
     }
 }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! Plays a plan from the first start to the verdict.
+//! Executes a plan, from the start of the processes to the report.
 
 use std::cell::RefCell;
 use std::path::Path;
@@ -21,52 +21,52 @@
 use crate::SoakError;
 use crate::caller::SoakCaller;
 use crate::fleet::SoakFleet;
-use crate::fleet::configuration::service_of;
-use crate::fleet::configuration::target;
+use crate::fleet::configuration::initial_service;
+use crate::fleet::configuration::target_address;
 use crate::judge::SoakJudge;
 use crate::judge::SoakTally;
 use crate::network::SoakNetwork;
-use crate::plan::CALM_END;
+use crate::plan::RECOVERY_PERIOD;
 use crate::plan::SoakPlan;
-use crate::program::Program;
-use crate::program::ProgramRole;
+use crate::program::ProcessRole;
+use crate::program::SoakProcess;
 use crate::relay::SoakRelay;
 use crate::router::SoakRouter;
 use crate::server::SoakServer;
 use crate::store::SoakStore;
 
-/// Callers for each host.
+/// Number of callers for each host.
 const CALLERS_PER_HOST: usize = 4;
 
-/// Time before the callers begin.
-const CALLERS_AFTER: Duration = Duration::from_secs(2);
+/// Delay after the start of the run before callers send requests.
+const CALLER_START_DELAY: Duration = Duration::from_secs(2);
 
-/// Time at the end in which nearly everything is to be answered.
-const JUDGED_END: Duration = Duration::from_secs(4);
+/// Time at the end of a run in which most requests must be answered.
+const FINAL_CHECK_PERIOD: Duration = Duration::from_secs(4);
 
-/// What a run needs beside its plan.
+/// The program and the directory of a run.
 #[derive(Debug, Clone)]
 pub struct SoakOptions {
-    /// The program to run.
+    /// Path of the hyssopstaird program.
     pub program: PathBuf,
-    /// Directory for settings and logs.
+    /// Directory for settings and logs, which is created if needed.
     pub directory: PathBuf,
 }
 
-/// What a run has shown.
+/// The result of a run.
 #[derive(Debug)]
 pub struct SoakReport {
     seed: u64,
     processes: usize,
     events: usize,
     tally: SoakTally,
-    /// The broken promises.
+    /// Descriptions of the violated invariants.
     pub findings: Vec<String>,
 }
 
 impl SoakReport {
     /// Returns the report as a line of JSON.
-    pub fn line(&self) -> String {
+    pub fn to_json_line(&self) -> String {
         let SoakTally {
             answered,
             late,
@@ -83,11 +83,11 @@
     }
 }
 
-/// Plays a plan.
+/// Executes a plan and returns its report.
 ///
 /// # Errors
 ///
-/// Returns an error when the run cannot be set up.
+/// Returns an error if the run cannot be set up or is interrupted by a signal.
 pub fn run_plan(plan: &SoakPlan, options: &SoakOptions) -> Result<SoakReport, Report<SoakError>> {
     let context = || SoakError("failed to set up the run".to_owned());
     std::fs::create_dir_all(&options.directory).change_context_lazy(context)?;
@@ -96,81 +96,85 @@
         .build()
         .change_context_lazy(context)?;
     LocalSet::new().block_on(&runtime, async {
-        // What was started ends with the fleet.
+        // Dropping the fleet kills all processes that it started.
         let mut terminate = signal(SignalKind::terminate()).change_context_lazy(context)?;
         tokio::select! {
-            report = play(plan, options) => report,
-            _ = terminate.recv() => Err(Report::new(SoakError("told to stop".to_owned()))),
-            _ = ctrl_c() => Err(Report::new(SoakError("interrupted".to_owned()))),
+            report = execute_plan(plan, options) => report,
+            _ = terminate.recv() => Err(Report::new(SoakError("terminated by SIGTERM".to_owned()))),
+            _ = ctrl_c() => Err(Report::new(SoakError("interrupted by SIGINT".to_owned()))),
         }
     })
 }
 
-async fn play(plan: &SoakPlan, options: &SoakOptions) -> Result<SoakReport, Report<SoakError>> {
-    let started = Instant::now();
-    let network = SoakNetwork::take()?;
-    let judge = Rc::new(RefCell::new(SoakJudge::new(started)));
-    let fleet = set_up(plan, options, &network, &judge).await?;
+async fn execute_plan(
+    plan: &SoakPlan,
+    options: &SoakOptions,
+) -> Result<SoakReport, Report<SoakError>> {
+    let started_at = Instant::now();
+    let network = SoakNetwork::reserve()?;
+    let judge = Rc::new(RefCell::new(SoakJudge::new(started_at)));
+    let fleet = create_fleet(plan, options, &network, &judge).await?;
     start_callers(plan, &network, &judge).await?;
-    fleet.configure();
-    for host in 0..plan.hosts {
-        fleet.set_service(host, service_of(host));
+    fleet.write_configuration();
+    for host in 0..plan.host_count {
+        fleet.set_service(host, initial_service(host));
         fleet.start_server(host, Duration::ZERO).await;
     }
-    let watches = [
-        spawn_local(fleet.clone().watch()),
-        spawn_local(fleet.clone().watch_versions()),
+    let watch_tasks = [
+        spawn_local(fleet.clone().supervise()),
+        spawn_local(fleet.clone().check_versions()),
     ];
-    for timed in &plan.events {
-        sleep_until((started + timed.at).into()).await;
-        fleet.act(timed.event, timed.lasts);
+    for timed_event in &plan.events {
+        sleep_until((started_at + timed_event.at).into()).await;
+        fleet.apply_event(timed_event.event, timed_event.duration);
     }
-    sleep_until((started + plan.length - JUDGED_END.min(CALM_END)).into()).await;
-    judge.borrow_mut().is_calm_end = true;
-    sleep_until((started + plan.length).into()).await;
-    judge.borrow_mut().judge_calm_end(Instant::now());
-    for watch in watches {
-        watch.abort();
+    sleep_until((started_at + plan.run_time - FINAL_CHECK_PERIOD.min(RECOVERY_PERIOD)).into())
+        .await;
+    judge.borrow_mut().is_final_check = true;
+    sleep_until((started_at + plan.run_time).into()).await;
+    judge.borrow_mut().check_final_requests(Instant::now());
+    for task in watch_tasks {
+        task.abort();
     }
     fleet.stop_all().await;
     let judge = judge.borrow();
     Ok(SoakReport {
         seed: plan.seed,
-        processes: plan.balancers + plan.hosts,
+        processes: plan.balancer_count + plan.host_count,
         events: plan.events.len(),
         tally: judge.tally,
         findings: judge.findings.clone(),
     })
 }
 
-async fn set_up(
+async fn create_fleet(
     plan: &SoakPlan,
     options: &SoakOptions,
     network: &SoakNetwork,
     judge: &Rc<RefCell<SoakJudge>>,
 ) -> Result<SoakFleet, Report<SoakError>> {
-    let context = || SoakError("an address is taken".to_owned());
+    let context = || SoakError("failed to bind an address".to_owned());
     let store = SoakStore::default();
     store
-        .start(network.store())
+        .start(network.store_address())
         .await
         .change_context_lazy(context)?;
-    let relay = SoakRelay::new(plan.seed, network.store());
-    let programs = create_programs(plan, network, &options.program, &options.directory)?;
-    for program in &programs {
-        let address = program.address;
-        let store_side = network.store_of(address);
+    let relay = SoakRelay::new(plan.seed, network.store_address());
+    let processes = create_processes(plan, network, &options.program, &options.directory)?;
+    for process in &processes {
+        let address = process.address;
+        let store_listen_address = network.store_relay_address(address);
         relay
-            .add(address, store_side)
+            .add_process(address, store_listen_address)
             .await
             .change_context_lazy(context)?;
     }
-    let servers = (0..plan.hosts)
-        .map(|host| SoakServer::new(network.host(host), Rc::clone(judge)))
+    let servers = (0..plan.host_count)
+        .map(|host| SoakServer::new(network.host_address(host), Rc::clone(judge)))
         .collect();
     Ok(SoakFleet::new(
-        programs,
-        plan.balancers,
+        processes,
+        plan.balancer_count,
         servers,
         relay,
         store,
@@ -179,17 +183,17 @@
     ))
 }
 
-fn create_programs(
+fn create_processes(
     plan: &SoakPlan,
     network: &SoakNetwork,
     program: &Path,
     directory: &Path,
-) -> Result<Vec<Program>, Report<SoakError>> {
-    let balancers = (0..plan.balancers).map(|number| (ProgramRole::Balancer, number));
-    let hosts = (0..plan.hosts).map(|number| (ProgramRole::Host, number));
+) -> Result<Vec<SoakProcess>, Report<SoakError>> {
+    let balancers = (0..plan.balancer_count).map(|number| (ProcessRole::Balancer, number));
+    let hosts = (0..plan.host_count).map(|number| (ProcessRole::Host, number));
     balancers
         .chain(hosts)
-        .map(|(role, number)| Program::create(network, role, number, program, directory))
+        .map(|(role, number)| SoakProcess::create(network, role, number, program, directory))
         .collect()
 }
 
@@ -198,23 +202,23 @@
     network: &SoakNetwork,
     judge: &Rc<RefCell<SoakJudge>>,
 ) -> Result<(), Report<SoakError>> {
-    let balancers: Vec<_> = (0..plan.balancers)
-        .map(|number| network.balancer(number))
+    let balancers: Vec<_> = (0..plan.balancer_count)
+        .map(|number| network.balancer_address(number))
         .collect();
-    let router = SoakRouter::new(&balancers, plan.moves_all);
-    router.start();
-    for number in 0..(plan.hosts * CALLERS_PER_HOST).min(200) {
-        let caller = SoakCaller::create(
-            network.caller(number),
+    let router = SoakRouter::new(&balancers, plan.uses_modulo_hashing);
+    router.start_probes();
+    for number in 0..(plan.host_count * CALLERS_PER_HOST).min(200) {
+        let caller = SoakCaller::bind(
+            network.caller_address(number),
             router.clone(),
             Rc::clone(judge),
-            (0..4).map(target).collect(),
+            (0..4).map(target_address).collect(),
             plan.seed.wrapping_mul(1_000) + number as u64,
         )
         .await
-        .change_context_lazy(|| SoakError("an address is taken".to_owned()))?;
+        .change_context_lazy(|| SoakError("failed to bind an address".to_owned()))?;
         spawn_local(async move {
-            tokio::time::sleep(CALLERS_AFTER).await;
+            tokio::time::sleep(CALLER_START_DELAY).await;
             caller.run().await;
         });
     }
--- a/crates/soak/src/server.rs
+++ b/crates/soak/src/server.rs
@@ -1,4 +1,8 @@
-//! A stand-in of a backend server beside a host.
+//! A stand-in for the backend server beside a host.
+//!
+//! A server can crash, drain and start again as another incarnation, possibly for
+//! another service or with its clock set back. It reports violated invariants to the
+//! judge.
 
 use std::cell::RefCell;
 use std::io::ErrorKind;
@@ -24,217 +28,235 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-use crate::http_call::call;
+use crate::http_call::send_http_request;
 use crate::judge::SoakJudge;
-use crate::network::HEARTBEATS;
-use crate::network::OUTBOUND;
-use crate::network::SERVER;
+use crate::network::HEARTBEAT_PORT;
+use crate::network::OUTBOUND_PORT;
+use crate::network::SERVER_PORT;
 
 /// Time between two heartbeats.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Time in which a heartbeat is to be confirmed.
-const CONFIRM_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Timeout of a request to the host, such as a heartbeat.
+const HOST_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Requests that a server works on at the same time.
-const SLOTS: u64 = 2;
+/// Requests that a server can run at the same time, as its heartbeats report.
+const CAPACITY: u64 = 2;
 
-/// Work of a request, in milliseconds; more for some, by their position.
-const WORK_MILLIS: u64 = 6;
+/// Minimum time that a request takes, in milliseconds. It is multiplied by one to four,
+/// depending on the request's position in the stream, and grows with the number of
+/// running requests.
+const MIN_RUN_MILLIS: u64 = 6;
 
-/// Attempts to bind an address that an earlier life has, and the pause between.
+/// Attempts to bind an address that an earlier incarnation may still hold.
 const BIND_ATTEMPTS: u32 = 20;
-const BIND_PAUSE: Duration = Duration::from_millis(50);
+/// Delay between two attempts to bind an address.
+const BIND_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Byte of a packet with its flags, and the mark of one that is handed back.
-const FLAGS_AT: usize = 2;
-const BOUNCED: u8 = 16;
+/// Offset of the flags in a packet.
+const FLAGS_OFFSET: usize = 2;
+/// Flag of a packet that the server returns to its host because it does not hold the flow.
+const BOUNCED_FLAG: u8 = 16;
 
-/// A flow at a server.
+/// State of a flow at a server.
 #[derive(Debug)]
 struct ServerFlow {
     key: FlowKey,
     /// Position at which the server's stream starts.
-    start: u32,
+    stream_start: u32,
     is_open: bool,
-    /// The request answered last: its end, and the packet with the answer.
-    answered: Option<(u32, Vec<u8>)>,
-    /// End of the request that is worked on.
-    running: Option<u32>,
+    /// End position of the request that was answered last, and the packet with its answer.
+    last_answer: Option<(u32, Vec<u8>)>,
+    /// End position of the request that is running.
+    running_end: Option<u32>,
 }
 
-/// One life of a server.
+/// State of one incarnation of a server.
 #[derive(Debug)]
-struct ServerLife {
+struct ServerIncarnation {
     number: u64,
     id: String,
-    born: u64,
+    /// Start time by the server's clock, in milliseconds since the Unix epoch.
+    started_at: u64,
     service: String,
-    sequence: u64,
+    /// Sequence number of the last heartbeat.
+    heartbeat_sequence: u64,
     is_draining: bool,
-    /// When the host confirmed that it knows of the drain.
-    drain_confirmed: Option<Instant>,
+    /// Time at which the host acknowledged that the server is draining.
+    drain_confirmed_at: Option<Instant>,
+    /// Sorted by key.
     flows: Vec<ServerFlow>,
-    running: u64,
+    /// Number of requests that are running.
+    running_count: u64,
     tasks: Vec<AbortHandle>,
 }
 
-/// A server, alive or not.
+/// A server, whether it is running or not.
 #[derive(Debug, Clone)]
 pub struct SoakServer {
     address: Ipv4Addr,
     judge: Rc<RefCell<SoakJudge>>,
-    life: Rc<RefCell<Option<ServerLife>>>,
-    lives: Rc<RefCell<u64>>,
+    /// The current incarnation; `None` if the server is not running.
+    incarnation: Rc<RefCell<Option<ServerIncarnation>>>,
+    /// Number of incarnations so far.
+    incarnation_count: Rc<RefCell<u64>>,
 }
 
 impl SoakServer {
-    /// Creates a server that is not started.
+    /// Creates a server that is not running.
     pub fn new(address: Ipv4Addr, judge: Rc<RefCell<SoakJudge>>) -> Self {
         Self {
             address,
             judge,
-            life: Rc::default(),
-            lives: Rc::default(),
+            incarnation: Rc::default(),
+            incarnation_count: Rc::default(),
         }
     }
 
-    /// Returns whether it is alive.
-    pub fn is_alive(&self) -> bool {
-        self.life.borrow().is_some()
+    /// Returns whether the server is running.
+    pub fn is_running(&self) -> bool {
+        self.incarnation.borrow().is_some()
     }
 
-    /// Starts a life that serves `service`, whose clock is `set_back` behind.
+    /// Starts an incarnation that serves `service` and whose clock is `clock_offset`
+    /// behind. Does nothing if the server is running.
     ///
     /// # Errors
     ///
-    /// Returns an error when its address is taken.
-    pub async fn start(&self, service: &str, set_back: Duration) -> std::io::Result<()> {
-        if self.is_alive() {
+    /// Returns an error if the server's address is in use.
+    pub async fn start(&self, service: &str, clock_offset: Duration) -> std::io::Result<()> {
+        if self.is_running() {
             return Ok(());
         }
-        let socket = Rc::new(self.bind().await?);
-        let health = TcpListener::bind((self.address, SERVER)).await?;
-        let number = *self.lives.borrow() + 1;
-        *self.lives.borrow_mut() = number;
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH);
-        let unix = unix.unwrap_or_default().saturating_sub(set_back);
-        *self.life.borrow_mut() = Some(ServerLife {
+        let socket = Rc::new(self.bind_socket().await?);
+        let health_listener = TcpListener::bind((self.address, SERVER_PORT)).await?;
+        let number = *self.incarnation_count.borrow() + 1;
+        *self.incarnation_count.borrow_mut() = number;
+        let unix_time = SystemTime::now().duration_since(UNIX_EPOCH);
+        let unix_time = unix_time.unwrap_or_default().saturating_sub(clock_offset);
+        *self.incarnation.borrow_mut() = Some(ServerIncarnation {
             number,
             id: format!("i-{}-{}", self.address, number / 2),
-            born: unix.as_millis() as u64,
+            started_at: unix_time.as_millis() as u64,
             service: service.to_owned(),
-            sequence: 0,
+            heartbeat_sequence: 0,
             is_draining: false,
-            drain_confirmed: None,
+            drain_confirmed_at: None,
             flows: Vec::new(),
-            running: 0,
+            running_count: 0,
             tasks: Vec::new(),
         });
         let tasks = [
-            spawn_local(self.clone().receive(socket)).abort_handle(),
-            spawn_local(self.clone().beat(number)).abort_handle(),
-            spawn_local(answer_health(health)).abort_handle(),
+            spawn_local(self.clone().receive_packets(socket)).abort_handle(),
+            spawn_local(self.clone().send_heartbeats(number)).abort_handle(),
+            spawn_local(serve_health_checks(health_listener)).abort_handle(),
         ];
-        if let Some(life) = self.life.borrow_mut().as_mut() {
-            life.tasks.extend(tasks);
+        if let Some(incarnation) = self.incarnation.borrow_mut().as_mut() {
+            incarnation.tasks.extend(tasks);
         }
         Ok(())
     }
 
-    /// Binds the address; requests of an earlier life may hold it a little longer.
-    async fn bind(&self) -> std::io::Result<UdpSocket> {
-        let mut left = BIND_ATTEMPTS;
+    /// Binds the socket for packets. Retries while the address is in use, because requests
+    /// of an earlier incarnation may still hold the socket.
+    async fn bind_socket(&self) -> std::io::Result<UdpSocket> {
+        let mut remaining_attempts = BIND_ATTEMPTS;
         loop {
-            left -= 1;
-            match UdpSocket::bind((self.address, SERVER)).await {
-                Err(error) if left > 0 && error.kind() == ErrorKind::AddrInUse => {
-                    sleep(BIND_PAUSE).await;
+            remaining_attempts -= 1;
+            match UdpSocket::bind((self.address, SERVER_PORT)).await {
+                Err(error) if remaining_attempts > 0 && error.kind() == ErrorKind::AddrInUse => {
+                    sleep(BIND_RETRY_DELAY).await;
                 }
                 result => return result,
             }
         }
     }
 
-    /// Ends the server without notice.
+    /// Stops the server without a drain.
     pub fn crash(&self) {
-        if let Some(life) = self.life.borrow_mut().take() {
-            for task in life.tasks {
+        if let Some(incarnation) = self.incarnation.borrow_mut().take() {
+            for task in incarnation.tasks {
                 task.abort();
             }
-            self.judge.borrow_mut().note_server_end(self.address);
+            self.judge.borrow_mut().record_server_end(self.address);
         }
     }
 
-    /// Lets the server leave: it says so, goes on for `linger`, and ends.
-    pub async fn leave(&self, linger: Duration) {
-        let Some(number) = self.life.borrow_mut().as_mut().map(|life| {
-            life.is_draining = true;
-            life.number
+    /// Drains the server: it reports that it is draining, keeps serving for `stop_delay`
+    /// after the next heartbeat, deregisters, and stops.
+    pub async fn drain(&self, stop_delay: Duration) {
+        let Some(number) = self.incarnation.borrow_mut().as_mut().map(|incarnation| {
+            incarnation.is_draining = true;
+            incarnation.number
         }) else {
             return;
         };
-        sleep(HEARTBEAT_INTERVAL + linger).await;
-        let is_same = |life: &ServerLife| life.number == number;
+        sleep(HEARTBEAT_INTERVAL + stop_delay).await;
+        let is_current = |incarnation: &ServerIncarnation| incarnation.number == number;
         let id = self
-            .life
+            .incarnation
             .borrow()
             .as_ref()
-            .filter(|life| is_same(life))
-            .map(|life| life.id.clone());
+            .filter(|incarnation| is_current(incarnation))
+            .map(|incarnation| incarnation.id.clone());
         if let Some(id) = id {
             let path = format!("/Instances.Deregister/{id}");
-            // A server that gets no answer ends all the same.
-            let _ = self.tell(&path, String::new()).await;
-            let is_present = self.life.borrow().as_ref().is_some_and(is_same);
-            if is_present {
+            // The server stops whether or not the host acknowledges.
+            let _ = self.post_to_host(&path, String::new()).await;
+            let is_still_current = self.incarnation.borrow().as_ref().is_some_and(is_current);
+            if is_still_current {
                 self.crash();
             }
         }
     }
 
-    async fn beat(self, number: u64) {
+    async fn send_heartbeats(self, number: u64) {
         loop {
-            let Some((path, body, is_draining)) = self.heartbeat(number) else {
+            let Some((path, body, is_draining)) = self.build_heartbeat(number) else {
                 return;
             };
-            let answer = self.tell(&path, body).await;
-            let is_confirmed = answer.is_some_and(|status| status == 200);
-            if let Some(life) = self.life.borrow_mut().as_mut()
-                && is_confirmed
+            let answer = self.post_to_host(&path, body).await;
+            let is_acknowledged = answer.is_some_and(|status| status == 200);
+            if let Some(incarnation) = self.incarnation.borrow_mut().as_mut()
+                && is_acknowledged
                 && is_draining
             {
-                life.drain_confirmed.get_or_insert_with(Instant::now);
+                incarnation
+                    .drain_confirmed_at
+                    .get_or_insert_with(Instant::now);
             }
             sleep(HEARTBEAT_INTERVAL).await;
         }
     }
 
-    fn heartbeat(&self, number: u64) -> Option<(String, String, bool)> {
-        let mut life = self.life.borrow_mut();
-        let life = life.as_mut().filter(|life| life.number == number)?;
-        life.sequence += 1;
-        let state = if life.is_draining {
+    fn build_heartbeat(&self, number: u64) -> Option<(String, String, bool)> {
+        let mut incarnation = self.incarnation.borrow_mut();
+        let incarnation = incarnation
+            .as_mut()
+            .filter(|incarnation| incarnation.number == number)?;
+        incarnation.heartbeat_sequence += 1;
+        let state = if incarnation.is_draining {
             "draining"
         } else {
             "ready"
         };
         let body = json!({
-            "service": life.service, "address": format!("{}:{SERVER}", self.address),
-            "zone": "z0", "version": "v1", "capacity": SLOTS, "state": state,
-            "coldRemainingMs": 0, "sequence": life.sequence, "born": life.born,
+            "service": incarnation.service, "address": format!("{}:{SERVER_PORT}", self.address),
+            "zone": "z0", "version": "v1", "capacity": CAPACITY, "state": state,
+            "coldRemainingMs": 0, "sequence": incarnation.heartbeat_sequence,
+            "born": incarnation.started_at,
         });
-        let path = format!("/Instances.Heartbeat/{}", life.id);
-        Some((path, body.to_string(), life.is_draining))
+        let path = format!("/Instances.Heartbeat/{}", incarnation.id);
+        Some((path, body.to_string(), incarnation.is_draining))
     }
 
-    async fn tell(&self, path: &str, body: String) -> Option<u16> {
-        let host = SocketAddrV4::new(self.address, HEARTBEATS);
-        let answer = call(host, Method::POST, path, body, CONFIRM_TIMEOUT).await;
+    async fn post_to_host(&self, path: &str, body: String) -> Option<u16> {
+        let host = SocketAddrV4::new(self.address, HEARTBEAT_PORT);
+        let answer = send_http_request(host, Method::POST, path, body, HOST_TIMEOUT).await;
         answer.map(|(status, _)| status)
     }
 
-    async fn receive(self, socket: Rc<UdpSocket>) {
+    async fn receive_packets(self, socket: Rc<UdpSocket>) {
         let mut buffer = [0; 2_048];
         loop {
             let Ok((length, _)) = socket.recv_from(&mut buffer).await else {
@@ -242,94 +264,105 @@
             };
             let bytes = &mut buffer[..length];
             let Some(header) = decode_header(bytes) else {
-                let text = format!("server {} got what is no packet", self.address);
-                self.judge.borrow_mut().find(Instant::now(), &text);
+                let finding = format!("server {} received a malformed packet", self.address);
+                self.judge
+                    .borrow_mut()
+                    .record_finding(Instant::now(), &finding);
                 continue;
             };
             if header.is_open && !header.has_ack {
-                self.take_opening(&socket, &header);
+                self.handle_opening(&socket, &header);
             } else {
-                self.take_middle(&socket, &header, bytes);
+                self.handle_packet(&socket, &header, bytes);
             }
         }
     }
 
-    fn send(&self, socket: &UdpSocket, bytes: &[u8]) {
-        // A datagram that cannot be sent is lost.
-        let _ = socket.try_send_to(bytes, (self.address, OUTBOUND).into());
+    fn send_packet(&self, socket: &UdpSocket, bytes: &[u8]) {
+        // A datagram that cannot be sent counts as lost.
+        let _ = socket.try_send_to(bytes, (self.address, OUTBOUND_PORT).into());
     }
 
-    fn take_opening(&self, socket: &UdpSocket, header: &PacketHeader) {
-        let mut life = self.life.borrow_mut();
-        let Some(life) = life.as_mut() else {
+    fn handle_opening(&self, socket: &UdpSocket, header: &PacketHeader) {
+        let mut incarnation = self.incarnation.borrow_mut();
+        let Some(incarnation) = incarnation.as_mut() else {
             return;
         };
         let key = header.caller_flow();
         let now = Instant::now();
         let mut judge = self.judge.borrow_mut();
-        judge.judge_opening(now, &key, &life.service, self.address);
-        if let Some(confirmed) = life.drain_confirmed {
-            judge.judge_drain(now, confirmed, self.address);
+        judge.check_opening(now, &key, &incarnation.service, self.address);
+        if let Some(confirmed_at) = incarnation.drain_confirmed_at {
+            judge.check_drain(now, confirmed_at, self.address);
         }
         let octets = self.address.octets();
-        let start =
-            (life.number as u32) << 24 | u32::from(octets[3]) << 16 | u32::from(key.caller.port());
-        let index = match life.flows.binary_search_by_key(&key, |flow| flow.key) {
+        let stream_start = (incarnation.number as u32) << 24
+            | u32::from(octets[3]) << 16
+            | u32::from(key.caller.port());
+        let index = match incarnation
+            .flows
+            .binary_search_by_key(&key, |flow| flow.key)
+        {
             Ok(index) => index,
             Err(index) => {
                 let flow = ServerFlow {
                     key,
-                    start,
+                    stream_start,
                     is_open: false,
-                    answered: None,
-                    running: None,
+                    last_answer: None,
+                    running_end: None,
                 };
-                life.flows.insert(index, flow);
+                incarnation.flows.insert(index, flow);
                 index
             }
         };
-        if life.flows[index].is_open {
+        if incarnation.flows[index].is_open {
             return;
         }
         let reply = PacketHeader {
             is_open: true,
-            sequence: start,
+            sequence: stream_start,
             acknowledged: header.sequence.wrapping_add(1),
-            ..reply_to(header)
+            ..reply_header(header)
         };
-        self.send(socket, &encode_header(&reply));
+        self.send_packet(socket, &encode_header(&reply));
     }
 
-    fn take_middle(&self, socket: &Rc<UdpSocket>, header: &PacketHeader, bytes: &mut [u8]) {
-        let mut life = self.life.borrow_mut();
-        let Some(life) = life.as_mut() else {
+    fn handle_packet(&self, socket: &Rc<UdpSocket>, header: &PacketHeader, bytes: &mut [u8]) {
+        let mut incarnation = self.incarnation.borrow_mut();
+        let Some(incarnation) = incarnation.as_mut() else {
             return;
         };
         let key = header.caller_flow();
-        let found = life.flows.binary_search_by_key(&key, |flow| flow.key).ok();
+        let found = incarnation
+            .flows
+            .binary_search_by_key(&key, |flow| flow.key)
+            .ok();
         let index = found.filter(|index| {
-            let flow = &life.flows[*index];
-            flow.is_open || header.acknowledged == flow.start.wrapping_add(1)
+            let flow = &incarnation.flows[*index];
+            flow.is_open || header.acknowledged == flow.stream_start.wrapping_add(1)
         });
         let now = Instant::now();
         let Some(index) = index else {
-            self.judge.borrow_mut().judge_stray(now, &key, self.address);
-            bytes[FLAGS_AT] |= BOUNCED;
-            self.send(socket, bytes);
+            self.judge
+                .borrow_mut()
+                .check_misrouted(now, &key, self.address);
+            bytes[FLAGS_OFFSET] |= BOUNCED_FLAG;
+            self.send_packet(socket, bytes);
             return;
         };
-        if !life.flows[index].is_open {
-            life.flows[index].is_open = true;
-            self.judge.borrow_mut().note_open(key, self.address);
+        if !incarnation.flows[index].is_open {
+            incarnation.flows[index].is_open = true;
+            self.judge.borrow_mut().record_open_flow(key, self.address);
         }
-        self.judge.borrow_mut().note_own(&key);
+        self.judge.borrow_mut().record_delivery(&key);
         if header.is_finish {
-            life.flows.remove(index);
+            incarnation.flows.remove(index);
             let reply = PacketHeader {
                 is_finish: true,
-                ..reply_to(header)
+                ..reply_header(header)
             };
-            self.send(socket, &encode_header(&reply));
+            self.send_packet(socket, &encode_header(&reply));
             return;
         }
         let data = &bytes[HEADER_BYTES..];
@@ -337,79 +370,94 @@
             return;
         }
         let text = String::from_utf8_lossy(data).into_owned();
-        if !text.starts_with(&request_start(&key)) {
-            let finding = format!("server {} got a request that nobody sent", self.address);
-            self.judge.borrow_mut().find(now, &finding);
+        if !text.starts_with(&request_prefix(&key)) {
+            let finding = format!(
+                "server {} received a request that no caller sent",
+                self.address
+            );
+            self.judge.borrow_mut().record_finding(now, &finding);
         }
         let end = header.sequence.wrapping_add(u32::from(header.data_length));
-        let flow = &mut life.flows[index];
-        if let Some((answered, packet)) = &flow.answered
-            && *answered == end
+        let flow = &mut incarnation.flows[index];
+        if let Some((answered_end, packet)) = &flow.last_answer
+            && *answered_end == end
         {
             let packet = packet.clone();
-            self.send(socket, &packet);
+            self.send_packet(socket, &packet);
             return;
         }
-        if flow.running.replace(end) == Some(end) {
+        if flow.running_end.replace(end) == Some(end) {
             return;
         }
-        life.running += 1;
-        let waiting = 1 + life.running.saturating_sub(SLOTS) / SLOTS;
-        let work = Duration::from_millis(WORK_MILLIS * waiting * (1 + u64::from(end % 4)));
-        let answer = answer_packet(header, end, &text);
-        let task = self
-            .clone()
-            .work(Rc::clone(socket), life.number, key, end, answer, work);
+        incarnation.running_count += 1;
+        let queue_factor = 1 + incarnation.running_count.saturating_sub(CAPACITY) / CAPACITY;
+        let run_time =
+            Duration::from_millis(MIN_RUN_MILLIS * queue_factor * (1 + u64::from(end % 4)));
+        let answer = encode_answer(header, end, &text);
+        let task = self.clone().run_request(
+            Rc::clone(socket),
+            incarnation.number,
+            key,
+            end,
+            answer,
+            run_time,
+        );
         spawn_local(task);
     }
 
-    async fn work(
+    async fn run_request(
         self,
         socket: Rc<UdpSocket>,
         number: u64,
         key: FlowKey,
         end: u32,
         answer: Vec<u8>,
-        work: Duration,
+        run_time: Duration,
     ) {
-        sleep(work).await;
-        let mut life = self.life.borrow_mut();
-        let Some(life) = life.as_mut().filter(|life| life.number == number) else {
+        sleep(run_time).await;
+        let mut incarnation = self.incarnation.borrow_mut();
+        let Some(incarnation) = incarnation
+            .as_mut()
+            .filter(|incarnation| incarnation.number == number)
+        else {
             return;
         };
-        life.running = life.running.saturating_sub(1);
-        if let Ok(index) = life.flows.binary_search_by_key(&key, |flow| flow.key) {
-            self.send(&socket, &answer);
-            life.flows[index].running = None;
-            life.flows[index].answered = Some((end, answer));
+        incarnation.running_count = incarnation.running_count.saturating_sub(1);
+        if let Ok(index) = incarnation
+            .flows
+            .binary_search_by_key(&key, |flow| flow.key)
+        {
+            self.send_packet(&socket, &answer);
+            incarnation.flows[index].running_end = None;
+            incarnation.flows[index].last_answer = Some((end, answer));
         }
     }
 }
 
-/// Returns the first bytes of any request on a flow.
-pub fn request_start(key: &FlowKey) -> String {
+/// Returns the prefix of all requests on a flow.
+pub fn request_prefix(key: &FlowKey) -> String {
     format!("{} > {}: ", key.caller, key.target)
 }
 
-/// Returns the answer to a request.
-pub fn answer_text(request: &str) -> String {
+/// Returns the text of the answer to a request.
+pub fn build_answer(request: &str) -> String {
     format!("answer to {request}")
 }
 
-fn answer_packet(header: &PacketHeader, end: u32, request: &str) -> Vec<u8> {
-    let text = answer_text(request);
+fn encode_answer(header: &PacketHeader, end: u32, request: &str) -> Vec<u8> {
+    let text = build_answer(request);
     let packet = PacketHeader {
         sequence: header.acknowledged,
         acknowledged: end,
         data_length: text.len() as u16,
-        ..reply_to(header)
+        ..reply_header(header)
     };
     let mut bytes = encode_header(&packet).to_vec();
     bytes.extend_from_slice(text.as_bytes());
     bytes
 }
 
-fn reply_to(header: &PacketHeader) -> PacketHeader {
+fn reply_header(header: &PacketHeader) -> PacketHeader {
     PacketHeader {
         source: header.destination,
         destination: header.source,
@@ -424,9 +472,9 @@
     }
 }
 
-async fn answer_health(listener: TcpListener) {
+async fn serve_health_checks(listener: TcpListener) {
     while let Ok((mut stream, _)) = listener.accept().await {
-        // One who does not wait for the answer asks again.
+        // A host that closes the connection early repeats its health check.
         let answer = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
         let _ = stream.write_all(answer).await;
     }
--- a/crates/soak/src/store.rs
+++ b/crates/soak/src/store.rs
@@ -1,4 +1,4 @@
-//! A stand-in of the store: one configuration, leased items, watches, faults.
+//! A stand-in for the store, with the configuration, leased items, watches and faults.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -28,25 +28,25 @@
 use tokio::time::timeout;
 
 /// Key of the configuration.
-const CONFIGURATION: &str = "op/config";
+const CONFIGURATION_KEY: &str = "op/config";
 
-/// Time in which the store answers.
-const ANSWER_TIME: Duration = Duration::from_millis(2);
+/// Delay of each answer.
+const ANSWER_DELAY: Duration = Duration::from_millis(2);
 
-/// The same while it is slow.
-const SLOW_ANSWER_TIME: Duration = Duration::from_millis(400);
+/// Delay of each answer while the store is slow.
+const SLOW_ANSWER_DELAY: Duration = Duration::from_millis(400);
 
-/// What is wrong with the store.
+/// A fault of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum StoreFault {
-    /// Nothing.
+    /// The store works.
     #[default]
     None,
-    /// It refuses all calls.
+    /// The store rejects all calls.
     Down,
-    /// It answers late.
+    /// The store answers late.
     Slow,
-    /// It carries out calls and does not answer.
+    /// The store executes calls but does not answer them.
     LosesAnswers,
 }
 
@@ -60,14 +60,15 @@
 #[derive(Debug, Default)]
 struct StoreState {
     revision: u64,
-    /// Revision up to which the history is forgotten.
-    forgotten: u64,
+    /// Revision up to which the history is compacted.
+    compacted_revision: u64,
     items: BTreeMap<String, StoreItem>,
+    /// Expiry times of the leases.
     leases: BTreeMap<u64, Instant>,
     fault: StoreFault,
 }
 
-/// The store.
+/// A store in memory.
 #[derive(Debug, Clone, Default)]
 pub struct SoakStore {
     state: Rc<RefCell<StoreState>>,
@@ -75,11 +76,11 @@
 }
 
 impl SoakStore {
-    /// Answers calls at an address from now on.
+    /// Starts to answer calls at an address.
     ///
     /// # Errors
     ///
-    /// Returns an error when the address is taken.
+    /// Returns an error if the address is in use.
     pub async fn start(&self, address: SocketAddrV4) -> std::io::Result<()> {
         let listener = TcpListener::bind(address).await?;
         let store = self.clone();
@@ -87,8 +88,8 @@
             while let Ok((stream, _)) = listener.accept().await {
                 let store = store.clone();
                 tokio::task::spawn_local(async move {
-                    let service = service_fn(|request| store.clone().answer(request));
-                    // How a connection ends shows at the other end.
+                    let service = service_fn(|request| store.clone().answer_request(request));
+                    // The caller notices an error of the connection.
                     let _ = http1::Builder::new()
                         .serve_connection(TokioIo::new(stream), service)
                         .await;
@@ -98,24 +99,28 @@
         Ok(())
     }
 
-    /// Sets what is wrong.
+    /// Sets the fault and wakes all watches.
     pub fn set_fault(&self, fault: StoreFault) {
         self.state.borrow_mut().fault = fault;
         self.changed.notify_waiters();
     }
 
-    /// Forgets all history.
-    pub fn forget(&self) {
+    /// Compacts the history, so that watches from earlier revisions fail.
+    pub fn compact_history(&self) {
         let mut state = self.state.borrow_mut();
-        state.forgotten = state.revision;
+        state.compacted_revision = state.revision;
     }
 
     /// Writes a configuration, as operators do.
-    pub fn configure(&self, configuration: &Value) {
-        self.write(CONFIGURATION, STANDARD.encode(configuration.to_string()), 0);
+    pub fn write_configuration(&self, configuration: &Value) {
+        self.write_item(
+            CONFIGURATION_KEY,
+            STANDARD.encode(configuration.to_string()),
+            0,
+        );
     }
 
-    fn write(&self, key: &str, value: String, lease: u64) -> u64 {
+    fn write_item(&self, key: &str, value: String, lease: u64) -> u64 {
         let mut state = self.state.borrow_mut();
         state.revision += 1;
         let item = StoreItem {
@@ -128,55 +133,61 @@
         state.revision
     }
 
-    async fn answer(self, request: Request<Incoming>) -> Result<Response<Full<Bytes>>, Infallible> {
+    async fn answer_request(
+        self,
+        request: Request<Incoming>,
+    ) -> Result<Response<Full<Bytes>>, Infallible> {
         let fault = self.state.borrow().fault;
         match fault {
-            StoreFault::Down => return Ok(reply(StatusCode::SERVICE_UNAVAILABLE, &json!({}))),
-            StoreFault::Slow => sleep(SLOW_ANSWER_TIME).await,
-            StoreFault::None | StoreFault::LosesAnswers => sleep(ANSWER_TIME).await,
+            StoreFault::Down => return Ok(respond(StatusCode::SERVICE_UNAVAILABLE, &json!({}))),
+            StoreFault::Slow => sleep(SLOW_ANSWER_DELAY).await,
+            StoreFault::None | StoreFault::LosesAnswers => sleep(ANSWER_DELAY).await,
         }
         let path = request.uri().path().to_owned();
         let query = request.uri().query().unwrap_or_default().to_owned();
         let body = request.into_body().collect().await;
         let body = body.map(|body| body.to_bytes()).unwrap_or_default();
         let body: Value = serde_json::from_slice(&body).unwrap_or_default();
-        let (status, answer) = self.carry_out(&path, &query, &body).await;
+        let (status, answer) = self.handle_call(&path, &query, &body).await;
         if self.state.borrow().fault == StoreFault::LosesAnswers {
             std::future::pending::<()>().await;
         }
-        Ok(reply(status, &answer))
+        Ok(respond(status, &answer))
     }
 
-    async fn carry_out(&self, path: &str, query: &str, body: &Value) -> (StatusCode, Value) {
-        self.end_leases();
+    async fn handle_call(&self, path: &str, query: &str, body: &Value) -> (StatusCode, Value) {
+        self.remove_expired_items();
         match path {
-            "/kv-key" => self.get(field(query, "key")),
+            "/kv-key" => self.get_item(query_parameter(query, "key")),
             "/kv-range" => (
                 StatusCode::OK,
-                self.range(field(query, "prefix"), 0, "items"),
+                self.list_items(query_parameter(query, "prefix"), 0, "items"),
             ),
-            "/kv-watch" => self.watch(query).await,
-            "/kv-txn" => self.put(body),
+            "/kv-watch" => self.watch_items(query).await,
+            "/kv-txn" => self.put_items(body),
             "/kv-lease" => {
                 let mut state = self.state.borrow_mut();
                 let lease = state.leases.len() as u64 + 1;
-                let ttl = body["ttlMs"].as_u64().unwrap_or(1_000);
-                let end = Instant::now() + Duration::from_millis(ttl);
-                state.leases.insert(lease, end);
-                (StatusCode::OK, json!({ "lease": lease, "ttlMs": ttl }))
+                let ttl_millis = body["ttlMs"].as_u64().unwrap_or(1_000);
+                let expires_at = Instant::now() + Duration::from_millis(ttl_millis);
+                state.leases.insert(lease, expires_at);
+                (
+                    StatusCode::OK,
+                    json!({ "lease": lease, "ttlMs": ttl_millis }),
+                )
             }
             _ => match path.strip_prefix("/kv-keep/").map(str::parse::<u64>) {
-                Some(Ok(lease)) => self.keep(lease),
+                Some(Ok(lease)) => self.renew_lease(lease),
                 _ => (StatusCode::NOT_FOUND, json!({})),
             },
         }
     }
 
-    fn get(&self, key: &str) -> (StatusCode, Value) {
+    fn get_item(&self, key: &str) -> (StatusCode, Value) {
         let state = self.state.borrow();
         match state.items.get(key) {
             Some(item) => {
-                let mut found = describe(key, item);
+                let mut found = item_json(key, item);
                 found["storeRevision"] = json!(state.revision);
                 (StatusCode::OK, found)
             }
@@ -184,43 +195,43 @@
         }
     }
 
-    fn range(&self, prefix: &str, after: u64, name: &str) -> Value {
+    fn list_items(&self, prefix: &str, after: u64, list_name: &str) -> Value {
         let state = self.state.borrow();
         let items: Vec<Value> = state
             .items
             .iter()
             .filter(|(key, item)| key.starts_with(prefix) && item.revision > after)
-            .map(|(key, item)| describe(key, item))
+            .map(|(key, item)| item_json(key, item))
             .collect();
-        json!({ name: items, "hasMore": false, "storeRevision": state.revision })
+        json!({ list_name: items, "hasMore": false, "storeRevision": state.revision })
     }
 
-    async fn watch(&self, query: &str) -> (StatusCode, Value) {
-        let after: u64 = field(query, "after").parse().unwrap_or(0);
-        let wait: u64 = field(query, "waitMs").parse().unwrap_or(0);
-        let prefix = field(query, "prefix");
-        let end = Instant::now() + Duration::from_millis(wait);
+    async fn watch_items(&self, query: &str) -> (StatusCode, Value) {
+        let after: u64 = query_parameter(query, "after").parse().unwrap_or(0);
+        let wait_millis: u64 = query_parameter(query, "waitMs").parse().unwrap_or(0);
+        let prefix = query_parameter(query, "prefix");
+        let deadline = Instant::now() + Duration::from_millis(wait_millis);
         loop {
-            if after < self.state.borrow().forgotten {
+            if after < self.state.borrow().compacted_revision {
                 return (StatusCode::GONE, json!({}));
             }
-            let found = self.range(prefix, after, "events");
-            let left = end.saturating_duration_since(Instant::now());
-            let has_some = found["events"]
+            let found = self.list_items(prefix, after, "events");
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            let has_events = found["events"]
                 .as_array()
                 .is_some_and(|list| !list.is_empty());
-            if has_some || left.is_zero() {
+            if has_events || remaining.is_zero() {
                 return (StatusCode::OK, found);
             }
-            // Time is up, or something has changed; both are looked at above.
-            let _ = timeout(left, self.changed.notified()).await;
+            // The loop checks whether the wait has timed out or items have changed.
+            let _ = timeout(remaining, self.changed.notified()).await;
             if self.state.borrow().fault == StoreFault::Down {
                 return (StatusCode::SERVICE_UNAVAILABLE, json!({}));
             }
         }
     }
 
-    fn put(&self, body: &Value) -> (StatusCode, Value) {
+    fn put_items(&self, body: &Value) -> (StatusCode, Value) {
         for item in body["puts"].as_array().into_iter().flatten() {
             let lease = item["lease"].as_u64().unwrap_or(0);
             if lease != 0 && !self.state.borrow().leases.contains_key(&lease) {
@@ -228,40 +239,43 @@
             }
             let key = item["key"].as_str().unwrap_or_default();
             let value = item["value"].as_str().unwrap_or_default();
-            self.write(key, value.to_owned(), lease);
+            self.write_item(key, value.to_owned(), lease);
         }
         let revision = self.state.borrow().revision;
         (StatusCode::OK, json!({ "revision": revision }))
     }
 
-    fn keep(&self, lease: u64) -> (StatusCode, Value) {
+    fn renew_lease(&self, lease: u64) -> (StatusCode, Value) {
         match self.state.borrow_mut().leases.get_mut(&lease) {
-            Some(end) => {
-                *end = Instant::now() + Duration::from_secs(30);
+            Some(expires_at) => {
+                *expires_at = Instant::now() + Duration::from_secs(30);
                 (StatusCode::OK, json!({ "lease": lease, "ttlMs": 30_000 }))
             }
             None => (StatusCode::NOT_FOUND, json!({})),
         }
     }
 
-    fn end_leases(&self) {
+    fn remove_expired_items(&self) {
         let mut state = self.state.borrow_mut();
         let now = Instant::now();
         let StoreState { leases, items, .. } = &mut *state;
         items.retain(|_, item| {
-            item.lease == 0 || leases.get(&item.lease).is_some_and(|end| *end > now)
+            item.lease == 0
+                || leases
+                    .get(&item.lease)
+                    .is_some_and(|expires_at| *expires_at > now)
         });
     }
 }
 
-fn describe(key: &str, item: &StoreItem) -> Value {
+fn item_json(key: &str, item: &StoreItem) -> Value {
     json!({
         "key": key, "value": item.value, "revision": item.revision,
         "createRev": item.revision, "lease": item.lease,
     })
 }
 
-fn field<'a>(query: &'a str, name: &str) -> &'a str {
+fn query_parameter<'a>(query: &'a str, name: &str) -> &'a str {
     query
         .split('&')
         .filter_map(|pair| pair.split_once('='))
@@ -269,7 +283,7 @@
         .map_or("", |(_, value)| value)
 }
 
-fn reply(status: StatusCode, body: &Value) -> Response<Full<Bytes>> {
+fn respond(status: StatusCode, body: &Value) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::from(body.to_string()));
     *response.status_mut() = status;
     response
--- a/crates/soak/tests/short.rs
+++ b/crates/soak/tests/short.rs
@@ -1,4 +1,4 @@
-//! Short runs with fixed seeds against the real programs.
+//! Runs the soak with fixed seeds against the real programs, which must have been built.
 
 use std::path::Path;
 
@@ -7,10 +7,11 @@
 use hyssopstair_soak::run::SoakOptions;
 use hyssopstair_soak::run::run_plan;
 
-/// The seeds that have failed, with their causes.
+/// Seeds that have failed before, with the causes of the failures.
 const SEEDS: &str = include_str!("../seeds.txt");
 
-fn findings(seed: u64, minutes: f64, processes: u16) -> Vec<String> {
+/// Executes the run of a seed, prints its report, and returns the violated invariants.
+fn run_seed(seed: u64, minutes: f64, processes: u16) -> Vec<String> {
     let directory = Path::new(env!("CARGO_TARGET_TMPDIR"));
     let options = SoakOptions {
         program: directory
@@ -21,38 +22,38 @@
     };
     let plan = SoakPlan::from_seed(seed, minutes, processes);
     let report = run_plan(&plan, &options).expect("the run can be set up");
-    println!("{}", report.line());
+    println!("{}", report.to_json_line());
     report.findings
 }
 
 #[test]
-fn a_short_run_breaks_no_promise() {
+fn short_run_violates_no_invariant() {
     let none: Vec<String> = Vec::new();
-    assert_eq!(findings(9, 0.35, 8), none);
+    assert_eq!(run_seed(9, 0.35, 8), none);
 }
 
 #[test]
-#[ignore = "takes half a minute for each seed; run by hand"]
-fn seeds_that_have_failed_break_no_promise() {
-    let mut found = Vec::new();
+#[ignore = "takes half a minute for each seed"]
+fn seeds_that_have_failed_violate_no_invariant() {
+    let mut violations = Vec::new();
     for line in SEEDS.lines().filter(|line| !line.starts_with('#')) {
-        let words: Vec<&str> = line.splitn(4, ' ').collect();
-        let [seed, minutes, processes, _] = words[..] else {
-            panic!("not a seed: {line}");
+        let fields: Vec<&str> = line.splitn(4, ' ').collect();
+        let [seed, minutes, processes, _] = fields[..] else {
+            panic!("malformed seed line: {line}");
         };
         let seed = seed.parse().expect("a number");
         let minutes = minutes.parse().expect("a number");
-        found.extend(findings(
+        violations.extend(run_seed(
             seed,
             minutes,
             processes.parse().expect("a number"),
         ));
     }
-    assert_eq!(found, Vec::<String>::new());
+    assert_eq!(violations, Vec::<String>::new());
 }
 
 #[test]
-fn a_seed_always_makes_the_same_plan() {
+fn plan_of_a_seed_is_stable() {
     let plan = SoakPlan::from_seed(9, 0.35, 8);
     let events: Vec<String> = plan
         .events
