--- a/crates/soak/src/fleet/events.rs
+++ b/crates/soak/src/fleet/events.rs
@@ -93,6 +93,7 @@
         }
     }
 
+    /// Kills all processes, which start again at different times.
     fn kill_all_processes(&self, now: Instant) {
         let count = self.members.borrow().len();
         for index in 0..count {
@@ -101,6 +102,8 @@
         }
     }
 
+    /// Freezes a process with SIGSTOP for `duration`. It is not resumed if it was restarted
+    /// in the meantime.
     fn pause_process(&self, index: usize, duration: Duration) {
         let (address, incarnation) = self.send_signal(index, Signal::SIGSTOP);
         self.judge
@@ -116,6 +119,8 @@
         });
     }
 
+    /// Writes the settings of a process and sends SIGHUP. Valid settings are restored after
+    /// at most 150 ms.
     fn reload_settings(&self, index: usize, is_invalid: bool, duration: Duration) {
         self.write_settings(index, is_invalid);
         let (address, _) = self.send_signal(index, Signal::SIGHUP);
@@ -129,6 +134,7 @@
         });
     }
 
+    /// Writes the settings of a process, but no invalid ones if it may be about to start.
     fn write_settings(&self, index: usize, is_invalid: bool) {
         let members = self.members.borrow();
         let member = &members[index];
@@ -233,6 +239,7 @@
         });
     }
 
+    /// Sends random datagrams to the ports of a process for messages and for packets.
     fn send_random_datagrams(&self, index: usize) {
         let address = self.members.borrow()[index].process.address;
         let mut random = self.random.borrow_mut();
--- a/crates/soak/src/fleet/mod.rs
+++ b/crates/soak/src/fleet/mod.rs
@@ -1,7 +1,7 @@
 //! The processes and stand-ins of a run.
 //!
 //! The fleet starts processes, restarts those that have exited, and checks that they exit
-//! only when they should. [`events`] applies the events of the plan.
+//! only when they should. The module `events` applies the events of the plan.
 
 pub mod configuration;
 mod events;
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -12,7 +12,8 @@
 /// Time without events at the end of a run, in which the system must recover.
 pub const RECOVERY_PERIOD: Duration = Duration::from_secs(9);
 
-/// Processes for each balancer among them. There are at least two balancers.
+/// Number of processes per balancer, counting the balancer itself. There are at least two
+/// balancers.
 const PROCESSES_PER_BALANCER: u16 = 3;
 
 /// A fault or a planned change that is applied from outside the processes. Processes and
--- a/crates/soak/src/program.rs
+++ b/crates/soak/src/program.rs
@@ -152,7 +152,7 @@
         self.child.is_some()
     }
 
-    /// Returns the exit status of the process, once, if it has exited by itself.
+    /// Returns the exit status if the process has exited. The status is returned only once.
     pub fn take_exit_status(&mut self) -> Option<String> {
         let status = self.child.as_mut()?.try_wait().ok()??;
         self.child = None;
@@ -173,6 +173,7 @@
     }
 }
 
+/// Returns the settings of a process, with `{service}` in place of the name of the service.
 fn build_settings_template(
     network: &SoakNetwork,
     role: ProcessRole,
--- a/crates/soak/src/relay.rs
+++ b/crates/soak/src/relay.rs
@@ -141,9 +141,11 @@
         Some(Rc::clone(&ports[index]))
     }
 
+    /// Receives the datagrams for a process and forwards them.
     async fn relay_datagrams(self, port: Rc<RefCell<RelayPort>>) {
         let mut buffer = [0; 2_048];
         loop {
+            // The port is borrowed only while polling, because its faults change meanwhile.
             let received = std::future::poll_fn(|context| {
                 let mut read_buffer = tokio::io::ReadBuf::new(&mut buffer);
                 let port = port.borrow();
@@ -162,6 +164,7 @@
         }
     }
 
+    /// Forwards a datagram, unless a fault of its sender or receiver drops it.
     fn forward_datagram(
         &self,
         sender_address: Ipv4Addr,
@@ -196,6 +199,7 @@
     }
 }
 
+/// Accepts the connections of a process to the store and relays each of them.
 async fn relay_connections(
     listener: TcpListener,
     store_address: SocketAddrV4,
@@ -213,6 +217,7 @@
     }
 }
 
+/// Relays a connection to the store until it is closed or a fault resets it.
 async fn relay_connection(
     mut process_stream: TcpStream,
     store_address: SocketAddrV4,
--- a/crates/soak/src/router.rs
+++ b/crates/soak/src/router.rs
@@ -76,6 +76,7 @@
         ready.first().copied()
     }
 
+    /// Probes a balancer until the task is aborted.
     async fn probe_balancer(self, index: usize) {
         loop {
             let address = self.balancers.borrow()[index].0;
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -147,6 +147,7 @@
     })
 }
 
+/// Starts the store and the relay, and creates the fleet without starting its processes.
 async fn create_fleet(
     plan: &SoakPlan,
     options: &SoakOptions,
@@ -197,6 +198,7 @@
         .collect()
 }
 
+/// Starts the routers, and the callers with a delay.
 async fn start_callers(
     plan: &SoakPlan,
     network: &SoakNetwork,
--- a/crates/soak/src/server.rs
+++ b/crates/soak/src/server.rs
@@ -64,6 +64,7 @@
     key: FlowKey,
     /// Position at which the server's stream starts.
     stream_start: u32,
+    /// Whether the caller has acknowledged the reply to its opening packet.
     is_open: bool,
     /// End position of the request that was answered last, and the packet with its answer.
     last_answer: Option<(u32, Vec<u8>)>,
@@ -75,6 +76,7 @@
 #[derive(Debug)]
 struct ServerIncarnation {
     number: u64,
+    /// ID of the server, which pairs of consecutive incarnations share.
     id: String,
     /// Start time by the server's clock, in milliseconds since the Unix epoch.
     started_at: u64,
@@ -210,6 +212,7 @@
         }
     }
 
+    /// Sends heartbeats until the incarnation has ended.
     async fn send_heartbeats(self, number: u64) {
         loop {
             let Some((path, body, is_draining)) = self.build_heartbeat(number) else {
@@ -229,6 +232,8 @@
         }
     }
 
+    /// Returns the path and the body of the next heartbeat, and whether it reports that the
+    /// server is draining. Returns `None` if the incarnation has ended.
     fn build_heartbeat(&self, number: u64) -> Option<(String, String, bool)> {
         let mut incarnation = self.incarnation.borrow_mut();
         let incarnation = incarnation
@@ -250,6 +255,8 @@
         Some((path, body.to_string(), incarnation.is_draining))
     }
 
+    /// Sends a POST request to the host and returns the status of the response, or `None`
+    /// if the request fails.
     async fn post_to_host(&self, path: &str, body: String) -> Option<u16> {
         let host = SocketAddrV4::new(self.address, HEARTBEAT_PORT);
         let answer = send_http_request(host, Method::POST, path, body, HOST_TIMEOUT).await;
@@ -283,6 +290,7 @@
         let _ = socket.try_send_to(bytes, (self.address, OUTBOUND_PORT).into());
     }
 
+    /// Checks an opening packet and replies to it, unless the flow is open already.
     fn handle_opening(&self, socket: &UdpSocket, header: &PacketHeader) {
         let mut incarnation = self.incarnation.borrow_mut();
         let Some(incarnation) = incarnation.as_mut() else {
@@ -328,6 +336,8 @@
         self.send_packet(socket, &encode_header(&reply));
     }
 
+    /// Handles a packet other than an opening one. If this incarnation does not hold the
+    /// flow, the packet is returned to the host with the bounced flag.
     fn handle_packet(&self, socket: &Rc<UdpSocket>, header: &PacketHeader, bytes: &mut [u8]) {
         let mut incarnation = self.incarnation.borrow_mut();
         let Some(incarnation) = incarnation.as_mut() else {
@@ -405,6 +415,8 @@
         spawn_local(task);
     }
 
+    /// Sends the answer to a request after `run_time`, unless the incarnation or the flow
+    /// has ended.
     async fn run_request(
         self,
         socket: Rc<UdpSocket>,
@@ -444,6 +456,7 @@
     format!("answer to {request}")
 }
 
+/// Returns the packet with the answer to a request whose end position is `end`.
 fn encode_answer(header: &PacketHeader, end: u32, request: &str) -> Vec<u8> {
     let text = build_answer(request);
     let packet = PacketHeader {
@@ -457,6 +470,7 @@
     bytes
 }
 
+/// Returns the header of a reply without data to a packet.
 fn reply_header(header: &PacketHeader) -> PacketHeader {
     PacketHeader {
         source: header.destination,
--- a/crates/soak/src/store.rs
+++ b/crates/soak/src/store.rs
@@ -120,6 +120,8 @@
         );
     }
 
+    /// Writes an item and returns its revision. A lease of 0 means that the item does not
+    /// expire.
     fn write_item(&self, key: &str, value: String, lease: u64) -> u64 {
         let mut state = self.state.borrow_mut();
         state.revision += 1;
@@ -195,6 +197,8 @@
         }
     }
 
+    /// Returns the items below a prefix that were written after a revision, as the list
+    /// `list_name` of a response.
     fn list_items(&self, prefix: &str, after: u64, list_name: &str) -> Value {
         let state = self.state.borrow();
         let items: Vec<Value> = state
@@ -206,6 +210,9 @@
         json!({ list_name: items, "hasMore": false, "storeRevision": state.revision })
     }
 
+    /// Returns the items that were written after the revision in the query. If there are
+    /// none, waits for one up to the time in the query. Fails if the history after that
+    /// revision is compacted.
     async fn watch_items(&self, query: &str) -> (StatusCode, Value) {
         let after: u64 = query_parameter(query, "after").parse().unwrap_or(0);
         let wait_millis: u64 = query_parameter(query, "waitMs").parse().unwrap_or(0);
@@ -255,6 +262,7 @@
         }
     }
 
+    /// Removes the items whose leases have expired.
     fn remove_expired_items(&self) {
         let mut state = self.state.borrow_mut();
         let now = Instant::now();
@@ -275,6 +283,7 @@
     })
 }
 
+/// Returns the value of a parameter of a query; empty if it is missing.
 fn query_parameter<'a>(query: &'a str, name: &str) -> &'a str {
     query
         .split('&')
--- a/crates/soak/tests/short.rs
+++ b/crates/soak/tests/short.rs
@@ -41,12 +41,12 @@
         let [seed, minutes, processes, _] = fields[..] else {
             panic!("malformed seed line: {line}");
         };
-        let seed = seed.parse().expect("a number");
-        let minutes = minutes.parse().expect("a number");
+        let seed = seed.parse().expect("the seed is a number");
+        let minutes = minutes.parse().expect("the minutes are a number");
         violations.extend(run_seed(
             seed,
             minutes,
-            processes.parse().expect("a number"),
+            processes.parse().expect("the processes are a number"),
         ));
     }
     assert_eq!(violations, Vec::<String>::new());
