--- a/crates/testkit/src/fabric.rs
+++ b/crates/testkit/src/fabric.rs
@@ -110,6 +110,7 @@
     Ok(socket)
 }
 
+/// Probes the readiness of a balancer until the process exits.
 async fn probe_balancer(state: Arc<FabricState>, balancer: FabricBalancer) {
     let client = reqwest::Client::builder()
         .timeout(PROBE_TIMEOUT)
@@ -135,6 +136,7 @@
     }
 }
 
+/// Forwards the datagrams that callers send to the service with an index.
 async fn forward_from_callers(state: Arc<FabricState>, index: usize) {
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
@@ -156,6 +158,7 @@
     }
 }
 
+/// Returns how many times a packet is sent: 0 if it is lost, 2 if it is duplicated.
 fn choose_copy_count(state: &FabricState) -> usize {
     let mut random = state.random.lock();
     if random.random_bool(state.faults.loss) {
@@ -164,6 +167,8 @@
     1 + usize::from(random.random_bool(state.faults.duplicate))
 }
 
+/// Sends a packet to a balancer that is ready, possibly after a delay. Drops it if no
+/// balancer is ready.
 async fn send_to_balancer(state: &Arc<FabricState>, packet: Vec<u8>) {
     let Some(balancer) = choose_balancer(state) else {
         return;
@@ -193,6 +198,7 @@
     Some(ready[index])
 }
 
+/// Forwards the packets that balancers return to callers, from the address of the service.
 async fn forward_from_balancers(state: &FabricState) {
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
--- a/crates/testkit/src/fleet/mod.rs
+++ b/crates/testkit/src/fleet/mod.rs
@@ -470,17 +470,17 @@
     ///
     /// # Errors
     ///
-    /// Returns an error with the condition's description, `name`, if that takes longer.
+    /// Returns an error with `description` if that takes longer.
     pub async fn wait_for(
         &self,
-        name: &str,
+        description: &str,
         mut condition: impl AsyncFnMut() -> bool,
     ) -> Result<(), FleetError> {
         const TIMEOUT: Duration = Duration::from_secs(20);
         let deadline = Instant::now() + TIMEOUT;
         while !condition().await {
             if Instant::now() > deadline {
-                return Err(FleetError::Timeout(name.to_owned()));
+                return Err(FleetError::Timeout(description.to_owned()));
             }
             tokio::time::sleep(POLL_INTERVAL).await;
         }
