--- a/crates/flows/examples/carry_cost.rs
+++ b/crates/flows/examples/carry_cost.rs
@@ -84,7 +84,7 @@
     let identity = BalancerIdentity {
         address: Ipv4Addr::new(10, 2, 0, 1),
         zone: "a".to_owned(),
-        started: 1,
+        started_unix_millis: 1,
         max_flow_age: Duration::from_secs(60),
     };
     let now = MonotonicTime::default();
@@ -101,7 +101,7 @@
     };
     balancer.set_routes(RouteTable::new(1, 15_000, vec![route], Vec::new()), outbox);
     for number in 0..hosts {
-        balancer.receive_peer(host_address(number), &host_hello(1), None, &[], now, outbox);
+        balancer.receive_peer_message(host_address(number), &host_hello(1), None, &[], now, outbox);
     }
     outbox.clear();
     balancer
@@ -133,7 +133,7 @@
                 flow: header.caller_flow(),
                 load: CarryLoad::default(),
             };
-            balancer.receive_peer(
+            balancer.receive_peer_message(
                 host_address(flow % hosts),
                 &claim,
                 None,
@@ -171,13 +171,20 @@
                 is_certain: true,
             };
             for number in 0..hosts {
-                balancer.receive_peer(host_address(number), &denial, None, &[], now, &mut outbox);
+                balancer.receive_peer_message(
+                    host_address(number),
+                    &denial,
+                    None,
+                    &[],
+                    now,
+                    &mut outbox,
+                );
             }
             outbox.clear();
         });
         let hello_time = measure_nanos(FLOWS, |number| {
             let message = host_hello(number + 2);
-            balancer.receive_peer(
+            balancer.receive_peer_message(
                 host_address(number % hosts),
                 &message,
                 None,
--- a/crates/flows/src/balancer/mod.rs
+++ b/crates/flows/src/balancer/mod.rs
@@ -54,7 +54,7 @@
     /// Availability zone of the balancer.
     pub zone: String,
     /// Start time of the process, in milliseconds since the Unix epoch.
-    pub started: u64,
+    pub started_unix_millis: u64,
     /// Time without packets after which the hint for a flow may be evicted.
     pub max_flow_age: Duration,
 }
@@ -139,7 +139,7 @@
     }
 
     /// Returns the number of flows in the flow table.
-    pub fn flows(&self) -> usize {
+    pub fn flow_count(&self) -> usize {
         self.hints.len()
     }
 
@@ -194,7 +194,7 @@
     }
 
     /// Returns the time at which the next tick is due.
-    pub fn next_tick(&self) -> MonotonicTime {
+    pub fn next_tick_at(&self) -> MonotonicTime {
         let is_idle =
             self.openings.is_empty() && self.searches.is_empty() && self.hold_queue.is_empty();
         let next = if is_idle {
--- a/crates/flows/src/balancer/peers.rs
+++ b/crates/flows/src/balancer/peers.rs
@@ -30,7 +30,7 @@
 impl FlowBalancer {
     /// Handles a message from a peer. `payload` holds the bytes that follow the
     /// message, and `packet` the packet parsed from them, if they are one.
-    pub fn receive_peer(
+    pub fn receive_peer_message(
         &mut self,
         from: Ipv4Addr,
         message: &CarryMessage,
@@ -185,7 +185,7 @@
 
     fn build_hello(&self, wants_answer: bool, now: MonotonicTime) -> HelloMessage {
         HelloMessage {
-            started: self.identity.started,
+            started: self.identity.started_unix_millis,
             number: self.hello_number,
             zone: self.identity.zone.clone(),
             routes: self.routes.table().version(),
--- a/crates/flows/src/heartbeat.rs
+++ b/crates/flows/src/heartbeat.rs
@@ -38,17 +38,17 @@
     /// The heartbeat was the newest one and is in force.
     Accepted,
     /// The heartbeat was ignored: it is out of order or from an earlier incarnation.
-    Outdated,
+    Stale,
 }
 
 /// Tracks the newest heartbeat of one server.
 #[derive(Debug, Default)]
 pub struct HeartbeatTracker {
-    last: Option<ServerHeartbeat>,
-    /// When `last` was received.
-    last_received: MonotonicTime,
-    /// The last heartbeat that was classified as late since `last`.
-    stale: Option<ServerHeartbeat>,
+    newest: Option<ServerHeartbeat>,
+    /// When `newest` was received.
+    newest_received_at: MonotonicTime,
+    /// The last heartbeat that was classified as late since `newest`.
+    last_stale: Option<ServerHeartbeat>,
 }
 
 /// The relation of a heartbeat to the newest one before it.
@@ -56,17 +56,17 @@
 pub enum HeartbeatOrder {
     /// The first heartbeat, the next one of the same incarnation, or one of an
     /// incarnation whose start was not detected.
-    Next,
+    InSequence,
     /// The first heartbeat of a new incarnation.
     NewIncarnation,
     /// Out of order, or from an earlier incarnation.
-    Late,
+    Stale,
 }
 
 impl HeartbeatTracker {
     /// Returns the newest heartbeat, or `None` before the first.
-    pub fn last(&self) -> Option<&ServerHeartbeat> {
-        self.last.as_ref()
+    pub fn newest(&self) -> Option<&ServerHeartbeat> {
+        self.newest.as_ref()
     }
 
     /// Classifies a heartbeat, and stores it as the newest one unless it is late.
@@ -75,41 +75,45 @@
     /// earlier start time keeps sending heartbeats while the newest one is silent, the
     /// server's clock was set back, and it replaces the newest one.
     pub fn record(&mut self, heartbeat: &ServerHeartbeat, now: MonotonicTime) -> HeartbeatOrder {
-        let order = match &self.last {
-            None => HeartbeatOrder::Next,
-            Some(last) if is_same_incarnation(last, heartbeat) => {
-                if heartbeat.sequence > last.sequence {
-                    HeartbeatOrder::Next
+        let order = match &self.newest {
+            None => HeartbeatOrder::InSequence,
+            Some(newest) if is_same_incarnation(newest, heartbeat) => {
+                if heartbeat.sequence > newest.sequence {
+                    HeartbeatOrder::InSequence
                 } else {
-                    HeartbeatOrder::Late
+                    HeartbeatOrder::Stale
                 }
             }
-            Some(last) if heartbeat.started_unix_millis > last.started_unix_millis => {
+            Some(newest) if heartbeat.started_unix_millis > newest.started_unix_millis => {
                 HeartbeatOrder::NewIncarnation
             }
-            Some(_) => self.classify_stale(heartbeat, now),
+            Some(_) => self.classify_older_incarnation(heartbeat, now),
         };
-        if order == HeartbeatOrder::Late {
-            self.stale = Some(heartbeat.clone());
+        if order == HeartbeatOrder::Stale {
+            self.last_stale = Some(heartbeat.clone());
         } else {
-            self.last = Some(heartbeat.clone());
-            self.last_received = now;
-            self.stale = None;
+            self.newest = Some(heartbeat.clone());
+            self.newest_received_at = now;
+            self.last_stale = None;
         }
         order
     }
 
     /// Classifies a heartbeat of an incarnation that did not start after the newest one.
-    fn classify_stale(&self, heartbeat: &ServerHeartbeat, now: MonotonicTime) -> HeartbeatOrder {
-        let is_advancing = self.stale.as_ref().is_some_and(|stale| {
+    fn classify_older_incarnation(
+        &self,
+        heartbeat: &ServerHeartbeat,
+        now: MonotonicTime,
+    ) -> HeartbeatOrder {
+        let is_advancing = self.last_stale.as_ref().is_some_and(|stale| {
             is_same_incarnation(stale, heartbeat) && heartbeat.sequence > stale.sequence
         });
-        if is_advancing && now.since(self.last_received) >= INCARNATION_TIMEOUT {
+        if is_advancing && now.since(self.newest_received_at) >= INCARNATION_TIMEOUT {
             // The start of this incarnation was not detected, so the known flows may be
             // its own and must not be reset.
-            HeartbeatOrder::Next
+            HeartbeatOrder::InSequence
         } else {
-            HeartbeatOrder::Late
+            HeartbeatOrder::Stale
         }
     }
 }
--- a/crates/flows/src/host/mod.rs
+++ b/crates/flows/src/host/mod.rs
@@ -43,7 +43,7 @@
 use crate::table::FlowTable;
 
 /// Interval between two ticks.
-pub const HOST_TICK: Duration = Duration::from_millis(50);
+pub const HOST_TICK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Time after the start of a host within which it learns of a running server: two
 /// heartbeats, which are sent every 1.2 s, and a margin.
@@ -63,7 +63,7 @@
     /// Name of the service that its server runs.
     pub service: String,
     /// Start of the process, in milliseconds since the Unix epoch.
-    pub started: u64,
+    pub started_unix_millis: u64,
     /// Time without packets after which a flow is removed.
     pub max_flow_age: Duration,
 }
@@ -122,7 +122,7 @@
     }
 
     /// Returns the number of flows in the table.
-    pub fn flows(&self) -> usize {
+    pub fn flow_count(&self) -> usize {
         self.flows.len()
     }
 
--- a/crates/flows/src/host/peers.rs
+++ b/crates/flows/src/host/peers.rs
@@ -14,7 +14,7 @@
 
 use crate::event::FlowEvent;
 use crate::host::FlowHost;
-use crate::host::HOST_TICK;
+use crate::host::HOST_TICK_INTERVAL;
 use crate::host::records::FlowRecord;
 use crate::members::HelloOutcome;
 use crate::outbox::FlowOutbox;
@@ -26,7 +26,7 @@
     ///
     /// `payload` holds the bytes that follow the message, and `packet` the packet that
     /// they contain, if any.
-    pub fn receive_peer(
+    pub fn receive_peer_message(
         &mut self,
         from: Ipv4Addr,
         message: &CarryMessage,
@@ -89,8 +89,8 @@
     }
 
     /// Returns when the next tick is due.
-    pub fn next_tick(&self) -> MonotonicTime {
-        self.next_hello.min(self.last_tick + HOST_TICK)
+    pub fn next_tick_at(&self) -> MonotonicTime {
+        self.next_hello.min(self.last_tick + HOST_TICK_INTERVAL)
     }
 
     /// Returns the load of the server, as it is reported to balancers.
@@ -121,7 +121,7 @@
 
     fn build_hello(&self, wants_answer: bool, now: MonotonicTime) -> HelloMessage {
         HelloMessage {
-            started: self.identity.started,
+            started: self.identity.started_unix_millis,
             number: self.hello_number,
             zone: self.identity.zone.clone(),
             routes: self.routes.table().version(),
--- a/crates/flows/src/host/server.rs
+++ b/crates/flows/src/host/server.rs
@@ -91,7 +91,7 @@
     /// `None` before the first heartbeat.
     pub(super) fn slots(&self) -> Option<u16> {
         self.heartbeats
-            .last()
+            .newest()
             .map(|heartbeat| heartbeat.slots.max(1))
     }
 
@@ -128,22 +128,22 @@
         now: MonotonicTime,
         outbox: &mut FlowOutbox,
     ) -> HeartbeatVerdict {
-        let is_first = self.server.heartbeats.last().is_none();
+        let is_first = self.server.heartbeats.newest().is_none();
         let order = self.server.heartbeats.record(heartbeat, now);
         match order {
-            HeartbeatOrder::Late => return HeartbeatVerdict::Outdated,
+            HeartbeatOrder::Stale => return HeartbeatVerdict::Stale,
             HeartbeatOrder::NewIncarnation => {
                 self.reset_all_flows(outbox);
                 self.is_relearning = false;
                 self.server.started_at = Some(now);
             }
-            HeartbeatOrder::Next if is_first && heartbeat.sequence <= 1 => {
+            HeartbeatOrder::InSequence if is_first && heartbeat.sequence <= 1 => {
                 // The server has just started, so it holds no flows from before.
                 self.is_relearning = false;
                 self.deny_probed_flows(outbox);
                 self.server.started_at = Some(now);
             }
-            HeartbeatOrder::Next => {}
+            HeartbeatOrder::InSequence => {}
         }
         self.server.is_ending = false;
         if heartbeat.service != self.identity.service {
@@ -163,7 +163,7 @@
         let is_current = self
             .server
             .heartbeats
-            .last()
+            .newest()
             .is_none_or(|heartbeat| heartbeat.id == id);
         if is_current {
             self.server.is_ending = true;
--- a/crates/flows/src/members.rs
+++ b/crates/flows/src/members.rs
@@ -42,7 +42,7 @@
     /// Address of the peer.
     pub address: Ipv4Addr,
     /// Start time of its process, in milliseconds since the Unix epoch.
-    pub started: u64,
+    pub started_unix_millis: u64,
     /// Number of its last hello.
     pub hello_number: u32,
     /// Name of its availability zone.
@@ -236,7 +236,7 @@
     ) -> HelloOutcome {
         let peer = PeerRecord {
             address: from,
-            started: hello.started,
+            started_unix_millis: hello.started,
             hello_number: hello.number,
             zone: hello.zone.clone(),
             routes_version: hello.routes,
@@ -364,7 +364,7 @@
 /// time, not only a later one, indicates a restart, because the system clock may have
 /// been set back in between.
 fn compare_hellos(known: &PeerRecord, received: &PeerRecord) -> HelloOutcome {
-    if known.started != received.started {
+    if known.started_unix_millis != received.started_unix_millis {
         HelloOutcome::Joined
     } else if received.hello_number > known.hello_number {
         HelloOutcome::Updated
--- a/crates/flows/tests/heartbeat.rs
+++ b/crates/flows/tests/heartbeat.rs
@@ -41,13 +41,13 @@
         })
         .collect();
     expect![[r#"
-        1000/3 Next
-        1000/4 Next
-        1000/4 Late
-        1000/2 Late
+        1000/3 InSequence
+        1000/4 InSequence
+        1000/4 Stale
+        1000/2 Stale
         2000/0 NewIncarnation
-        1000/9 Late
-        2000/1 Next"#]]
+        1000/9 Stale
+        2000/1 InSequence"#]]
     .assert_eq(&orders.join("\n"));
 }
 
@@ -109,12 +109,12 @@
         })
         .collect();
     expect![[r#"
-        0 Next
-        1500 Late
-        2700 Late
-        3900 Late
-        5100 Next
-        6300 Next"#]]
+        0 InSequence
+        1500 Stale
+        2700 Stale
+        3900 Stale
+        5100 InSequence
+        6300 InSequence"#]]
     .assert_eq(&orders.join("\n"));
 }
 
@@ -129,7 +129,7 @@
             format!("{late:?}")
         })
         .collect();
-    expect!["Late Late Late Late Late"].assert_eq(&orders.join(" "));
+    expect!["Stale Stale Stale Stale Stale"].assert_eq(&orders.join(" "));
 }
 
 #[test]
@@ -138,7 +138,7 @@
     tracker.record(&heartbeat_of(9_000, 0), at(0));
     let late = tracker.record(&heartbeat_of(1_000, 40), at(20_000));
     let repeated = tracker.record(&heartbeat_of(1_000, 40), at(20_100));
-    expect!["Late Late"].assert_eq(&format!("{late:?} {repeated:?}"));
+    expect!["Stale Stale"].assert_eq(&format!("{late:?} {repeated:?}"));
 }
 
 #[test]
--- a/crates/flows/tests/host_restart.rs
+++ b/crates/flows/tests/host_restart.rs
@@ -39,7 +39,7 @@
     host.receive_heartbeat(&heartbeat(40), at(10), &mut outbox);
     outbox.clear();
     let question = locate_message(&request_packet(4_001));
-    host.receive_peer(
+    host.receive_peer_message(
         balancer_address(1),
         &question,
         None,
@@ -70,7 +70,7 @@
         ..carry_header(ForwardPurpose::Probe)
     };
     let question = locate_message(&request_packet(4_001));
-    host.receive_peer(
+    host.receive_peer_message(
         balancer_address(2),
         &question,
         None,
@@ -150,7 +150,7 @@
         owner: host_address(1),
         flows: vec![request_packet(4_001).caller_flow()],
     };
-    host.receive_peer(balancer_address(1), &report, None, &[], at(12), &mut outbox);
+    host.receive_peer_message(balancer_address(1), &report, None, &[], at(12), &mut outbox);
     outbox.clear();
     let owner_header = carry_header(ForwardPurpose::Owner);
     host.receive_forwarded_packet(
@@ -235,7 +235,7 @@
         let mut other_packet = request_packet(port);
         other_packet.acknowledged = 900_001;
         let question = locate_message(&other_packet);
-        host.receive_peer(
+        host.receive_peer_message(
             balancer_address(1),
             &question,
             None,
@@ -278,7 +278,7 @@
     let mut answers = Vec::new();
     for millis in [1_000, 3_000] {
         let question = locate_message(&request_packet(4_001));
-        host.receive_peer(
+        host.receive_peer_message(
             balancer_address(1),
             &question,
             None,
@@ -374,7 +374,7 @@
         owner: host_address(1),
         flows: vec![request_packet(4_001).caller_flow()],
     };
-    host.receive_peer(balancer_address(1), &report, None, &[], at(12), &mut outbox);
+    host.receive_peer_message(balancer_address(1), &report, None, &[], at(12), &mut outbox);
     let owner_header = carry_header(ForwardPurpose::Owner);
     host.receive_forwarded_packet(
         &owner_header,
@@ -398,7 +398,7 @@
         owner: host_address(1),
         flows: vec![request_packet(4_001).caller_flow()],
     };
-    host.receive_peer(balancer_address(1), &report, None, &[], at(12), &mut outbox);
+    host.receive_peer_message(balancer_address(1), &report, None, &[], at(12), &mut outbox);
     outbox.clear();
     host.receive_heartbeat(&heartbeat(0), at(50), &mut outbox);
     expect![""].assert_eq(&take_output(&mut outbox));
--- a/crates/flows/tests/membership.rs
+++ b/crates/flows/tests/membership.rs
@@ -55,7 +55,7 @@
     receive_host_hello(&mut balancer, 1, &host_hello(1, 0), at(10), &mut outbox);
     for number in 2..=50 {
         let from = balancer_address(number);
-        balancer.receive_peer(from, &balancer_hello(1), None, &[], at(10), &mut outbox);
+        balancer.receive_peer_message(from, &balancer_hello(1), None, &[], at(10), &mut outbox);
     }
     outbox.clear();
     let mut announced = BTreeSet::new();
@@ -76,9 +76,9 @@
     receive_host_hello(&mut balancer, 1, &host_hello(1, 0), at(10), &mut outbox);
     for number in 3..=50 {
         let from = balancer_address(number);
-        balancer.receive_peer(from, &balancer_hello(1), None, &[], at(10), &mut outbox);
+        balancer.receive_peer_message(from, &balancer_hello(1), None, &[], at(10), &mut outbox);
     }
-    balancer.receive_peer(
+    balancer.receive_peer_message(
         balancer_address(2),
         &balancer_hello(1),
         None,
--- a/crates/flows/tests/model/world/mod.rs
+++ b/crates/flows/tests/model/world/mod.rs
@@ -482,7 +482,7 @@
         let now = self.time();
         self.start_count += 1;
         // Not monotonic, since the wall clock may have been set back between two starts.
-        let started = self.start_count * 7_919 % 10_007;
+        let started_unix_millis = self.start_count * 7_919 % 10_007;
         let contacts: Vec<Ipv4Addr> = (1..=self.plan.balancers)
             .map(fixture::balancer_address)
             .collect();
@@ -493,7 +493,7 @@
             let identity = BalancerIdentity {
                 address,
                 zone,
-                started,
+                started_unix_millis,
                 max_flow_age,
             };
             let mut balancer = FlowBalancer::new(identity, contacts, now);
@@ -505,7 +505,7 @@
                 address,
                 zone,
                 service,
-                started,
+                started_unix_millis,
                 max_flow_age,
             };
             let mut host = FlowHost::new(identity, contacts, now);
@@ -608,8 +608,8 @@
         if let Some(role) = &mut process.role {
             update(role, &mut outbox);
             let next = match role {
-                ProcessRole::Balancer(balancer) => balancer.next_tick(),
-                ProcessRole::Host(host) => host.next_tick(),
+                ProcessRole::Balancer(balancer) => balancer.next_tick_at(),
+                ProcessRole::Host(host) => host.next_tick_at(),
             };
             let due = next.0.max(now + MIN_TICK_INTERVAL_MICROS);
             if due < process.next_tick_at {
@@ -692,10 +692,17 @@
         let packet = packet.filter(|_| carries_packet(&message));
         self.update_process(to, |role, outbox| match role {
             ProcessRole::Balancer(balancer) => {
-                balancer.receive_peer(from, &message, packet.as_ref(), payload, now, outbox);
+                balancer.receive_peer_message(
+                    from,
+                    &message,
+                    packet.as_ref(),
+                    payload,
+                    now,
+                    outbox,
+                );
             }
             ProcessRole::Host(host) => {
-                host.receive_peer(from, &message, packet.as_ref(), payload, now, outbox)
+                host.receive_peer_message(from, &message, packet.as_ref(), payload, now, outbox)
             }
         });
     }
--- a/crates/flows/tests/opening.rs
+++ b/crates/flows/tests/opening.rs
@@ -16,7 +16,7 @@
 /// process does.
 fn run_ticks(balancer: &mut FlowBalancer, from: u64, until: u64, outbox: &mut FlowOutbox) {
     for millis in from..=until {
-        if balancer.next_tick() <= at(millis) {
+        if balancer.next_tick_at() <= at(millis) {
             balancer.tick(at(millis), outbox);
         }
     }
@@ -56,7 +56,7 @@
     };
     let opening = opening_packet(4_001);
     let packet = raw_packet(&opening);
-    balancer.receive_peer(
+    balancer.receive_peer_message(
         host_address(number),
         &returned,
         Some(&packet),
@@ -167,7 +167,7 @@
         flow: opening_packet(4_001).caller_flow(),
         load: Default::default(),
     };
-    balancer.receive_peer(host_address(2), &claim, None, &[], at(912), &mut outbox);
+    balancer.receive_peer_message(host_address(2), &claim, None, &[], at(912), &mut outbox);
     outbox.clear();
     let mut retransmitted = opening_packet(4_001);
     retransmitted.acknowledged = 1;
--- a/crates/flows/tests/search.rs
+++ b/crates/flows/tests/search.rs
@@ -29,7 +29,7 @@
         flows: vec![request_packet(4_001).caller_flow()],
         is_certain,
     };
-    balancer.receive_peer(
+    balancer.receive_peer_message(
         host_address(number),
         &message,
         None,
@@ -52,7 +52,7 @@
     };
     let packet = request_packet(4_001);
     let raw = raw_packet(&packet);
-    balancer.receive_peer(from, &returned, Some(&raw), b"packet", at(millis), outbox);
+    balancer.receive_peer_message(from, &returned, Some(&raw), b"packet", at(millis), outbox);
 }
 
 /// Creates a balancer that knows hosts 1 and 2.
@@ -170,7 +170,7 @@
         flow: request_packet(4_001).caller_flow(),
         load: Default::default(),
     };
-    balancer.receive_peer(host_address(1), &claim, None, &[], at(1_900), &mut outbox);
+    balancer.receive_peer_message(host_address(1), &claim, None, &[], at(1_900), &mut outbox);
     return_packet(&mut balancer, host_address(1), 2_010, &mut outbox);
     outbox.clear();
     deny_flow(&mut balancer, 2, true, 2_011, &mut outbox);
@@ -195,8 +195,8 @@
         load: Default::default(),
     };
     // Host 1 accepted the flow too late, after it had been offered to host 2 as well.
-    balancer.receive_peer(host_address(1), &claim, None, &[], at(2_000), &mut outbox);
-    balancer.receive_peer(host_address(2), &claim, None, &[], at(2_001), &mut outbox);
+    balancer.receive_peer_message(host_address(1), &claim, None, &[], at(2_000), &mut outbox);
+    balancer.receive_peer_message(host_address(2), &claim, None, &[], at(2_001), &mut outbox);
     return_packet(&mut balancer, host_address(2), 2_010, &mut outbox);
     for millis in (2_014..2_090).step_by(4) {
         balancer.tick(at(millis), &mut outbox);
@@ -221,7 +221,7 @@
         flow: request_packet(4_001).caller_flow(),
         load: Default::default(),
     };
-    balancer.receive_peer(second, &claim, None, &[], at(2_072), &mut outbox);
+    balancer.receive_peer_message(second, &claim, None, &[], at(2_072), &mut outbox);
     return_packet(&mut balancer, second, 2_074, &mut outbox);
     for millis in (2_078..2_170).step_by(4) {
         balancer.tick(at(millis), &mut outbox);
@@ -307,7 +307,7 @@
         owner: host_address(9),
         flows: vec![request_packet(4_002).caller_flow()],
     };
-    balancer.receive_peer(
+    balancer.receive_peer_message(
         balancer_address(2),
         &report,
         None,
@@ -340,7 +340,7 @@
             balancers: Default::default(),
         }),
     });
-    balancer.receive_peer(
+    balancer.receive_peer_message(
         balancer_address(2),
         &hello,
         None,
@@ -366,7 +366,7 @@
         flow: request_packet(4_001).caller_flow(),
         load: Default::default(),
     };
-    balancer.receive_peer(host_address(2), &claim, None, &[], at(102), &mut outbox);
+    balancer.receive_peer_message(host_address(2), &claim, None, &[], at(102), &mut outbox);
     balancer.receive_caller_packet(&raw_packet(&request_packet(4_001)), at(103), &mut outbox);
     expect![[r#"
         Peer(10.0.1.2): forward Owner best None next [] + 6 bytes
--- a/crates/hyssopstaird/src/carry/part.rs
+++ b/crates/hyssopstaird/src/carry/part.rs
@@ -37,7 +37,7 @@
     /// Handles a message from a peer. `payload` is the rest of the datagram behind
     /// the message, and `packet` is the same payload with its decoded header, if it is a
     /// packet.
-    pub fn receive_peer(
+    pub fn receive_peer_message(
         &mut self,
         from: Ipv4Addr,
         message: &CarryMessage,
@@ -48,9 +48,11 @@
     ) {
         match self {
             Self::Balancer(balancer) => {
-                balancer.receive_peer(from, message, packet, payload, now, outbox);
+                balancer.receive_peer_message(from, message, packet, payload, now, outbox);
+            }
+            Self::Host(host) => {
+                host.receive_peer_message(from, message, packet, payload, now, outbox)
             }
-            Self::Host(host) => host.receive_peer(from, message, packet, payload, now, outbox),
         }
     }
 
@@ -63,10 +65,10 @@
     }
 
     /// Returns when the next tick is due.
-    pub fn next_tick(&self) -> MonotonicTime {
+    pub fn next_tick_at(&self) -> MonotonicTime {
         match self {
-            Self::Balancer(balancer) => balancer.next_tick(),
-            Self::Host(host) => host.next_tick(),
+            Self::Balancer(balancer) => balancer.next_tick_at(),
+            Self::Host(host) => host.next_tick_at(),
         }
     }
 
@@ -121,8 +123,8 @@
     /// Returns the number of known flows.
     pub fn flow_count(&self) -> usize {
         match self {
-            Self::Balancer(balancer) => balancer.flows(),
-            Self::Host(host) => host.flows(),
+            Self::Balancer(balancer) => balancer.flow_count(),
+            Self::Host(host) => host.flow_count(),
         }
     }
 
--- a/crates/hyssopstaird/src/carry/process.rs
+++ b/crates/hyssopstaird/src/carry/process.rs
@@ -196,7 +196,7 @@
     /// and signals.
     async fn wait_for_event(&mut self, terminate: &mut Signal, reload: &mut Signal) {
         let now = self.clock.now();
-        let delay = self.part.next_tick().since(now);
+        let delay = self.part.next_tick_at().since(now);
         tokio::select! {
             () = self.peer_socket.wait_readable() => {}
             () = self.packet_socket.wait_readable() => {}
@@ -222,7 +222,7 @@
                 header,
                 bytes: payload,
             });
-            self.part.receive_peer(
+            self.part.receive_peer_message(
                 from,
                 &message,
                 packet.as_ref(),
@@ -267,7 +267,7 @@
     /// Does the work that is due, publishes the metrics and the status, and writes logs.
     fn tick(&mut self) {
         let now = self.clock.now();
-        if now >= self.part.next_tick() {
+        if now >= self.part.next_tick_at() {
             self.part.tick(now, &mut self.outbox);
         }
         self.start_due_check(now);
@@ -313,7 +313,7 @@
                     CarryPart::Host(host) => {
                         host.receive_heartbeat(&heartbeat, now, &mut self.outbox)
                     }
-                    CarryPart::Balancer(_) => HeartbeatVerdict::Outdated,
+                    CarryPart::Balancer(_) => HeartbeatVerdict::Stale,
                 };
                 // Only a heartbeat in force is confirmed.
                 if verdict == HeartbeatVerdict::Accepted {
@@ -474,7 +474,7 @@
                 address,
                 zone: settings.zone.clone(),
                 service: server.service.clone(),
-                started: unix_millis(),
+                started_unix_millis: unix_millis(),
                 max_flow_age,
             };
             CarryPart::Host(Box::new(FlowHost::new(identity, contacts, now)))
@@ -483,7 +483,7 @@
             let identity = BalancerIdentity {
                 address,
                 zone: settings.zone.clone(),
-                started: unix_millis(),
+                started_unix_millis: unix_millis(),
                 max_flow_age,
             };
             CarryPart::Balancer(Box::new(FlowBalancer::new(identity, contacts, now)))
