--- a/crates/flows/src/balancer/mod.rs
+++ b/crates/flows/src/balancer/mod.rs
@@ -38,8 +38,8 @@
 /// Interval between ticks while flows are pending.
 pub const PENDING_TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Shards of the flow table that are swept with each hello. A pass over the whole
-/// table takes 16 hellos.
+/// Number of shards of the flow table that are swept with each round of hellos. A pass
+/// over the whole table takes 16 rounds.
 const SHARDS_PER_SWEEP: usize = 16;
 
 /// Time after the discovery of the first host for which a balancer waits for the flow
@@ -63,7 +63,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct FlowHint {
     owner: Ipv4Addr,
-    last_used: MonotonicTime,
+    last_used_at: MonotonicTime,
     /// Whether no other host can hold the flow: the owner itself has claimed it,
     /// and the opening packet was offered to no other host.
     is_exclusive: bool,
@@ -75,7 +75,9 @@
     identity: BalancerIdentity,
     routes: RouteReplica,
     members: MemberTable,
+    /// Addresses of other balancers that hellos are sent to, ascending.
     contacts: Vec<Ipv4Addr>,
+    /// The most recently discovered balancers, oldest first.
     recent_balancers: ArrayVec<Ipv4Addr, MAX_RECENT_BALANCERS>,
     hints: FlowTable<FlowHint>,
     openings: Vec<PendingOpening>,
@@ -89,14 +91,14 @@
     /// Earliest time at which the next batch of questions may be sent.
     questions_allowed_at: MonotonicTime,
     hello_number: u32,
-    next_hello: MonotonicTime,
-    first_host_at: Option<MonotonicTime>,
+    next_hello_at: MonotonicTime,
+    first_host_joined_at: Option<MonotonicTime>,
     last_host_joined_at: Option<MonotonicTime>,
     /// Hosts that peers reported as owners of flows, with the time of the first
     /// report, sorted by address.
     reported_owners: Vec<(Ipv4Addr, MonotonicTime)>,
     is_stopping: bool,
-    last_tick: MonotonicTime,
+    last_tick_at: MonotonicTime,
 }
 
 impl FlowBalancer {
@@ -117,12 +119,12 @@
             questions_queued_at: None,
             questions_allowed_at: MonotonicTime::default(),
             hello_number: 0,
-            next_hello: now,
-            first_host_at: None,
+            next_hello_at: now,
+            first_host_joined_at: None,
             last_host_joined_at: None,
             reported_owners: Vec::new(),
             is_stopping: false,
-            last_tick: now,
+            last_tick_at: now,
         };
         balancer.add_contacts(&contacts);
         balancer
@@ -138,7 +140,8 @@
         &self.members
     }
 
-    /// Returns the number of flows in the flow table.
+    /// Returns the number of flows in the flow table, which may include flows that have
+    /// ended.
     pub fn flow_count(&self) -> usize {
         self.hints.len()
     }
@@ -147,12 +150,12 @@
     /// routes and a host, and peers have had time to send their flow tables.
     pub fn is_ready(&self, now: MonotonicTime) -> bool {
         let has_waited = self
-            .first_host_at
+            .first_host_joined_at
             .is_some_and(|joined_at| now.since(joined_at) >= TABLE_SYNC_DELAY);
         !self.is_stopping && self.routes.table().version() > 0 && has_waited
     }
 
-    /// Adds addresses that may belong to other balancers, to be sent hellos.
+    /// Adds addresses at which there may be balancers, so that hellos are sent to them.
     pub fn add_contacts(&mut self, contacts: &[Ipv4Addr]) {
         for contact in contacts {
             if *contact == self.identity.address {
@@ -164,8 +167,8 @@
         }
     }
 
-    /// Installs a route table if it is newer than the one in force, and makes the
-    /// next tick announce it to peers.
+    /// Installs a route table if it is newer than the one in force. The next tick then
+    /// announces it to the peers.
     pub fn set_routes(&mut self, routes: RouteTable, outbox: &mut FlowOutbox) {
         if self.routes.install(routes, outbox) {
             self.schedule_hello();
@@ -197,37 +200,38 @@
     pub fn next_tick_at(&self) -> MonotonicTime {
         let is_idle =
             self.openings.is_empty() && self.searches.is_empty() && self.hold_queue.is_empty();
-        let next = if is_idle {
-            self.next_hello
+        let tick_at = if is_idle {
+            self.next_hello_at
         } else {
-            self.next_hello.min(self.last_tick + PENDING_TICK_INTERVAL)
+            self.next_hello_at
+                .min(self.last_tick_at + PENDING_TICK_INTERVAL)
         };
-        match self.questions_due() {
-            Some(due) => next.min(due),
-            None => next,
+        match self.questions_due_at() {
+            Some(due_at) => tick_at.min(due_at),
+            None => tick_at,
         }
     }
 
     /// Runs the timers that are due: sends questions and hellos, retries offers,
     /// advances searches, and evicts expired hints and silent peers.
     pub fn tick(&mut self, now: MonotonicTime, outbox: &mut FlowOutbox) {
-        if self.questions_due().is_some_and(|due| now >= due) {
+        if self.questions_due_at().is_some_and(|due_at| now >= due_at) {
             self.send_questions(now, outbox);
         }
-        if now >= self.last_tick + PENDING_TICK_INTERVAL {
-            self.last_tick = now;
+        if now >= self.last_tick_at + PENDING_TICK_INTERVAL {
+            self.last_tick_at = now;
             self.retry_expired_offers(now, outbox);
             self.process_held_flows(now, outbox);
             self.advance_searches(now, outbox);
         }
-        if now >= self.next_hello {
+        if now >= self.next_hello_at {
             self.send_hellos(now, outbox);
             self.evict_expired(now, outbox);
         }
     }
 
     /// Prepares the process to stop: reports it as not ready, so that routers send it
-    /// no more packets, and sends the flow table to the other balancers.
+    /// no more packets, and sends its flow table to the other balancers.
     pub fn stop(&mut self, now: MonotonicTime, outbox: &mut FlowOutbox) {
         self.is_stopping = true;
         self.send_hellos(now, outbox);
@@ -247,7 +251,7 @@
             self.search_owner(packet, now, outbox);
             return;
         };
-        hint.last_used = now;
+        hint.last_used_at = now;
         let owner = hint.owner;
         self.forward_packet(owner, ForwardPurpose::Owner, packet.bytes, outbox);
     }
@@ -273,16 +277,16 @@
         }
     }
 
-    /// Makes the next tick send hellos, so that peers learn of a change at once.
+    /// Makes the next tick send hellos, so that peers learn of a change early.
     fn schedule_hello(&mut self) {
-        self.next_hello = MonotonicTime::default();
+        self.next_hello_at = MonotonicTime::default();
     }
 
     /// Records a host's claim to own a flow. The hint is exclusive unless another host
     /// may hold the flow as well.
     fn record_claim(&mut self, flow: FlowKey, owner: Ipv4Addr, now: MonotonicTime) {
         let is_ambiguous = self.hints.get(&flow).is_some_and(|hint| {
-            let is_recent = now.since(hint.last_used) < OPENING_RETRANSMIT_WINDOW;
+            let is_recent = now.since(hint.last_used_at) < OPENING_RETRANSMIT_WINDOW;
             !hint.is_exclusive || (hint.owner != owner && is_recent)
         });
         let is_exclusive = !is_ambiguous && !self.has_several_offers(&flow);
@@ -298,7 +302,7 @@
     ) {
         let hint = FlowHint {
             owner,
-            last_used: now,
+            last_used_at: now,
             is_exclusive,
         };
         self.hints.insert(flow, hint);
@@ -307,11 +311,11 @@
     fn evict_expired(&mut self, now: MonotonicTime, outbox: &mut FlowOutbox) {
         let max_age = self.identity.max_flow_age;
         self.hints.sweep(SHARDS_PER_SWEEP, |_, hint| {
-            now.since(hint.last_used) < max_age
+            now.since(hint.last_used_at) < max_age
         });
         for (peer, silence) in self.members.evict_silent(now) {
             self.reported_owners.retain(|(owner, _)| *owner != peer);
-            // With no balancer left, the old addresses are the only way to rejoin.
+            // While no balancer is known, the old addresses are the only way to rejoin.
             if !self.members.balancers().is_empty() {
                 self.contacts.retain(|contact| *contact != peer);
             }
--- a/crates/flows/src/balancer/opening.rs
+++ b/crates/flows/src/balancer/opening.rs
@@ -1,8 +1,8 @@
 //! Offers new flows to hosts.
 //!
-//! An offer that times out or that all its candidates decline is repeated with hosts
-//! that have not been tried. A flow that no host can accept may be held for a short
-//! time before it is refused.
+//! A flow whose offer times out, or that all candidates decline, is offered again to
+//! hosts that have not been tried. A flow that no host can accept may be held for a
+//! short time before it is refused.
 
 use std::net::Ipv4Addr;
 use std::time::Duration;
@@ -45,19 +45,22 @@
 /// Hosts that a flow has already been offered to.
 type TriedHosts = ArrayVec<Ipv4Addr, MAX_TRIED_HOSTS>;
 
-/// A new flow that was offered to hosts and not accepted yet.
+/// A new flow that was offered to hosts and that none has accepted yet.
 #[derive(Debug, Clone)]
 pub(super) struct PendingOpening {
     flow: FlowKey,
-    host: Ipv4Addr,
-    /// Hosts of the current offer, in the order in which they are asked.
+    /// Host that the current offer was sent to.
+    first_host: Ipv4Addr,
+    /// Hosts of the current offer, `first_host` included, in the order in which they are
+    /// asked.
     offered_hosts: CandidateList,
-    arrived: MonotonicTime,
-    /// Age of the flow at `arrived`.
-    age: Duration,
+    arrived_at: MonotonicTime,
+    /// Age of the flow at `arrived_at`.
+    age_at_arrival: Duration,
     sent_at: MonotonicTime,
-    attempt: u8,
-    tried: TriedHosts,
+    /// Number of offers, the current one included.
+    attempt_count: u8,
+    tried_hosts: TriedHosts,
     bytes: Vec<u8>,
 }
 
@@ -65,11 +68,12 @@
 #[derive(Debug, Clone)]
 struct NewFlow {
     flow: FlowKey,
-    arrived: MonotonicTime,
-    /// Age of the flow at `arrived`.
-    age: Duration,
-    attempt: u8,
-    tried: TriedHosts,
+    arrived_at: MonotonicTime,
+    /// Age of the flow at `arrived_at`.
+    age_at_arrival: Duration,
+    /// Number of earlier offers.
+    attempt_count: u8,
+    tried_hosts: TriedHosts,
     bytes: Vec<u8>,
 }
 
@@ -108,12 +112,13 @@
         }
         let new_flow = NewFlow {
             flow,
-            arrived: pending.map_or(now, |opening| opening.arrived),
-            age: pending.map_or(opening_age(packet.header.acknowledged), |opening| {
-                opening.age
+            arrived_at: pending.map_or(now, |opening| opening.arrived_at),
+            age_at_arrival: pending.map_or(opening_age(packet.header.acknowledged), |opening| {
+                opening.age_at_arrival
             }),
-            attempt: pending.map_or(0, |opening| opening.attempt),
-            tried: pending.map_or_else(Default::default, |opening| opening.tried.clone()),
+            attempt_count: pending.map_or(0, |opening| opening.attempt_count),
+            tried_hosts: pending
+                .map_or_else(Default::default, |opening| opening.tried_hosts.clone()),
             bytes: packet.bytes.to_vec(),
         };
         self.openings.retain(|opening| opening.flow != flow);
@@ -134,38 +139,47 @@
             return;
         };
         let candidates = self.select_candidates(&new_flow, &route_match, now);
-        let Some((first, next)) = candidates.split_first() else {
+        let Some((first_host, next_hosts)) = candidates.split_first() else {
             self.hold_or_refuse(new_flow, &route_match, now, outbox);
             return;
         };
-        let first = *first;
-        self.record_placement(new_flow.flow, first, new_flow.attempt, now, outbox);
+        let first_host = *first_host;
+        self.record_placement(
+            new_flow.flow,
+            first_host,
+            new_flow.attempt_count,
+            now,
+            outbox,
+        );
         let header = CarryHeader {
-            next: next.iter().copied().collect(),
+            next: next_hosts.iter().copied().collect(),
             ..self.build_header(ForwardPurpose::Open)
         };
-        outbox.enqueue_message(first, &CarryMessage::Forward(header), &new_flow.bytes);
+        outbox.enqueue_message(first_host, &CarryMessage::Forward(header), &new_flow.bytes);
         self.openings.push(PendingOpening {
             flow: new_flow.flow,
-            host: first,
+            first_host,
             offered_hosts: candidates,
-            arrived: new_flow.arrived,
-            age: new_flow.age,
+            arrived_at: new_flow.arrived_at,
+            age_at_arrival: new_flow.age_at_arrival,
             sent_at: now,
-            attempt: new_flow.attempt + 1,
-            tried: new_flow.tried,
+            attempt_count: new_flow.attempt_count + 1,
+            tried_hosts: new_flow.tried_hosts,
             bytes: new_flow.bytes,
         });
     }
 
-    /// Offers flows to other hosts when the first host did not answer in time.
+    /// Offers flows to other hosts if no host has accepted them in time. After the last
+    /// attempt, drops the pending opening once the caller no longer retransmits.
     pub(super) fn retry_expired_offers(&mut self, now: MonotonicTime, outbox: &mut FlowOutbox) {
         let mut index = 0;
         while index < self.openings.len() {
             let opening = &self.openings[index];
-            let age = now.since(opening.sent_at);
-            let is_last_attempt = opening.attempt >= MAX_ATTEMPTS;
-            if age < OFFER_TIMEOUT || (is_last_attempt && age < OPENING_RETRANSMIT_WINDOW) {
+            let offer_age = now.since(opening.sent_at);
+            let is_last_attempt = opening.attempt_count >= MAX_ATTEMPTS;
+            if offer_age < OFFER_TIMEOUT
+                || (is_last_attempt && offer_age < OPENING_RETRANSMIT_WINDOW)
+            {
                 index += 1;
                 continue;
             }
@@ -175,13 +189,13 @@
             }
             let has_responded = self
                 .members
-                .host(opening.host)
-                .is_some_and(|record| record.peer.last_seen > opening.sent_at);
+                .host(opening.first_host)
+                .is_some_and(|record| record.peer.last_seen_at > opening.sent_at);
             if !has_responded {
-                self.members.avoid_host(opening.host, now);
+                self.members.avoid_host(opening.first_host, now);
             }
-            let host = opening.host;
-            self.offer_flow(opening.into_new_flow(&[host]), now, outbox);
+            let first_host = opening.first_host;
+            self.offer_flow(opening.into_new_flow(&[first_host]), now, outbox);
         }
     }
 
@@ -190,11 +204,11 @@
     pub(super) fn has_several_offers(&self, flow: &FlowKey) -> bool {
         self.openings
             .iter()
-            .any(|opening| opening.flow == *flow && opening.attempt > 1)
+            .any(|opening| opening.flow == *flow && opening.attempt_count > 1)
     }
 
     /// Ends the offer of a flow that a host has accepted, and offers a held flow of the
-    /// same service, because there may be capacity for another one.
+    /// same service, which may have capacity for another one.
     pub(super) fn complete_opening(
         &mut self,
         flow: &FlowKey,
@@ -228,31 +242,38 @@
         self.offer_flow(opening.into_new_flow(&offered_hosts), now, outbox);
     }
 
-    /// Refuses the held flows that have waited too long, and offers the next one.
+    /// Refuses the held flows whose deadline has passed, and offers the highest-ranked
+    /// of the others.
     pub(super) fn process_held_flows(&mut self, now: MonotonicTime, outbox: &mut FlowOutbox) {
-        for held in self.hold_queue.take_expired(now) {
-            self.refuse_flow(held.flow, RefusalReason::NoCapacity, outbox);
+        for held_flow in self.hold_queue.take_expired(now) {
+            self.refuse_flow(held_flow.flow, RefusalReason::NoCapacity, outbox);
         }
-        if let Some(held) = self.hold_queue.take_next(now, |_| true) {
-            self.offer_flow(NewFlow::from(held), now, outbox);
+        if let Some(held_flow) = self.hold_queue.take_next(now, |_| true) {
+            self.offer_flow(NewFlow::from(held_flow), now, outbox);
         }
     }
 
-    /// Offers the next held flow of the service that has just accepted `accepted`.
-    fn offer_next_held(&mut self, accepted: &FlowKey, now: MonotonicTime, outbox: &mut FlowOutbox) {
+    /// Offers the highest-ranked held flow of the service that has just accepted
+    /// `accepted_flow`.
+    fn offer_next_held(
+        &mut self,
+        accepted_flow: &FlowKey,
+        now: MonotonicTime,
+        outbox: &mut FlowOutbox,
+    ) {
         let Some(service) = self
-            .match_route(accepted)
+            .match_route(accepted_flow)
             .map(|route_match| route_match.service)
         else {
             return;
         };
         let routes = self.routes.table();
-        let next = self.hold_queue.take_next(now, |held| {
-            let route = routes.route(held.flow.target);
-            route.and_then(|route| route.service_of(&held.flow)) == Some(service.as_str())
+        let next_held_flow = self.hold_queue.take_next(now, |held_flow| {
+            let route = routes.route(held_flow.flow.target);
+            route.and_then(|route| route.service_of(&held_flow.flow)) == Some(service.as_str())
         });
-        if let Some(held) = next {
-            self.offer_flow(NewFlow::from(held), now, outbox);
+        if let Some(held_flow) = next_held_flow {
+            self.offer_flow(NewFlow::from(held_flow), now, outbox);
         }
     }
 
@@ -263,14 +284,15 @@
         now: MonotonicTime,
         outbox: &mut FlowOutbox,
     ) {
-        let has_settled = self.has_settled(now);
-        let reason = if new_flow.tried.is_empty() {
+        let is_discovery_complete = self.is_discovery_complete(now);
+        let reason = if new_flow.tried_hosts.is_empty() {
             RefusalReason::NoHost
         } else {
             RefusalReason::NoCapacity
         };
-        let deadline = new_flow.arrived + max_hold_time(route_match.timeout, has_settled);
-        let is_unservable = has_settled && reason == RefusalReason::NoHost;
+        let deadline =
+            new_flow.arrived_at + max_hold_time(route_match.timeout, is_discovery_complete);
+        let is_unservable = is_discovery_complete && reason == RefusalReason::NoHost;
         if is_unservable || now >= deadline {
             self.refuse_flow(new_flow.flow, reason, outbox);
             return;
@@ -278,13 +300,13 @@
         let rejected = self.hold_queue.push(HeldFlow {
             flow: new_flow.flow,
             priority: route_match.priority,
-            arrived: new_flow.arrived,
-            age: new_flow.age,
+            arrived_at: new_flow.arrived_at,
+            age_at_arrival: new_flow.age_at_arrival,
             deadline,
             bytes: new_flow.bytes,
         });
-        if let Some(held) = rejected {
-            self.refuse_flow(held.flow, reason, outbox);
+        if let Some(held_flow) = rejected {
+            self.refuse_flow(held_flow.flow, reason, outbox);
         }
     }
 
@@ -308,7 +330,7 @@
             &route_match.service,
             &self.identity.zone,
             hash_flow(&new_flow.flow),
-            &new_flow.tried,
+            &new_flow.tried_hosts,
             &self.members.timeouts(),
             now,
         )
@@ -351,32 +373,32 @@
     /// Converts the pending opening into a flow to be offered again, with `hosts` added
     /// to its tried hosts.
     fn into_new_flow(self, hosts: &[Ipv4Addr]) -> NewFlow {
-        let mut tried = self.tried;
+        let mut tried_hosts = self.tried_hosts;
         for host in hosts {
-            if !tried.contains(host) && tried.try_push(*host).is_err() {
+            if !tried_hosts.contains(host) && tried_hosts.try_push(*host).is_err() {
                 break;
             }
         }
         NewFlow {
             flow: self.flow,
-            arrived: self.arrived,
-            age: self.age,
-            attempt: self.attempt,
-            tried,
+            arrived_at: self.arrived_at,
+            age_at_arrival: self.age_at_arrival,
+            attempt_count: self.attempt_count,
+            tried_hosts,
             bytes: self.bytes,
         }
     }
 }
 
 impl From<HeldFlow> for NewFlow {
-    fn from(held: HeldFlow) -> Self {
+    fn from(held_flow: HeldFlow) -> Self {
         Self {
-            flow: held.flow,
-            arrived: held.arrived,
-            age: held.age,
-            attempt: 0,
-            tried: TriedHosts::new(),
-            bytes: held.bytes,
+            flow: held_flow.flow,
+            arrived_at: held_flow.arrived_at,
+            age_at_arrival: held_flow.age_at_arrival,
+            attempt_count: 0,
+            tried_hosts: TriedHosts::new(),
+            bytes: held_flow.bytes,
         }
     }
 }
--- a/crates/flows/src/balancer/peers.rs
+++ b/crates/flows/src/balancer/peers.rs
@@ -108,7 +108,7 @@
                 self.receive_opening(packet, now, outbox);
             }
             ForwardPurpose::Owner | ForwardPurpose::Probe => {
-                self.search_returned(packet, from, now, outbox);
+                self.redirect_returned(packet, from, now, outbox);
             }
         }
     }
@@ -134,7 +134,7 @@
         }
         match &hello.role {
             HelloRole::Host(host) => {
-                self.first_host_at.get_or_insert(now);
+                self.first_host_joined_at.get_or_insert(now);
                 if is_new {
                     self.last_host_joined_at = Some(now);
                     self.query_new_host(from, now, outbox);
@@ -163,10 +163,10 @@
         }
     }
 
-    /// Sends hellos to all hosts and contacts. A contact that is not a known balancer
-    /// is asked for a hello in return.
+    /// Sends hellos to all hosts and contacts, and schedules the next round. A contact
+    /// that is not a known balancer is asked for a hello in return.
     pub(super) fn send_hellos(&mut self, now: MonotonicTime, outbox: &mut FlowOutbox) {
-        self.next_hello = now + self.members.timeouts().hello_interval;
+        self.next_hello_at = now + self.members.timeouts().hello_interval;
         self.hello_number += 1;
         let hello = CarryMessage::Hello(self.build_hello(false, now));
         let hello_request = CarryMessage::Hello(self.build_hello(true, now));
--- a/crates/flows/src/balancer/search.rs
+++ b/crates/flows/src/balancer/search.rs
@@ -2,7 +2,7 @@
 //!
 //! Hosts are queried in rounds, the most likely ones first. A host that knows the
 //! flow claims it and is sent the packet. A host that has lost its table cannot
-//! answer; it is sent the packet as a probe, and hands it to its server. Only two
+//! answer; it is sent the packet as a probe, and delivers it to its server. Only two
 //! servers are probed at a time, because a probed server may not hold the flow, and a
 //! flow tolerates few packets at wrong servers.
 //!
@@ -75,8 +75,8 @@
 /// Processes that start together discover each other within 0.3 s.
 const SETTLE_TIME: Duration = Duration::from_millis(500);
 
-/// Time since the discovery of the first host after which flows from before a full
-/// outage are certain to be gone.
+/// Replaces [`SETTLE_TIME`] after a full outage, counted from the discovery of the first
+/// host. It can be shorter because no server holds a flow from before the outage.
 const OUTAGE_SETTLE_TIME: Duration = Duration::from_millis(50);
 
 /// Minimum number of hosts with a server, all of them new, that indicates a full
@@ -88,9 +88,9 @@
 pub(super) struct PendingSearch {
     flow: FlowKey,
     started_at: MonotonicTime,
-    /// Time of the last question or probe; a queued question counts from the time at
-    /// which it is due.
-    last_asked: MonotonicTime,
+    /// Time of the last question or probe; for a queued question, the time at which it
+    /// will be sent.
+    last_query_at: MonotonicTime,
     /// Hosts that have not been queried yet, the most likely last.
     remaining: Vec<Ipv4Addr>,
     /// Hosts that were queried and whose answer is pending.
@@ -138,26 +138,26 @@
     /// Returns the hosts that were queried or probed and have not said whether they
     /// hold the flow.
     fn undecided_hosts(&self) -> impl Iterator<Item = Ipv4Addr> {
-        let asked = self.awaiting.iter().chain(&self.probing);
-        asked.chain(&self.unanswered).copied()
+        let queried_hosts = self.awaiting.iter().chain(&self.probing);
+        queried_hosts.chain(&self.unanswered).copied()
     }
 
     /// Removes the unanswered hosts that cannot hold the flow: those that have been
-    /// silent for too long, and those whose last hello reported no server and that are
-    /// overdue with a hello or with two answers.
+    /// silent for too long, and those whose last hello reported that their server is
+    /// down, if their next hello is overdue or they were queried again without an answer.
     fn remove_gone_hosts(&mut self, members: &MemberTable, now: MonotonicTime) {
         let overdue_after = members.timeouts().overdue_after();
         let is_retried = self.is_retried;
         self.unanswered.retain(|host| {
             members.host(*host).is_some_and(|record| {
-                let is_overdue = is_retried || now.since(record.peer.last_seen) >= overdue_after;
+                let is_overdue = is_retried || now.since(record.peer.last_seen_at) >= overdue_after;
                 let is_gone = is_overdue && record.server == ServerState::Down;
                 record.may_hold_flows(now) && !is_gone
             })
         });
     }
 
-    /// Stops waiting for the pending answers of the current round.
+    /// Moves the hosts whose answer is pending to the unanswered ones.
     fn time_out_round(&mut self) {
         self.unanswered.append(&mut self.awaiting);
         self.unanswered.append(&mut self.probing);
@@ -194,7 +194,7 @@
         let search = PendingSearch {
             flow,
             started_at: now,
-            last_asked: now,
+            last_query_at: now,
             remaining: self.rank_likely_hosts(&flow, now),
             awaiting: Vec::new(),
             uncertain: Vec::new(),
@@ -210,9 +210,10 @@
         self.continue_search(index, now, outbox);
     }
 
-    /// Forwards a returned packet to the flow's owner if the table now names a host
-    /// other than `from`. Otherwise removes the hint and searches for the owner.
-    pub(super) fn search_returned(
+    /// Handles a packet that the host `from` has returned: forwards it to the flow's owner
+    /// if the table now names another host. Otherwise removes the hint and searches for
+    /// the owner.
+    pub(super) fn redirect_returned(
         &mut self,
         packet: &RawPacket<'_>,
         from: Ipv4Addr,
@@ -250,8 +251,8 @@
         };
         let search = self.searches.remove(index);
         // A probed host already has the first packet.
-        let delivered = usize::from(search.probing.contains(&owner));
-        for bytes in search.packets.iter().skip(delivered) {
+        let delivered_count = usize::from(search.probing.contains(&owner));
+        for bytes in search.packets.iter().skip(delivered_count) {
             self.forward_packet(owner, ForwardPurpose::Owner, bytes, outbox);
         }
     }
@@ -292,7 +293,7 @@
         }
     }
 
-    /// Times out rounds and searches, and queries hosts that have not answered again.
+    /// Times out rounds and searches, and queries hosts once more that have not answered.
     pub(super) fn advance_searches(&mut self, now: MonotonicTime, outbox: &mut FlowOutbox) {
         for index in (0..self.searches.len()).rev() {
             let search = &mut self.searches[index];
@@ -301,11 +302,11 @@
                 self.record_unowned(&search, now, outbox);
                 continue;
             }
-            if now.since(search.last_asked) >= ROUND_TIMEOUT {
+            if now.since(search.last_query_at) >= ROUND_TIMEOUT {
                 search.time_out_round();
             }
             search.remove_gone_hosts(&self.members, now);
-            if now.since(search.last_asked) >= RETRY_INTERVAL && search.remaining.is_empty() {
+            if now.since(search.last_query_at) >= RETRY_INTERVAL && search.remaining.is_empty() {
                 search.remaining = std::mem::take(&mut search.unanswered);
                 search.is_retried = true;
             }
@@ -317,7 +318,7 @@
     fn record_unowned(&self, search: &PendingSearch, now: MonotonicTime, outbox: &mut FlowOutbox) {
         let silence = |host| {
             let record = self.members.host(host)?;
-            Some(now.since(record.peer.last_seen).as_millis() as u32)
+            Some(now.since(record.peer.last_seen_at).as_millis() as u32)
         };
         let undecided = search.undecided_hosts().take(MAX_LOGGED_HOSTS);
         outbox.record_event(FlowEvent::Unowned {
@@ -332,9 +333,9 @@
     }
 
     /// Returns the time at which queued questions are to be sent, if there are any.
-    pub(super) fn questions_due(&self) -> Option<MonotonicTime> {
-        let first = self.questions_queued_at?;
-        Some((first + QUESTION_BATCH_DELAY).max(self.questions_allowed_at))
+    pub(super) fn questions_due_at(&self) -> Option<MonotonicTime> {
+        let queued_at = self.questions_queued_at?;
+        Some((queued_at + QUESTION_BATCH_DELAY).max(self.questions_allowed_at))
     }
 
     /// Sends the queued questions to each host.
@@ -392,7 +393,7 @@
         }
         while search.probing.len() < MAX_PROBES && !search.uncertain.is_empty() {
             let host = search.uncertain.remove(0);
-            search.last_asked = now;
+            search.last_query_at = now;
             outbox.enqueue_message(host, &message, &search.packets[0]);
             search.probing.push(host);
         }
@@ -420,15 +421,15 @@
         let is_relearning = record.is_some_and(|record| record.is_relearning);
         let overdue_after = self.members.timeouts().overdue_after();
         let is_responsive =
-            record.is_some_and(|record| now.since(record.peer.last_seen) < overdue_after);
+            record.is_some_and(|record| now.since(record.peer.last_seen_at) < overdue_after);
         if is_relearning {
             self.searches[index].uncertain.push(host);
             return;
         }
         self.questions_queued_at.get_or_insert(now);
-        let send_at = self.questions_due().unwrap_or(now);
+        let send_at = self.questions_due_at().unwrap_or(now);
         let search = &mut self.searches[index];
-        search.last_asked = send_at;
+        search.last_query_at = send_at;
         if is_responsive {
             search.awaiting.push(host);
         } else {
@@ -467,12 +468,12 @@
         });
     }
 
-    /// Returns whether no host was discovered recently, so that all hosts are taken as
-    /// known.
-    pub(super) fn has_settled(&self, now: MonotonicTime) -> bool {
+    /// Returns whether all hosts are taken as known, because none was discovered
+    /// recently.
+    pub(super) fn is_discovery_complete(&self, now: MonotonicTime) -> bool {
         if self.is_after_full_outage() {
             return self
-                .first_host_at
+                .first_host_joined_at
                 .is_some_and(|joined_at| now.since(joined_at) >= OUTAGE_SETTLE_TIME);
         }
         self.last_host_joined_at
@@ -488,13 +489,15 @@
                 .all(|record| record.is_server_new)
     }
 
-    /// Returns whether every host that may hold a flow is known and can be queried.
+    /// Returns whether every host that may hold a flow is known and can be queried: host
+    /// discovery is complete, most hosts are reachable, none that may hold a flow is
+    /// suspect, and no peer names or reaches hosts that this balancer does not.
     fn is_membership_complete(&self, now: MonotonicTime) -> bool {
         let timeouts = self.members.timeouts();
-        let reachable = self.members.reachable_host_count(now);
-        let is_partitioned = reachable * 2 <= self.members.hosts_with_server().count();
+        let reachable_count = self.members.reachable_host_count(now);
+        let is_partitioned = reachable_count * 2 <= self.members.hosts_with_server().count();
         let has_suspect_host = self.members.hosts_with_server().any(|record| {
-            let silence = now.since(record.peer.last_seen);
+            let silence = now.since(record.peer.last_seen_at);
             record.may_hold_flows(now) && silence >= timeouts.suspect_after
         });
         let has_unknown_owner = self.reported_owners.iter().any(|(owner, since)| {
@@ -504,10 +507,10 @@
             .members
             .balancers()
             .iter()
-            .filter(|record| now.since(record.peer.last_seen) < timeouts.suspect_after)
-            .any(|record| usize::from(record.reachable_hosts) > reachable);
+            .filter(|record| now.since(record.peer.last_seen_at) < timeouts.suspect_after)
+            .any(|record| usize::from(record.reachable_host_count) > reachable_count);
         let may_miss_hosts =
             is_partitioned || has_suspect_host || has_unknown_owner || do_peers_reach_more;
-        self.has_settled(now) && !may_miss_hosts
+        self.is_discovery_complete(now) && !may_miss_hosts
     }
 }
--- a/crates/flows/src/event.rs
+++ b/crates/flows/src/event.rs
@@ -6,7 +6,7 @@
 use hyssopstair_wire::carried::FlowKey;
 use hyssopstair_wire::carried::ServerState;
 
-/// An event with its details, as it is logged.
+/// An event that is logged and counted.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FlowEvent {
     /// A balancer sent the opening packet of a new flow to a host.
@@ -136,7 +136,7 @@
     pub silent_millis: Option<u32>,
 }
 
-/// The kind of an event, each with a counter of its own.
+/// The kind of an event. Each kind has a counter of its own.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EventKind {
     /// New flows sent to hosts.
--- a/crates/flows/src/heartbeat.rs
+++ b/crates/flows/src/heartbeat.rs
@@ -32,10 +32,10 @@
     pub cold_remaining_millis: u32,
 }
 
-/// The result of processing a heartbeat.
+/// What a host did with a heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeartbeatVerdict {
-    /// The heartbeat was the newest one and is in force.
+    /// The heartbeat was newer than all others and has been applied.
     Accepted,
     /// The heartbeat was ignored: it is out of order or from an earlier incarnation.
     Stale,
@@ -45,16 +45,16 @@
 #[derive(Debug, Default)]
 pub struct HeartbeatTracker {
     newest: Option<ServerHeartbeat>,
-    /// When `newest` was received.
+    /// Time at which `newest` was received.
     newest_received_at: MonotonicTime,
-    /// The last heartbeat that was classified as late since `newest`.
+    /// The last stale heartbeat received since `newest`.
     last_stale: Option<ServerHeartbeat>,
 }
 
-/// The relation of a heartbeat to the newest one before it.
+/// Order of a heartbeat relative to the newest one received before it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeartbeatOrder {
-    /// The first heartbeat, the next one of the same incarnation, or one of an
+    /// The first heartbeat, a later one of the same incarnation, or one of an
     /// incarnation whose start was not detected.
     InSequence,
     /// The first heartbeat of a new incarnation.
@@ -69,11 +69,12 @@
         self.newest.as_ref()
     }
 
-    /// Classifies a heartbeat, and stores it as the newest one unless it is late.
+    /// Classifies a heartbeat, and stores it as the newest one unless it is stale.
     ///
-    /// An incarnation with a later start time is newer. If an incarnation with an
+    /// An incarnation with a later start time is newer. However, if an incarnation with an
     /// earlier start time keeps sending heartbeats while the newest one is silent, the
-    /// server's clock was set back, and it replaces the newest one.
+    /// server's clock was set back, and the incarnation that sends heartbeats becomes the
+    /// newest.
     pub fn record(&mut self, heartbeat: &ServerHeartbeat, now: MonotonicTime) -> HeartbeatOrder {
         let order = match &self.newest {
             None => HeartbeatOrder::InSequence,
--- a/crates/flows/src/holding.rs
+++ b/crates/flows/src/holding.rs
@@ -13,14 +13,14 @@
 use hyssopstair_wire::carried::FlowKey;
 use hyssopstair_wire::time::MonotonicTime;
 
-/// Divisor of the request timeout that gives the longest wait for a host. The wait
-/// in the server's own queue is about as long, and a late answer is still worth
-/// part of one in time.
+/// Divisor of the request timeout: the quotient is the longest wait for a host. The wait
+/// in the server's own queue is about as long, and an answer after the latency target is
+/// still of some use to the caller.
 const HOLD_DIVISOR: u32 = 4;
 
-/// Upper bound of the wait for a host: callers retransmit their opening packet for
-/// the last time after 600 ms.
-const MAX_HOLD: Duration = Duration::from_millis(600);
+/// Maximum wait for a host, whatever the request timeout is. Callers retransmit their
+/// opening packet for the last time after 600 ms.
+const MAX_HOLD_TIME: Duration = Duration::from_millis(600);
 
 /// Age up to which the first request of a flow can still be answered in time. Latency
 /// targets are 100 to 150 ms, most of which is spent in the server's queue and in
@@ -34,7 +34,7 @@
     Duration::from_millis(600),
 ];
 
-/// Largest number of waiting flows; an entry takes about 200 bytes.
+/// Maximum number of waiting flows; an entry takes about 200 bytes.
 const MAX_HELD_FLOWS: usize = 1_024;
 
 /// A new flow that is waiting for a host.
@@ -44,21 +44,22 @@
     pub flow: FlowKey,
     /// Priority of its requests; 0 is the most urgent.
     pub priority: u8,
-    /// When its opening packet arrived.
-    pub arrived: MonotonicTime,
-    /// Age of the flow at its arrival.
-    pub age: Duration,
-    /// When the wait ends and the flow is refused.
+    /// Time at which its opening packet arrived.
+    pub arrived_at: MonotonicTime,
+    /// Age of the flow when that packet arrived: zero, or the time since the caller's first
+    /// attempt if the packet is a retransmission.
+    pub age_at_arrival: Duration,
+    /// Time at which the wait ends and the flow is refused.
     pub deadline: MonotonicTime,
     /// The bytes of its opening packet.
     pub bytes: Vec<u8>,
 }
 
-/// Returns the age of a flow at transmission number `transmission` of its opening
-/// packet, counted from 0.
-pub fn opening_age(transmission: u32) -> Duration {
+/// Returns the age of a flow whose opening packet has been retransmitted
+/// `retransmission_count` times.
+pub fn opening_age(retransmission_count: u32) -> Duration {
     let last = OPENING_AGES.len() - 1;
-    OPENING_AGES[(transmission as usize).min(last)]
+    OPENING_AGES[(retransmission_count as usize).min(last)]
 }
 
 /// Returns how long a flow may wait for a host if its requests time out after
@@ -66,9 +67,9 @@
 /// still be discovered, so the flow waits as long as its caller retransmits.
 pub fn max_hold_time(timeout: Duration, is_discovery_complete: bool) -> Duration {
     if is_discovery_complete {
-        (timeout / HOLD_DIVISOR).min(MAX_HOLD)
+        (timeout / HOLD_DIVISOR).min(MAX_HOLD_TIME)
     } else {
-        MAX_HOLD
+        MAX_HOLD_TIME
     }
 }
 
@@ -86,7 +87,7 @@
 
     /// Returns whether `flow` is waiting.
     pub fn contains(&self, flow: &FlowKey) -> bool {
-        self.flows.iter().any(|held| held.flow == *flow)
+        self.flows.iter().any(|held_flow| held_flow.flow == *flow)
     }
 
     /// Adds a flow, or returns it if the queue is full.
@@ -108,8 +109,8 @@
             .flows
             .iter()
             .enumerate()
-            .filter(|(_, held)| matches(held))
-            .min_by_key(|(_, held)| rank(held, now))?;
+            .filter(|(_, held_flow)| matches(held_flow))
+            .min_by_key(|(_, held_flow)| rank(held_flow, now))?;
         Some(self.flows.swap_remove(index))
     }
 
@@ -117,7 +118,7 @@
     pub fn take_expired(&mut self, now: MonotonicTime) -> Vec<HeldFlow> {
         let (expired, waiting) = std::mem::take(&mut self.flows)
             .into_iter()
-            .partition(|held| now >= held.deadline);
+            .partition(|held_flow| now >= held_flow.deadline);
         self.flows = waiting;
         expired
     }
@@ -125,7 +126,11 @@
 
 /// Returns the sort key of a flow, lowest first: flows that can be answered in time
 /// before late ones, then by priority, then the newest first.
-fn rank(held: &HeldFlow, now: MonotonicTime) -> (bool, u8, Reverse<MonotonicTime>) {
-    let age = now.since(held.arrived) + held.age;
-    (age >= FRESH_MAX_AGE, held.priority, Reverse(held.arrived))
+fn rank(held_flow: &HeldFlow, now: MonotonicTime) -> (bool, u8, Reverse<MonotonicTime>) {
+    let age = now.since(held_flow.arrived_at) + held_flow.age_at_arrival;
+    (
+        age >= FRESH_MAX_AGE,
+        held_flow.priority,
+        Reverse(held_flow.arrived_at),
+    )
 }
--- a/crates/flows/src/host/load.rs
+++ b/crates/flows/src/host/load.rs
@@ -7,16 +7,16 @@
 
 use hyssopstair_wire::time::MonotonicTime;
 
-/// Divisor of the weight of a new answer time in the smoothed one.
+/// Divisor that gives the weight of a new answer time in the exponential mean.
 const ANSWER_SMOOTHING_DIVISOR: u32 = 8;
 
-/// Period over which the mean of the requests in progress is taken.
+/// Time constant of the exponential mean of the requests in progress.
 const MEAN_PERIOD: Duration = Duration::from_secs(1);
 
 /// Time for which a flow whose opening packet was delivered counts as a request in
 /// progress. The caller's request follows after a round trip, which takes 6 ms, or
-/// longer on a busy machine; a caller that has sent nothing by then has left.
-const OFFER_TIMEOUT: Duration = Duration::from_millis(50);
+/// longer on a busy machine; a caller that has sent nothing after this time has left.
+const EXPECTED_REQUEST_TIMEOUT: Duration = Duration::from_millis(50);
 
 /// Answer time that a failed request is recorded with: what a retry costs its caller.
 const FAILED_REQUEST_TIME: Duration = Duration::from_millis(200);
@@ -24,22 +24,22 @@
 /// The load of one backend server.
 #[derive(Debug)]
 pub(super) struct LoadMeter {
-    requests: u16,
+    request_count: u16,
     /// Delivery times of the opening packets of flows without a request, ascending.
     offers: Vec<MonotonicTime>,
     answer_micros: u32,
     mean_requests: f64,
-    last_tick: MonotonicTime,
+    last_tick_at: MonotonicTime,
 }
 
 impl LoadMeter {
     pub(super) fn new(now: MonotonicTime) -> Self {
         Self {
-            requests: 0,
+            request_count: 0,
             offers: Vec::new(),
             answer_micros: 0,
             mean_requests: 0.0,
-            last_tick: now,
+            last_tick_at: now,
         }
     }
 
@@ -50,9 +50,9 @@
             .offers
             .iter()
             .rev()
-            .take_while(|offered| now.since(**offered) < OFFER_TIMEOUT)
+            .take_while(|offered_at| now.since(**offered_at) < EXPECTED_REQUEST_TIMEOUT)
             .count();
-        self.requests.saturating_add(recent_offers as u16)
+        self.request_count.saturating_add(recent_offers as u16)
     }
 
     /// Returns the mean of the requests without an answer over the last second, in
@@ -72,15 +72,15 @@
         self.offers.push(now);
     }
 
-    /// Stops counting a new flow whose opening packet was delivered at `offered`.
-    pub(super) fn remove_offer(&mut self, offered: MonotonicTime) {
-        if let Ok(index) = self.offers.binary_search(&offered) {
+    /// Stops counting a new flow whose opening packet was delivered at `offered_at`.
+    pub(super) fn remove_offer(&mut self, offered_at: MonotonicTime) {
+        if let Ok(index) = self.offers.binary_search(&offered_at) {
             self.offers.remove(index);
         }
     }
 
     pub(super) fn begin_request(&mut self) {
-        self.requests = self.requests.saturating_add(1);
+        self.request_count = self.request_count.saturating_add(1);
     }
 
     /// Records the answer to a request and the time that it took.
@@ -95,21 +95,21 @@
         };
     }
 
-    /// Records a request whose flow the server closed instead of answering. With the
-    /// time that really passed, a server that fails at once would seem idle and fast,
-    /// and would attract new flows.
+    /// Records a request whose flow the server closed instead of answering. The time that
+    /// it took is not used: a server that fails at once would seem idle and fast, and
+    /// would attract new flows.
     pub(super) fn fail_request(&mut self) {
         self.complete_request(FAILED_REQUEST_TIME);
     }
 
     /// Stops counting a request without recording an answer time.
     pub(super) fn discard_request(&mut self) {
-        self.requests = self.requests.saturating_sub(1);
+        self.request_count = self.request_count.saturating_sub(1);
     }
 
     /// Resets all counts when the server has ended or was replaced.
     pub(super) fn clear(&mut self) {
-        self.requests = 0;
+        self.request_count = 0;
         self.offers.clear();
         self.answer_micros = 0;
         self.mean_requests = 0.0;
@@ -117,11 +117,12 @@
 
     /// Updates the mean and drops expired offers.
     pub(super) fn tick(&mut self, now: MonotonicTime) {
-        let passed = now.since(self.last_tick).as_secs_f64() / MEAN_PERIOD.as_secs_f64();
-        self.last_tick = now;
+        let elapsed_periods =
+            now.since(self.last_tick_at).as_secs_f64() / MEAN_PERIOD.as_secs_f64();
+        self.last_tick_at = now;
         self.offers
-            .retain(|offered| now.since(*offered) < OFFER_TIMEOUT);
-        let share = passed.min(1.0);
-        self.mean_requests += (f64::from(self.requests) - self.mean_requests) * share;
+            .retain(|offered_at| now.since(*offered_at) < EXPECTED_REQUEST_TIMEOUT);
+        let weight = elapsed_periods.min(1.0);
+        self.mean_requests += (f64::from(self.request_count) - self.mean_requests) * weight;
     }
 }
--- a/crates/flows/src/host/mod.rs
+++ b/crates/flows/src/host/mod.rs
@@ -42,18 +42,18 @@
 use crate::routes::RouteTable;
 use crate::table::FlowTable;
 
-/// Interval between two ticks.
+/// Interval between ticks.
 pub const HOST_TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Time after the start of a host within which it learns of a running server: two
+/// Time after the start of a host within which a running server makes itself known: two
 /// heartbeats, which are sent every 1.2 s, and a margin.
 const SERVER_DISCOVERY_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Shards of the flow table that one tick sweeps; a pass over the whole table takes more
-/// than a second.
+/// Number of shards of the flow table that are swept in each tick. A pass over the whole
+/// table takes more than a second.
 const SHARDS_PER_TICK: usize = 12;
 
-/// The identity and settings of a host.
+/// Identity and settings of a host process.
 #[derive(Debug, Clone)]
 pub struct HostIdentity {
     /// Address of the host.
@@ -62,20 +62,20 @@
     pub zone: String,
     /// Name of the service that its server runs.
     pub service: String,
-    /// Start of the process, in milliseconds since the Unix epoch.
+    /// Start time of the process, in milliseconds since the Unix epoch.
     pub started_unix_millis: u64,
     /// Time without packets after which a flow is removed.
     pub max_flow_age: Duration,
 }
 
-/// The state of a host and its forwarding decisions.
+/// State and decisions of one host.
 #[derive(Debug)]
 pub struct FlowHost {
     identity: HostIdentity,
     created_at: MonotonicTime,
     routes: RouteReplica,
     members: MemberTable,
-    /// Addresses that hellos are sent to, ascending.
+    /// Addresses of balancers that hellos are sent to, ascending.
     contacts: Vec<Ipv4Addr>,
     flows: FlowTable<FlowRecord>,
     load: LoadMeter,
@@ -84,12 +84,13 @@
     is_relearning: bool,
     is_stopping: bool,
     hello_number: u32,
-    next_hello: MonotonicTime,
-    last_tick: MonotonicTime,
+    next_hello_at: MonotonicTime,
+    last_tick_at: MonotonicTime,
 }
 
 impl FlowHost {
-    /// Creates a host. `contacts` are the addresses of some balancers.
+    /// Creates a host that sends its first hellos to `contacts`, the addresses of
+    /// balancers.
     pub fn new(identity: HostIdentity, contacts: Vec<Ipv4Addr>, now: MonotonicTime) -> Self {
         let mut host = Self {
             identity,
@@ -104,14 +105,14 @@
             is_relearning: true,
             is_stopping: false,
             hello_number: 0,
-            next_hello: now,
-            last_tick: now,
+            next_hello_at: now,
+            last_tick_at: now,
         };
         host.add_contacts(&contacts);
         host
     }
 
-    /// Returns the routes in force.
+    /// Returns the route table in force.
     pub fn routes(&self) -> &RouteTable {
         self.routes.table()
     }
@@ -121,7 +122,8 @@
         &self.members
     }
 
-    /// Returns the number of flows in the table.
+    /// Returns the number of flows in the flow table, which may include flows that have
+    /// ended or that the server does not hold.
     pub fn flow_count(&self) -> usize {
         self.flows.len()
     }
@@ -143,8 +145,8 @@
         self.load.answer_micros()
     }
 
-    /// Returns the path of the server's health check, or `None` while the known routes do
-    /// not contain its service.
+    /// Returns the path of the server's health check, or `None` if the route table in
+    /// force does not contain its service.
     pub fn health_path(&self) -> Option<&str> {
         self.routes.table().health_path(&self.identity.service)
     }
@@ -161,7 +163,7 @@
         self.tick(now, outbox);
     }
 
-    /// Processes a caller's packet that was forwarded by a balancer or another host.
+    /// Handles a caller's packet that was forwarded by a balancer or another host.
     pub fn receive_forwarded_packet(
         &mut self,
         header: &CarryHeader,
@@ -182,8 +184,8 @@
         }
     }
 
-    /// Processes a packet from the server: one for a caller, or one of a caller that the
-    /// server returns because it does not accept it.
+    /// Handles a packet from the server. The packet is either addressed to a caller, or is
+    /// a caller's packet that the server returns because it does not accept it.
     pub fn receive_server_packet(
         &mut self,
         packet: &RawPacket<'_>,
@@ -201,16 +203,16 @@
         self.track_server_packet(&flow, packet, now, outbox);
     }
 
-    /// Does all work that is due at `now`: expires flows and peers, and sends hellos.
+    /// Runs the timers that are due: sweeps the flow table, sends hellos, and evicts
+    /// silent peers.
     pub fn tick(&mut self, now: MonotonicTime, outbox: &mut FlowOutbox) {
-        self.last_tick = now;
+        self.last_tick_at = now;
         self.load.tick(now);
         self.sweep_flows(now, outbox);
-        if now >= self.next_hello {
+        if now >= self.next_hello_at {
             self.send_hellos(now, outbox);
             for (peer, silence) in self.members.evict_silent(now) {
-                // Without any balancer left, the last known addresses are the only way to
-                // reconnect, so they are kept.
+                // While no balancer is known, the old addresses are the only way to rejoin.
                 if !self.members.balancers().is_empty() {
                     self.contacts.retain(|contact| *contact != peer);
                 }
@@ -225,13 +227,13 @@
         }
     }
 
-    /// Prepares the end of the process: tells balancers to send new flows elsewhere.
+    /// Prepares the process to stop: tells balancers to send it no more new flows.
     pub fn stop(&mut self, now: MonotonicTime, outbox: &mut FlowOutbox) {
         self.is_stopping = true;
         self.send_hellos(now, outbox);
     }
 
-    /// Processes a packet of a flow that is assumed to be open already.
+    /// Handles a packet of a flow that is assumed to be open already.
     fn receive_established(
         &mut self,
         header: &CarryHeader,
@@ -279,8 +281,8 @@
         self.deliver_packet(&flow, packet, now, outbox);
     }
 
-    /// Processes a packet of a flow that is not in the table. If the server may hold it,
-    /// the packet is delivered as a probe.
+    /// Handles a packet of a flow that is not in the table. If the server may hold the
+    /// flow, the packet is delivered to it as a probe.
     fn receive_unknown_flow(
         &mut self,
         header: &CarryHeader,
@@ -308,8 +310,8 @@
         self.is_relearning && may_be_running
     }
 
-    /// Tells the balancer that the server does not hold the flow of a packet: a probe is
-    /// answered, any other packet returned.
+    /// Tells the balancer that the server does not hold the flow of a packet. A probe is
+    /// answered with a denial; any other packet is returned.
     fn decline_packet(
         &self,
         header: &CarryHeader,
@@ -382,7 +384,7 @@
         let Some(record) = self.flows.get_mut(flow) else {
             return;
         };
-        record.last_used = now;
+        record.last_used_at = now;
         if packet.header.has_ack {
             record.acknowledged = packet.header.acknowledged;
         }
@@ -393,13 +395,13 @@
             record.phase = FlowPhase::Open;
             self.load.remove_offer(record.offered_at);
         }
-        if record.record_delivered_data(&packet.header) && record.request_started.is_none() {
-            record.request_started = Some(now);
+        if record.record_delivered_data(&packet.header) && record.request_started_at.is_none() {
+            record.request_started_at = Some(now);
             self.load.begin_request();
         }
         if packet.header.is_finish || packet.header.is_reset {
             // The caller no longer waits for an answer.
-            if record.request_started.take().is_some() {
+            if record.request_started_at.take().is_some() {
                 self.load.discard_request();
             }
             record.close_caller_side(packet.header.is_reset);
@@ -423,30 +425,30 @@
             }
             return;
         };
-        record.last_used = now;
-        let mut owned_for = None;
+        record.last_used_at = now;
+        let mut balancer_to_notify = None;
         if header.is_open && header.has_ack && record.phase == FlowPhase::Offered {
             record.server_start = Some(header.sequence);
-            owned_for = Some(record.balancer);
+            balancer_to_notify = Some(record.balancer);
         }
         if matches!(record.phase, FlowPhase::Probed | FlowPhase::Absent) && !header.is_reset {
             record.phase = FlowPhase::Open;
-            owned_for = Some(record.balancer);
+            balancer_to_notify = Some(record.balancer);
         }
         let is_answer = header.data_length > 0 || record.ends_after_unacknowledged_data(header);
         let is_closed = header.is_finish || header.is_reset;
-        let request_started = if is_answer || is_closed {
-            record.request_started.take()
+        let request_started_at = if is_answer || is_closed {
+            record.request_started_at.take()
         } else {
             None
         };
         if is_closed {
             record.close_server_side(header.is_reset);
         }
-        if let Some(request_started) = request_started {
-            self.finish_request(flow, now.since(request_started), is_answer, outbox);
+        if let Some(request_started_at) = request_started_at {
+            self.finish_request(flow, now.since(request_started_at), is_answer, outbox);
         }
-        if let Some(balancer) = owned_for {
+        if let Some(balancer) = balancer_to_notify {
             self.send_owned(*flow, balancer, now, outbox);
         }
     }
@@ -475,8 +477,7 @@
         }
     }
 
-    /// Processes a caller's packet that the server returned because it does not accept
-    /// it.
+    /// Handles a caller's packet that the server returned because it does not accept it.
     fn receive_bounced_packet(
         &mut self,
         packet: &RawPacket<'_>,
--- a/crates/flows/src/host/opening.rs
+++ b/crates/flows/src/host/opening.rs
@@ -22,9 +22,9 @@
 use crate::outbox::FlowOutbox;
 use crate::packet::RawPacket;
 
-/// Requests in progress per slot from which on a server gets no new flows. The last one
-/// of these waits for two answers, which takes the larger part of its latency target.
-/// Further flows wait at the balancers, which know the age of each.
+/// Number of requests in progress per slot at which a server gets no more new flows. The
+/// last of these requests waits for two answers, which takes most of its latency target.
+/// Further flows are held at the balancers, which know the age of each.
 const MAX_REQUESTS_PER_SLOT: u16 = 3;
 
 /// Assumed number of slots of a server before its first heartbeat.
@@ -37,7 +37,7 @@
     Accept,
     /// All slots are taken; the value is the number of requests in progress.
     Queue(u16),
-    /// The server gets no new flows.
+    /// The server must get no new flows.
     Reject,
 }
 
@@ -55,8 +55,8 @@
             self.deliver_packet(&flow, packet, now, outbox);
             return;
         }
-        let known = self.flows.get(&flow);
-        if known.is_some_and(|record| record.is_duplicate_opening(&packet.header)) {
+        let known_record = self.flows.get(&flow);
+        if known_record.is_some_and(|record| record.is_duplicate_opening(&packet.header)) {
             outbox.record_event(FlowEvent::Dropped {
                 reason: DropReason::Repeated,
             });
@@ -69,9 +69,12 @@
             OpeningVerdict::Queue(_) if header.purpose == ForwardPurpose::OpenHere => {
                 self.accept_flow(header, packet, now, outbox);
             }
-            OpeningVerdict::Queue(requests) => {
-                if next_header.best.is_none_or(|(_, least)| requests < least) {
-                    next_header.best = Some((self.identity.address, requests));
+            OpeningVerdict::Queue(request_count) => {
+                if next_header
+                    .best
+                    .is_none_or(|(_, least_count)| request_count < least_count)
+                {
+                    next_header.best = Some((self.identity.address, request_count));
                 }
                 self.forward_to_next(next_header, packet, now, outbox);
             }
@@ -79,7 +82,8 @@
         }
     }
 
-    /// Passes a flow on whose opening packet the server itself returned.
+    /// Passes on a flow whose opening packet the server has returned, unless the server
+    /// has already accepted the flow.
     pub(super) fn forward_bounced_opening(
         &mut self,
         packet: &RawPacket<'_>,
@@ -94,9 +98,9 @@
             return;
         }
         let forward_header = record.forward_header.take();
-        let offered = record.offered_at;
+        let offered_at = record.offered_at;
         self.flows.remove(&flow);
-        self.load.remove_offer(offered);
+        self.load.remove_offer(offered_at);
         if let Some(forward_header) = forward_header {
             self.forward_to_next(*forward_header, packet, now, outbox);
         }
@@ -125,8 +129,8 @@
         if self.server.state() != ServerState::Ready || self.is_stopping {
             return OpeningVerdict::Reject;
         }
-        // Routes older than the balancer's do not decide: its route may be one that this
-        // host has not received yet.
+        // If the balancer has newer routes, its decision is not checked: this host may not
+        // have received the route yet.
         if self.routes.table().version() >= header.routes && self.routes.table().version() > 0 {
             let is_allowed = self
                 .routes
@@ -137,11 +141,11 @@
                 return OpeningVerdict::Reject;
             }
         }
-        let requests = self.load.in_progress(now);
-        if requests < self.slots() {
+        let request_count = self.load.in_progress(now);
+        if request_count < self.slots() {
             OpeningVerdict::Accept
-        } else if requests < self.slots() * MAX_REQUESTS_PER_SLOT {
-            OpeningVerdict::Queue(requests)
+        } else if request_count < self.slots() * MAX_REQUESTS_PER_SLOT {
+            OpeningVerdict::Queue(request_count)
         } else {
             OpeningVerdict::Reject
         }
@@ -156,7 +160,7 @@
         outbox: &mut FlowOutbox,
     ) {
         let flow = packet.header.caller_flow();
-        // The caller has given up an earlier flow with the same endpoints.
+        // An earlier flow with the same endpoints has been given up by the caller.
         self.set_phase(&flow, FlowPhase::Closed);
         self.flows.insert(
             flow,
@@ -171,7 +175,7 @@
         self.deliver_packet(&flow, packet, now, outbox);
     }
 
-    /// Passes the flow on to the next candidate.
+    /// Passes the flow on to the next candidate, or assigns it if there is none.
     fn forward_to_next(
         &mut self,
         mut header: CarryHeader,
@@ -187,8 +191,8 @@
         self.forward_to_host(host, header, packet, now, outbox);
     }
 
-    /// Assigns the flow to the least busy candidate, as none has a free slot. If all have
-    /// rejected it, the packet is returned to the balancer.
+    /// Assigns the flow to the least busy candidate, because none has a free slot. If all
+    /// have rejected it, the packet is returned to the balancer.
     fn assign_to_least_busy(
         &mut self,
         mut header: CarryHeader,
--- a/crates/flows/src/host/peers.rs
+++ b/crates/flows/src/host/peers.rs
@@ -22,10 +22,8 @@
 use crate::routes::RouteTable;
 
 impl FlowHost {
-    /// Processes a message of a peer.
-    ///
-    /// `payload` holds the bytes that follow the message, and `packet` the packet that
-    /// they contain, if any.
+    /// Handles a message from a peer. `payload` holds the bytes that follow the message,
+    /// and `packet` the packet parsed from them, if they are one.
     pub fn receive_peer_message(
         &mut self,
         from: Ipv4Addr,
@@ -51,7 +49,8 @@
                 }
                 for flow in flows {
                     if self.flows.get(flow).is_none() {
-                        self.flows.insert(*flow, FlowRecord::reported(now));
+                        self.flows
+                            .insert(*flow, FlowRecord::reported_by_balancer(now));
                     }
                 }
             }
@@ -73,12 +72,12 @@
         }
     }
 
-    /// Puts routes in force if their version is newer than the current one.
+    /// Installs a route table if it is newer than the one in force.
     pub fn set_routes(&mut self, routes: RouteTable, outbox: &mut FlowOutbox) {
         self.routes.install(routes, outbox);
     }
 
-    /// Adds addresses that hellos are sent to because balancers may run there.
+    /// Adds addresses at which there may be balancers, so that hellos are sent to them.
     pub fn add_contacts(&mut self, contacts: &[Ipv4Addr]) {
         for contact in contacts {
             if let Err(index) = self.contacts.binary_search(contact) {
@@ -88,9 +87,10 @@
         }
     }
 
-    /// Returns when the next tick is due.
+    /// Returns the time at which the next tick is due.
     pub fn next_tick_at(&self) -> MonotonicTime {
-        self.next_hello.min(self.last_tick + HOST_TICK_INTERVAL)
+        self.next_hello_at
+            .min(self.last_tick_at + HOST_TICK_INTERVAL)
     }
 
     /// Returns the load of the server, as it is reported to balancers.
@@ -104,14 +104,15 @@
         }
     }
 
-    /// Makes the next tick send hellos, so that balancers learn of a change at once.
+    /// Makes the next tick send hellos, so that balancers learn of a change early.
     pub(super) fn schedule_hello(&mut self) {
-        self.next_hello = MonotonicTime::default();
+        self.next_hello_at = MonotonicTime::default();
     }
 
-    /// Sends a hello to all contacts, and schedules the next round.
+    /// Sends hellos to all contacts, and schedules the next round. A contact that is not a
+    /// known balancer is asked for a hello in return.
     pub(super) fn send_hellos(&mut self, now: MonotonicTime, outbox: &mut FlowOutbox) {
-        self.next_hello = now + self.members.timeouts().hello_interval;
+        self.next_hello_at = now + self.members.timeouts().hello_interval;
         self.hello_number += 1;
         for contact in &self.contacts {
             let hello = self.build_hello(!self.members.has_balancer(*contact), now);
--- a/crates/flows/src/host/records.rs
+++ b/crates/flows/src/host/records.rs
@@ -44,8 +44,8 @@
 pub(super) enum FlowPhase {
     /// The opening packet was delivered to the server; no later packet of the caller was.
     Offered,
-    /// It is unknown whether the server holds the flow. Its packets are delivered to the
-    /// server, whose reaction decides.
+    /// It is unknown whether the server holds the flow. The caller's packets are delivered
+    /// to the server, which returns them if it does not.
     Probed,
     /// The server holds the flow.
     Open,
@@ -64,7 +64,7 @@
     /// The last balancer that forwarded or asked for the flow; unspecified if unknown.
     pub(super) balancer: Ipv4Addr,
     /// When the last packet of the flow passed.
-    pub(super) last_used: MonotonicTime,
+    pub(super) last_used_at: MonotonicTime,
     /// When the opening packet was delivered to the server.
     pub(super) offered_at: MonotonicTime,
     /// Position in the server's stream that the caller acknowledged last; 0 if unknown.
@@ -76,9 +76,9 @@
     /// Position in the caller's stream up to which data was delivered to the server.
     pub(super) delivered_end: Option<u32>,
     /// When the request that is in progress was delivered to the server.
-    pub(super) request_started: Option<MonotonicTime>,
-    /// The header that the last undecided packet was forwarded with, needed to pass the
-    /// packet on or to return it if the server does not accept it.
+    pub(super) request_started_at: Option<MonotonicTime>,
+    /// The header with which the opening packet, or the last packet that probes the server,
+    /// was forwarded. It is needed if the server does not accept the packet.
     pub(super) forward_header: Option<Box<CarryHeader>>,
     is_caller_closed: bool,
     is_server_closed: bool,
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Creates the record of a flow of which it is unknown whether the server holds it.
+    /// Creates the record of a flow that the server may hold and that it is probed for.
     pub(super) fn probed(forward_header: CarryHeader, now: MonotonicTime) -> Self {
         Self {
             phase: FlowPhase::Probed,
@@ -115,22 +115,22 @@
         Self {
             phase: FlowPhase::Open,
             balancer: Ipv4Addr::UNSPECIFIED,
-            last_used: now,
+            last_used_at: now,
             offered_at: now,
             acknowledged: 0,
             caller_start: None,
             server_start: None,
             delivered_end: None,
-            request_started: None,
+            request_started_at: None,
             forward_header: None,
             is_caller_closed: false,
             is_server_closed: false,
         }
     }
 
-    /// Creates the record of a flow that a balancer reports as the server's. Balancers
-    /// may be wrong, so the server is probed.
-    pub(super) fn reported(now: MonotonicTime) -> Self {
+    /// Creates the record of a flow that the server holds according to a balancer.
+    /// Balancers may be wrong, so the server is probed.
+    pub(super) fn reported_by_balancer(now: MonotonicTime) -> Self {
         Self {
             phase: FlowPhase::Probed,
             ..Self::observed(now)
@@ -138,16 +138,16 @@
     }
 
     /// Returns whether a caller that acknowledged `position` is reading this server's
-    /// stream, and not that of another server. Its first packet after the opening
-    /// acknowledges only the start of the stream.
+    /// stream, and not that of another server. If the caller has acknowledged nothing
+    /// before, `position` must be the start of the stream.
     pub(super) fn continues_stream(&self, position: Option<u32>) -> bool {
-        let (Some(position), known) = (position, self.acknowledged) else {
+        let (Some(position), last_position) = (position, self.acknowledged) else {
             return false;
         };
         match self.server_start {
-            None if known == 0 => false,
-            Some(start) if known == 0 => position == start.wrapping_add(1),
-            _ => position.wrapping_sub(known) < STREAM_WINDOW_BYTES,
+            None if last_position == 0 => false,
+            Some(start) if last_position == 0 => position == start.wrapping_add(1),
+            _ => position.wrapping_sub(last_position) < STREAM_WINDOW_BYTES,
         }
     }
 
@@ -181,8 +181,8 @@
     }
 
     /// Returns whether a packet of the server ends its stream after data that the caller
-    /// has not acknowledged. The request was then answered, even if this packet has
-    /// overtaken the data.
+    /// has not acknowledged. In that case the server has answered the request, even if
+    /// this packet arrives before the data.
     pub(super) fn ends_after_unacknowledged_data(&self, header: &PacketHeader) -> bool {
         header.is_finish && header.sequence.wrapping_sub(self.acknowledged) as i32 > 0
     }
@@ -221,19 +221,20 @@
     }
 
     /// Returns the time without packets after which the record is removed. Flows that the
-    /// server may hold are kept for `idle`.
-    fn retention(&self, idle: Duration) -> Duration {
+    /// server may hold are kept for `max_idle_time`.
+    fn retention(&self, max_idle_time: Duration) -> Duration {
         match self.phase {
             FlowPhase::Offered => OFFER_RETENTION,
             FlowPhase::Closed => CLOSED_RETENTION,
             FlowPhase::Absent | FlowPhase::Broken => NOT_HELD_RETENTION,
-            FlowPhase::Open | FlowPhase::Probed => idle,
+            FlowPhase::Open | FlowPhase::Probed => max_idle_time,
         }
     }
 }
 
 impl FlowHost {
-    /// Sets the phase of a flow, whose offer or request no longer counts as in progress.
+    /// Sets the phase of a flow, and stops counting its offer and its request as in
+    /// progress.
     pub(super) fn set_phase(&mut self, flow: &FlowKey, phase: FlowPhase) {
         let Some(record) = self.flows.get_mut(flow) else {
             return;
@@ -241,21 +242,22 @@
         if record.phase == FlowPhase::Offered {
             self.load.remove_offer(record.offered_at);
         }
-        if record.request_started.take().is_some() {
+        if record.request_started_at.take().is_some() {
             self.load.discard_request();
         }
         record.phase = phase;
     }
 
     /// Tells balancers that the server does not hold the flows that it is probed for.
-    /// Called when the server has started since, has ended or was replaced.
+    /// Called when the server has just started, has ended or was replaced, and therefore
+    /// cannot hold them.
     pub(super) fn deny_probed_flows(&mut self, outbox: &mut FlowOutbox) {
         for (flow, record) in self.flows.iter_mut() {
             if record.phase != FlowPhase::Probed {
                 continue;
             }
             record.phase = FlowPhase::Absent;
-            if record.request_started.take().is_some() {
+            if record.request_started_at.take().is_some() {
                 self.load.discard_request();
             }
             if record.balancer.is_unspecified() {
@@ -275,7 +277,7 @@
         for (flow, record) in self.flows.iter_mut() {
             let was_open = matches!(record.phase, FlowPhase::Open | FlowPhase::Offered);
             let position = record.reset_position();
-            record.request_started = None;
+            record.request_started_at = None;
             if record.phase != FlowPhase::Absent {
                 record.phase = FlowPhase::Broken;
             }
@@ -293,12 +295,14 @@
     /// Removes expired records in the next shards of the table, and stops counting
     /// requests that the server has not answered in time.
     pub(super) fn sweep_flows(&mut self, now: MonotonicTime, outbox: &mut FlowOutbox) {
-        let idle = self.identity.max_flow_age;
+        let max_idle_time = self.identity.max_flow_age;
         let load = &mut self.load;
         self.flows.sweep(SHARDS_PER_TICK, |flow, record| {
-            let waited = record.request_started.map(|started| now.since(started));
+            let waited = record
+                .request_started_at
+                .map(|started_at| now.since(started_at));
             if let Some(waited) = waited.filter(|waited| *waited >= REQUEST_TIMEOUT) {
-                record.request_started = None;
+                record.request_started_at = None;
                 load.discard_request();
                 outbox.record_event(FlowEvent::Unanswered {
                     flow: *flow,
@@ -306,8 +310,8 @@
                     is_closed: false,
                 });
             }
-            let keep = now.since(record.last_used) < record.retention(idle);
-            if !keep && record.request_started.is_some() {
+            let keep = now.since(record.last_used_at) < record.retention(max_idle_time);
+            if !keep && record.request_started_at.is_some() {
                 load.discard_request();
             }
             keep
--- a/crates/flows/src/host/server.rs
+++ b/crates/flows/src/host/server.rs
@@ -1,9 +1,9 @@
 //! Monitors the backend server beside a host.
 //!
-//! The state of the server is derived from its heartbeats, its packets and checks that
-//! the host requests: a health check while the state is unknown, and a connection
-//! attempt when the server stops answering or has announced its end. Only a refused
-//! connection shows that the server has ended; silence alone does not.
+//! The state of the server is derived from its heartbeats, its packets and the results
+//! of checks: a health check while the state is unknown, and a connection attempt when
+//! the server stops answering or has deregistered. Only a refused connection shows that
+//! the server has ended; silence alone does not.
 
 use std::time::Duration;
 
@@ -19,16 +19,16 @@
 use crate::host::FlowHost;
 use crate::outbox::FlowOutbox;
 
-/// Time without any packet from the server after a delivery until the host attempts to
-/// connect. Requests take up to 180 ms, but a busy server answers others in the
-/// meantime.
+/// Time without a packet from the server, since one was delivered to it, after which the
+/// host attempts to connect. Requests take up to 180 ms, but a busy server answers others
+/// in the meantime.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(120);
 
-/// Shortest time between two checks.
+/// Minimum interval between checks.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Age up to which a server counts as new. After an outage all servers start within a
-/// second of each other.
+/// Time after its start for which a server counts as new. After an outage all servers
+/// start within a second of each other.
 const NEW_SERVER_MAX_AGE: Duration = Duration::from_secs(3);
 
 /// The result of a check of the server.
@@ -42,7 +42,7 @@
     Connected,
     /// The connection was refused: nothing listens on the address.
     Refused,
-    /// The check timed out or failed in another way.
+    /// The check timed out or failed for another reason.
     NoResponse,
 }
 
@@ -60,10 +60,10 @@
 pub(super) struct ServerMonitor {
     state: ServerState,
     heartbeats: HeartbeatTracker,
-    last_response: MonotonicTime,
+    last_response_at: MonotonicTime,
     /// Time of the first delivery since the last packet from the server.
     unanswered_since: Option<MonotonicTime>,
-    last_check: Option<MonotonicTime>,
+    last_check_at: Option<MonotonicTime>,
     /// Whether the server has deregistered because it is about to end.
     is_ending: bool,
     /// When the server started; `None` if it started before the host did.
@@ -75,9 +75,9 @@
         Self {
             state: ServerState::Unknown,
             heartbeats: HeartbeatTracker::default(),
-            last_response: now,
+            last_response_at: now,
             unanswered_since: None,
-            last_check: None,
+            last_check_at: None,
             is_ending: false,
             started_at: None,
         }
@@ -97,7 +97,7 @@
 
     /// Records that the server has sent a packet or accepted a connection.
     pub(super) fn record_response(&mut self, now: MonotonicTime) {
-        self.last_response = now;
+        self.last_response_at = now;
         self.unanswered_since = None;
     }
 
@@ -119,9 +119,8 @@
 }
 
 impl FlowHost {
-    /// Processes a heartbeat of the server.
-    ///
-    /// A new incarnation resets the flows of the one before it.
+    /// Handles a heartbeat of the server, and returns whether it was accepted. The first
+    /// heartbeat of a new incarnation resets the flows of the previous one.
     pub fn receive_heartbeat(
         &mut self,
         heartbeat: &ServerHeartbeat,
@@ -158,7 +157,8 @@
         HeartbeatVerdict::Accepted
     }
 
-    /// Processes a deregistration: the server with this `id` is about to end.
+    /// Handles a deregistration: the server with this `id` is about to end. Ignores it if
+    /// the newest heartbeat came from a server with another ID.
     pub fn receive_deregistration(&mut self, id: &str, outbox: &mut FlowOutbox) {
         let is_current = self
             .server
@@ -171,12 +171,12 @@
         }
     }
 
-    /// Returns the check that is due, if any, and records it as made at `now`.
+    /// Returns the check that is due, if any, and records that it is made at `now`.
     pub fn take_due_check(&mut self, now: MonotonicTime) -> Option<ServerCheck> {
         let is_recent = self
             .server
-            .last_check
-            .is_some_and(|last_check| now.since(last_check) < CHECK_INTERVAL);
+            .last_check_at
+            .is_some_and(|last_check_at| now.since(last_check_at) < CHECK_INTERVAL);
         if is_recent {
             return None;
         }
@@ -189,11 +189,11 @@
             }
             _ => return None,
         };
-        self.server.last_check = Some(now);
+        self.server.last_check_at = Some(now);
         Some(check)
     }
 
-    /// Processes the result of a check.
+    /// Handles the result of a check.
     pub fn receive_check_result(
         &mut self,
         result: CheckResult,
--- a/crates/flows/src/members.rs
+++ b/crates/flows/src/members.rs
@@ -24,12 +24,12 @@
 /// Number of consecutive hellos that a peer may miss before new flows avoid it.
 const MAX_MISSED_HELLOS: u32 = 4;
 
-/// Silence after which a peer is evicted. It is longer than any network partition of
-/// the users' machines, so that peers find each other again after one.
+/// Silence after which a peer is evicted. Network partitions between the users' machines
+/// are shorter, so that peers still know each other after one.
 pub const PEER_EVICTION_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Silence after which a host no longer prevents flows from being reset. A planned
-/// restart takes less, and callers have given up by then.
+/// Silence after which balancers no longer wait for a host before they reset a flow. A
+/// planned restart takes less, and callers have given up by then.
 pub const HOST_UNREACHABLE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Time for which new flows avoid a host that did not answer an opening packet, unless
@@ -50,7 +50,7 @@
     /// Version of its routes; 0 while it has none.
     pub routes_version: u64,
     /// Time at which its last hello or load report arrived.
-    pub last_seen: MonotonicTime,
+    pub last_seen_at: MonotonicTime,
 }
 
 /// A host, as described by its hellos.
@@ -68,7 +68,7 @@
     pub reported_at: MonotonicTime,
     /// Number of new flows sent to it since that report.
     pub flows_since_report: u16,
-    /// Time until which new flows avoid it because it did not answer.
+    /// Time until which new flows avoid it because it did not answer an opening packet.
     pub avoided_until: MonotonicTime,
     /// Whether its server may hold flows that are missing from its table.
     pub is_relearning: bool,
@@ -84,18 +84,18 @@
         self.server == ServerState::Ready
             && !self.is_stopping
             && now >= self.avoided_until
-            && now.since(self.peer.last_seen) < timeouts.suspect_after
+            && now.since(self.peer.last_seen_at) < timeouts.suspect_after
     }
 
     /// Returns whether the host may hold flows that balancers search for. A host that
     /// has been silent for [`HOST_UNREACHABLE_TIMEOUT`] does not count: its callers are
     /// better served by another server, whether the host is running or not.
     pub fn may_hold_flows(&self, now: MonotonicTime) -> bool {
-        now.since(self.peer.last_seen) < HOST_UNREACHABLE_TIMEOUT
+        now.since(self.peer.last_seen_at) < HOST_UNREACHABLE_TIMEOUT
     }
 
-    /// Returns whether a flow may be offered to the host when no host is known to
-    /// accept new flows.
+    /// Returns whether a new flow may be offered to the host if no other host accepts new
+    /// flows.
     pub fn is_fallback(&self) -> bool {
         !self.is_stopping && matches!(self.server, ServerState::Ready | ServerState::Unknown)
     }
@@ -108,8 +108,9 @@
     pub peer: PeerRecord,
     /// Whether the process is stopping.
     pub is_stopping: bool,
-    /// Number of hosts with a server that it has received messages from recently.
-    pub reachable_hosts: u16,
+    /// Number of hosts from which it has recently received messages, without those whose
+    /// server is down.
+    pub reachable_host_count: u16,
 }
 
 /// Intervals and timeouts that depend on the number of peers.
@@ -184,11 +185,12 @@
         Some(&mut self.hosts[index])
     }
 
-    /// Returns the number of hosts with a server that are not suspect.
+    /// Returns the number of hosts that are not suspect and have not reported their server
+    /// as down.
     pub fn reachable_host_count(&self, now: MonotonicTime) -> usize {
         let limit = self.timeouts().suspect_after;
         self.hosts_with_server()
-            .filter(|record| now.since(record.peer.last_seen) < limit)
+            .filter(|record| now.since(record.peer.last_seen_at) < limit)
             .count()
     }
 
@@ -217,7 +219,8 @@
         MemberTimeouts::for_peer_count(self.hosts.len().max(self.balancers.len()))
     }
 
-    /// Returns the highest route version that a peer has, and the address of that peer.
+    /// Returns the highest version of the routes that a peer has, and the address of that
+    /// peer, or `None` if no peer is known.
     pub fn newest_routes(&self) -> Option<(u64, Ipv4Addr)> {
         let hosts = self.hosts.iter().map(|record| &record.peer);
         let balancers = self.balancers.iter().map(|record| &record.peer);
@@ -240,14 +243,14 @@
             hello_number: hello.number,
             zone: hello.zone.clone(),
             routes_version: hello.routes,
-            last_seen: now,
+            last_seen_at: now,
         };
         match &hello.role {
             HelloRole::Host(host) => self.record_host(peer, host, now),
             HelloRole::Balancer(balancer) => self.record_balancer(BalancerRecord {
                 peer,
                 is_stopping: balancer.is_stopping,
-                reachable_hosts: balancer.hosts,
+                reachable_host_count: balancer.hosts,
             }),
         }
     }
@@ -257,7 +260,7 @@
     pub fn evict_silent(&mut self, now: MonotonicTime) -> Vec<(Ipv4Addr, Duration)> {
         let mut evicted = Vec::new();
         let mut keep = |peer: &PeerRecord| {
-            let silence = now.since(peer.last_seen);
+            let silence = now.since(peer.last_seen_at);
             if silence >= PEER_EVICTION_TIMEOUT {
                 evicted.push((peer.address, silence));
             }
@@ -281,7 +284,7 @@
             record.load = load;
             record.reported_at = now;
             record.flows_since_report = 0;
-            record.peer.last_seen = now;
+            record.peer.last_seen_at = now;
             record.avoided_until = MonotonicTime::default();
         }
     }
--- a/crates/flows/src/outbox.rs
+++ b/crates/flows/src/outbox.rs
@@ -1,8 +1,8 @@
 //! The output of a decision: datagrams, resets and events, each in the order in
 //! which they were added.
 //!
-//! The caller sends and logs the contents, then clears the outbox and reuses its
-//! buffers for the next decision.
+//! The process sends and logs the contents, then clears the outbox, whose buffers are
+//! reused for the next decision.
 
 use std::net::Ipv4Addr;
 use std::ops::Range;
@@ -69,19 +69,20 @@
         self.events.push(event);
     }
 
-    /// Returns the datagrams with their receivers.
+    /// Returns the datagrams to send with their receivers, in the order in which they were
+    /// added.
     pub fn datagrams(&self) -> impl Iterator<Item = (Destination, &[u8])> {
         self.datagrams
             .iter()
             .map(|(destination, range)| (*destination, &self.buffer[range.clone()]))
     }
 
-    /// Returns the resets.
+    /// Returns the resets to send, in the order in which they were added.
     pub fn resets(&self) -> &[FlowReset] {
         &self.resets
     }
 
-    /// Returns the events.
+    /// Returns the events to log, in the order in which they were added.
     pub fn events(&self) -> &[FlowEvent] {
         &self.events
     }
--- a/crates/flows/src/placing.rs
+++ b/crates/flows/src/placing.rs
@@ -6,8 +6,8 @@
 //! choice applies to all its requests.
 //!
 //! Load reports are up to a quarter of a second old. A balancer adds the flows that it
-//! has sent since the last report, and the host that is offered the flow first corrects
-//! the rest by passing the flow on.
+//! has sent since the last report. The first host that is offered the flow knows the
+//! current load of its server, and passes the flow on if no slot is free.
 //!
 //! A server that fails its requests at once looks idle and fast, and would attract
 //! nearly all flows. A server that answers in a fraction of the time of the other
@@ -26,23 +26,23 @@
 /// Median answer time that is assumed while no host has reported one, in microseconds.
 const DEFAULT_ANSWER_MICROS: u64 = 20_000;
 
-/// Slots that each open flow counts as, in addition to its requests in progress. A feed
-/// sends about one request a second, which takes 15 to 22 ms.
+/// Fraction of a slot that each open flow counts as, in addition to its requests in
+/// progress. A feed sends about one request a second, which takes 15 to 22 ms.
 const OPEN_FLOW_SLOTS: f64 = 0.02;
 
 /// Maximum factor by which a long answer time raises the cost of a host, so that one
 /// slow answer does not keep all new flows away from it.
 const MAX_ANSWER_FACTOR: f64 = 4.0;
 
-/// Divisor of the median answer time: shorter answer times are likely to be those of
-/// errors. Requests of one service differ by a factor of two at most.
+/// Divisor of the median answer time: answer times below the quotient are likely to be
+/// those of errors. Requests of one service differ by a factor of two at most.
 const FAST_ERROR_DIVISOR: u64 = 4;
 
 /// Cost factor of a host that probably answers with errors. It gets new flows once all
 /// other hosts are full.
 const FAST_ERROR_FACTOR: f64 = 4.0;
 
-/// Cost of leaving the availability zone, in median answer times.
+/// Additional cost of a host in another availability zone, in median answer times.
 const OTHER_ZONE_COST: f64 = 0.05;
 
 /// Returns the hosts of `service` that a new flow may be offered to, without those in
@@ -112,9 +112,11 @@
 fn expected_cost(record: &HostRecord, zone: &str, median_micros: u64) -> f64 {
     let load = &record.load;
     let slots = f64::from(load.slots.max(1));
-    let reported = (f64::from(load.in_progress) + f64::from(load.mean_sixteenths) / 16.0) / 2.0;
-    let busy_slots =
-        reported + f64::from(record.flows_since_report) + OPEN_FLOW_SLOTS * f64::from(load.flows);
+    let reported_requests =
+        (f64::from(load.in_progress) + f64::from(load.mean_sixteenths) / 16.0) / 2.0;
+    let busy_slots = reported_requests
+        + f64::from(record.flows_since_report)
+        + OPEN_FLOW_SLOTS * f64::from(load.flows);
     let answer_factor = match load.answer_micros {
         0 => 1.0,
         micros if u64::from(micros) < median_micros / FAST_ERROR_DIVISOR => FAST_ERROR_FACTOR,
--- a/crates/flows/src/route_transfer.rs
+++ b/crates/flows/src/route_transfer.rs
@@ -50,12 +50,15 @@
     pub fn receive_part(
         &mut self,
         version: u64,
-        part: u16,
-        parts: u16,
+        part_index: u16,
+        part_count: u16,
         bytes: &[u8],
         outbox: &mut FlowOutbox,
     ) -> bool {
-        match self.assembly.add_part(version, part, parts, bytes) {
+        match self
+            .assembly
+            .add_part(version, part_index, part_count, bytes)
+        {
             Some(table) => self.install(table, outbox),
             None => false,
         }
@@ -99,18 +102,18 @@
     fn add_part(
         &mut self,
         version: u64,
-        part: u16,
-        parts: u16,
+        part_index: u16,
+        part_count: u16,
         bytes: &[u8],
     ) -> Option<RouteTable> {
-        if parts == 0 || part >= parts || bytes.len() > ROUTE_PART_BYTES {
+        if part_count == 0 || part_index >= part_count || bytes.len() > ROUTE_PART_BYTES {
             return None;
         }
-        if version != self.version || self.parts.len() != usize::from(parts) {
+        if version != self.version || self.parts.len() != usize::from(part_count) {
             self.version = version;
-            self.parts = vec![None; usize::from(parts)];
+            self.parts = vec![None; usize::from(part_count)];
         }
-        self.parts[usize::from(part)] = Some(bytes.to_vec());
+        self.parts[usize::from(part_index)] = Some(bytes.to_vec());
         let complete: Option<Vec<&[u8]>> = self.parts.iter().map(|part| part.as_deref()).collect();
         let table: RouteTable = postcard::from_bytes(&complete?.concat()).ok()?;
         *self = Self::default();
@@ -123,12 +126,12 @@
     let Ok(bytes) = postcard::to_stdvec(table) else {
         return;
     };
-    let parts = bytes.len().div_ceil(ROUTE_PART_BYTES) as u16;
-    for (part, chunk) in bytes.chunks(ROUTE_PART_BYTES).enumerate() {
+    let part_count = bytes.len().div_ceil(ROUTE_PART_BYTES) as u16;
+    for (part_index, chunk) in bytes.chunks(ROUTE_PART_BYTES).enumerate() {
         let message = CarryMessage::RoutesPart {
             version: table.version(),
-            part: part as u16,
-            parts,
+            part: part_index as u16,
+            parts: part_count,
         };
         outbox.enqueue_message(peer, &message, chunk);
     }
--- a/crates/flows/src/table.rs
+++ b/crates/flows/src/table.rs
@@ -1,4 +1,7 @@
 //! A map from flows to values, kept in sorted shards.
+//!
+//! A sweep visits a few shards at a time, so that removing expired entries from a large
+//! table does not delay packets.
 
 use hyssopstair_wire::carried::FlowKey;
 
@@ -88,11 +91,11 @@
             .map(|(flow, value)| (&*flow, value))
     }
 
-    /// Removes the entries for which `keep` returns false from the next `shards` shards.
-    /// Each call continues where the previous one ended, so that a pass over a large
+    /// Removes the entries for which `keep` returns false from the next `shard_count`
+    /// shards. Each call continues where the previous one ended, so that a pass over a large
     /// table is spread over many calls.
-    pub fn sweep(&mut self, shards: usize, mut keep: impl FnMut(&FlowKey, &mut V) -> bool) {
-        for _ in 0..shards.min(SHARD_COUNT) {
+    pub fn sweep(&mut self, shard_count: usize, mut keep: impl FnMut(&FlowKey, &mut V) -> bool) {
+        for _ in 0..shard_count.min(SHARD_COUNT) {
             let shard = &mut self.shards[self.sweep_cursor];
             let old_length = shard.len();
             shard.retain_mut(|(flow, value)| keep(flow, value));
