--- a/crates/hyssopstaird/src/carry/store_tasks.rs
+++ b/crates/hyssopstaird/src/carry/store_tasks.rs
@@ -19,8 +19,8 @@
 use crate::carry::store::StoreConnection;
 use crate::carry::store::StoreError;
 
-/// Time for which a watch waits for a change. A connection that has gone silent is
-/// noticed after this time; until then, new versions arrive from peers.
+/// Time for which a watch waits for a change. A silent connection is detected after this
+/// time; until then, new versions arrive from peers.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Delay between a change and the next watch, so that a burst of changes costs few
@@ -37,7 +37,8 @@
 /// fail.
 const RENEW_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Time for which a host waits for its peers before it reads from the store.
+/// Interval at which a host checks for state that its peers have not sent, and reads it
+/// from the store.
 const HOST_POLL_INTERVAL: Duration = Duration::from_millis(700);
 
 /// A background task, with its access to the event loop and the store.
@@ -120,8 +121,8 @@
         }
     }
 
-    /// Reads the balancers and routes from the store while a host knows none, because
-    /// no peer has sent them.
+    /// Reads the balancers and the routes from the store as long as no peer has sent them
+    /// to the host.
     pub async fn poll_missing_state(self) {
         let mut connection = StoreConnection::new(self.store_address);
         if self.list_balancers(&mut connection).await.is_err() {
@@ -208,9 +209,10 @@
             return;
         };
         match decode_configuration(&value) {
-            Ok((routes, skipped_routes)) => {
-                if skipped_routes > 0 {
-                    let error = format!("failed to decode {skipped_routes} routes; skipped them");
+            Ok((routes, skipped_route_count)) => {
+                if skipped_route_count > 0 {
+                    let error =
+                        format!("failed to decode {skipped_route_count} routes; skipped them");
                     self.report_store(Some(error)).await;
                 }
                 self.send_command(CarryCommand::SetRoutes(routes)).await;
