--- a/crates/hyssopstaird/src/carry/checks.rs
+++ b/crates/hyssopstaird/src/carry/checks.rs
@@ -15,7 +15,8 @@
 const CHECK_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Checks the server once, either its health at a path or only whether it accepts
-/// connections. Returns [`CheckResult::Silent`] if the check fails or times out.
+/// connections. Returns [`CheckResult::NoResponse`] if the check fails for any
+/// reason other than a refused connection, or times out.
 pub async fn check_server(server: SocketAddrV4, check: ServerCheck, path: &str) -> CheckResult {
     match timeout(CHECK_TIMEOUT, run_check(server, check, path)).await {
         Ok(result) => result,
--- a/crates/hyssopstaird/src/carry/command.rs
+++ b/crates/hyssopstaird/src/carry/command.rs
@@ -18,7 +18,8 @@
 /// A command for the event loop.
 #[derive(Debug)]
 pub enum CarryCommand {
-    /// Puts routes that were read from the store in force.
+    /// Installs a route table that was read from the store, if it is newer than the one in
+    /// force.
     SetRoutes(RouteTable),
     /// Adds addresses at which there may be balancers.
     AddContacts(Vec<Ipv4Addr>),
@@ -26,15 +27,15 @@
     Heartbeat {
         /// The heartbeat.
         heartbeat: ServerHeartbeat,
-        /// Notified when the heartbeat is accepted; dropped if it is outdated.
-        applied: oneshot::Sender<()>,
+        /// Notified when the heartbeat is accepted; dropped if it is stale.
+        applied_sender: oneshot::Sender<()>,
     },
     /// Handles a deregistration: the server beside the host is shutting down.
     Deregistration {
         /// ID of the server.
         id: String,
         /// Notified when the deregistration is handled.
-        applied: oneshot::Sender<()>,
+        applied_sender: oneshot::Sender<()>,
     },
     /// Handles the result of a check of the server.
     CheckDone(CheckResult),
--- a/crates/hyssopstaird/src/carry/http.rs
+++ b/crates/hyssopstaird/src/carry/http.rs
@@ -30,7 +30,7 @@
 use crate::carry::metrics::CarryMetrics;
 use crate::error::DaemonError;
 
-/// Maximum size of a request body, in bytes; a heartbeat has 300.
+/// Maximum size of a request body, in bytes; that of a heartbeat has about 300 bytes.
 const MAX_BODY_BYTES: usize = 16 * 1024;
 
 /// Time after which a connection is closed, so that idle connections do not use up
@@ -41,7 +41,6 @@
 /// are used up, and would otherwise be retried in a busy loop.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Path of the metrics.
 const METRICS_PATH: &str = "/metrics";
 
 /// Answers HTTP calls. A clone is started for each address.
@@ -132,25 +131,29 @@
         let Some(heartbeat) = decode_heartbeat(id, &body.to_bytes()) else {
             return StatusCode::BAD_REQUEST;
         };
-        let (applied, applied_receiver) = oneshot::channel();
+        let (applied_sender, applied_receiver) = oneshot::channel();
         self.apply_command(
-            CarryCommand::Heartbeat { heartbeat, applied },
+            CarryCommand::Heartbeat {
+                heartbeat,
+                applied_sender,
+            },
             applied_receiver,
         )
         .await
     }
 
     async fn handle_deregistration(&self, id: String) -> StatusCode {
-        let (applied, applied_receiver) = oneshot::channel();
+        let (applied_sender, applied_receiver) = oneshot::channel();
         self.apply_command(
-            CarryCommand::Deregistration { id, applied },
+            CarryCommand::Deregistration { id, applied_sender },
             applied_receiver,
         )
         .await
     }
 
     /// Sends a command to the event loop and waits until it is applied. Returns status
-    /// 503 if the loop rejects the command: only what is in force is confirmed.
+    /// 503 if the loop rejects the command or has ended, because only what is in force may
+    /// be confirmed.
     async fn apply_command(
         &self,
         command: CarryCommand,
--- a/crates/hyssopstaird/src/carry/journal.rs
+++ b/crates/hyssopstaird/src/carry/journal.rs
@@ -28,7 +28,7 @@
 /// Age from which a batch is written.
 const BATCH_AGE: Duration = Duration::from_millis(500);
 
-/// Delay before the next write when the reader did not accept a whole batch.
+/// Delay before the next write after the reader has not accepted a whole batch.
 const WRITE_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Size of the buffer, in bytes, from which further lines are dropped.
@@ -36,7 +36,7 @@
 
 /// Number of kinds of lines, each with a limit of its own: one for each kind of event,
 /// and one for lines about the process.
-const LINE_KINDS: usize = EventKind::ALL.len() + 1;
+const LINE_KIND_COUNT: usize = EventKind::ALL.len() + 1;
 
 /// The kind of lines about the process.
 const PROCESS_KIND: usize = EventKind::ALL.len();
@@ -45,15 +45,17 @@
 #[derive(Debug)]
 pub struct EventJournal {
     buffer: Vec<u8>,
-    batch_started: MonotonicTime,
-    /// When the next write may happen, after the reader did not accept a whole batch.
+    batch_started_at: MonotonicTime,
+    /// Earliest time of the next write, set when the reader has not accepted a whole batch.
     retry_at: MonotonicTime,
     current_second: u64,
-    /// Lines of each kind that were admitted in the current second.
-    admitted_lines: [u32; LINE_KINDS],
-    /// Lines of each kind that the limit has suppressed and no line has reported yet.
-    suppressed_lines: [u64; LINE_KINDS],
-    /// Lines that the full buffer has dropped and no line has reported yet.
+    /// Number of lines of each kind that were admitted in the current second.
+    admitted_lines: [u32; LINE_KIND_COUNT],
+    /// Number of lines of each kind that the limit has suppressed and that no later line
+    /// has reported yet.
+    suppressed_lines: [u64; LINE_KIND_COUNT],
+    /// Number of lines that were dropped because the buffer was full, and that no later
+    /// line has reported yet.
     dropped_lines: u64,
 }
 
@@ -78,11 +80,11 @@
         }
         Self {
             buffer: Vec::new(),
-            batch_started: MonotonicTime::default(),
+            batch_started_at: MonotonicTime::default(),
             retry_at: MonotonicTime::default(),
             current_second: 0,
-            admitted_lines: [0; LINE_KINDS],
-            suppressed_lines: [0; LINE_KINDS],
+            admitted_lines: [0; LINE_KIND_COUNT],
+            suppressed_lines: [0; LINE_KIND_COUNT],
             dropped_lines: 0,
         }
     }
@@ -113,13 +115,13 @@
     /// Writes the buffered lines if the batch is large or old enough, or if it is the
     /// last one before the process ends.
     pub fn flush(&mut self, now: MonotonicTime, is_last: bool) {
-        let age = now.since(self.batch_started);
+        let age = now.since(self.batch_started_at);
         let is_due = self.buffer.len() >= BATCH_BYTES || age >= BATCH_AGE;
         let may_write = is_due && now >= self.retry_at;
         if self.buffer.is_empty() || !(may_write || is_last) {
             return;
         }
-        self.batch_started = now;
+        self.batch_started_at = now;
         let written = io::stdout().lock().write(&self.buffer).unwrap_or(0);
         if written < self.buffer.len() {
             // The reader has stalled. The rest stays in the buffer, whose size is limited.
@@ -133,7 +135,7 @@
         let second = now.0 / 1_000_000;
         if second != self.current_second {
             self.current_second = second;
-            self.admitted_lines = [0; LINE_KINDS];
+            self.admitted_lines = [0; LINE_KIND_COUNT];
         }
         if self.admitted_lines[kind] >= MAX_LINES_PER_SECOND {
             self.suppressed_lines[kind] += 1;
@@ -145,7 +147,7 @@
 
     fn append_line(&mut self, line: LogLine, now: MonotonicTime) {
         if self.buffer.is_empty() {
-            self.batch_started = now;
+            self.batch_started_at = now;
         }
         if self.buffer.len() >= MAX_BUFFER_BYTES {
             self.dropped_lines += 1;
--- a/crates/hyssopstaird/src/carry/part.rs
+++ b/crates/hyssopstaird/src/carry/part.rs
@@ -10,7 +10,7 @@
 use hyssopstair_wire::carried::CarryMessage;
 use hyssopstair_wire::time::MonotonicTime;
 
-/// The decisions of a process, by its role.
+/// The forwarding logic of a process: a balancer or a host.
 #[derive(Debug)]
 pub enum CarryPart {
     /// The process is a balancer.
@@ -34,9 +34,8 @@
         }
     }
 
-    /// Handles a message from a peer. `payload` is the rest of the datagram behind
-    /// the message, and `packet` is the same payload with its decoded header, if it is a
-    /// packet.
+    /// Handles a message from a peer. `payload` holds the bytes that follow the message,
+    /// and `packet` the packet parsed from them, if they are one.
     pub fn receive_peer_message(
         &mut self,
         from: Ipv4Addr,
@@ -56,7 +55,7 @@
         }
     }
 
-    /// Does the periodic work that is due.
+    /// Runs the timers that are due.
     pub fn tick(&mut self, now: MonotonicTime, outbox: &mut FlowOutbox) {
         match self {
             Self::Balancer(balancer) => balancer.tick(now, outbox),
@@ -64,7 +63,7 @@
         }
     }
 
-    /// Returns when the next tick is due.
+    /// Returns the time at which the next tick is due.
     pub fn next_tick_at(&self) -> MonotonicTime {
         match self {
             Self::Balancer(balancer) => balancer.next_tick_at(),
@@ -72,7 +71,7 @@
         }
     }
 
-    /// Puts routes in force.
+    /// Installs a route table if it is newer than the one in force.
     pub fn set_routes(&mut self, routes: RouteTable, outbox: &mut FlowOutbox) {
         match self {
             Self::Balancer(balancer) => balancer.set_routes(routes, outbox),
@@ -80,7 +79,7 @@
         }
     }
 
-    /// Adds addresses at which there may be balancers.
+    /// Adds addresses at which there may be balancers, so that hellos are sent to them.
     pub fn add_contacts(&mut self, contacts: &[Ipv4Addr]) {
         match self {
             Self::Balancer(balancer) => balancer.add_contacts(contacts),
@@ -88,7 +87,7 @@
         }
     }
 
-    /// Tells the peers that the process is about to stop.
+    /// Prepares the process to stop, and tells the peers.
     pub fn stop(&mut self, now: MonotonicTime, outbox: &mut FlowOutbox) {
         match self {
             Self::Balancer(balancer) => balancer.stop(now, outbox),
@@ -120,7 +119,7 @@
         }
     }
 
-    /// Returns the number of known flows.
+    /// Returns the number of flows in the flow table.
     pub fn flow_count(&self) -> usize {
         match self {
             Self::Balancer(balancer) => balancer.flow_count(),
--- a/crates/hyssopstaird/src/carry/process.rs
+++ b/crates/hyssopstaird/src/carry/process.rs
@@ -67,7 +67,7 @@
 /// answers to requests in progress.
 const MAX_HOST_DRAIN_TIME: Duration = Duration::from_millis(1_500);
 
-/// Part of the grace period that is kept back for the exit itself.
+/// Part of the grace period that is reserved for the exit itself.
 const EXIT_RESERVE: Duration = Duration::from_millis(1_000);
 
 /// Runs a process until it receives the signal to stop and has drained. `path` is the
@@ -88,7 +88,7 @@
     settings: CarrySettings,
     settings_path: std::path::PathBuf,
     clock: ProcessClock,
-    part: CarryPart,
+    forwarder: CarryPart,
     outbox: FlowOutbox,
     /// Exchanges messages with peers.
     peer_socket: DatagramSocket,
@@ -100,8 +100,8 @@
     command_receiver: mpsc::Receiver<CarryCommand>,
     journal: EventJournal,
     metrics: CarryMetrics,
-    /// When the signal to stop arrived.
-    stop_requested: Option<MonotonicTime>,
+    /// Time at which the signal to stop arrived.
+    stop_requested_at: Option<MonotonicTime>,
 }
 
 impl CarryProcess {
@@ -125,11 +125,11 @@
         if let Some(server) = &settings.server {
             call_server.start(server.heartbeats).await?;
         }
-        let part = create_part(&settings, clock.now());
+        let forwarder = create_forwarder(&settings, clock.now());
         let mut process = Self {
             settings_path: path.to_owned(),
             clock,
-            part,
+            forwarder,
             outbox: FlowOutbox::default(),
             peer_socket,
             packet_socket,
@@ -138,7 +138,7 @@
             command_receiver,
             journal: EventJournal::start(),
             metrics,
-            stop_requested: None,
+            stop_requested_at: None,
             settings,
         };
         process.start_store_tasks();
@@ -185,7 +185,7 @@
             self.tick();
         }
         let now = self.clock.now();
-        self.part.stop(now, &mut self.outbox);
+        self.forwarder.stop(now, &mut self.outbox);
         self.flush_outbox(now);
         let fields = json!({ "lost_datagrams": self.metrics.unsent_datagrams.get() });
         self.journal.write_process("stopped", fields, now);
@@ -196,7 +196,7 @@
     /// and signals.
     async fn wait_for_event(&mut self, terminate: &mut Signal, reload: &mut Signal) {
         let now = self.clock.now();
-        let delay = self.part.next_tick_at().since(now);
+        let delay = self.forwarder.next_tick_at().since(now);
         tokio::select! {
             () = self.peer_socket.wait_readable() => {}
             () = self.packet_socket.wait_readable() => {}
@@ -222,7 +222,7 @@
                 header,
                 bytes: payload,
             });
-            self.part.receive_peer_message(
+            self.forwarder.receive_peer_message(
                 from,
                 &message,
                 packet.as_ref(),
@@ -252,7 +252,8 @@
                 header,
                 bytes: &buffer[..length],
             };
-            self.part.receive_packet(&packet, now, &mut self.outbox);
+            self.forwarder
+                .receive_packet(&packet, now, &mut self.outbox);
             self.flush_outbox(now);
         }
     }
@@ -264,22 +265,27 @@
         self.flush_outbox(now);
     }
 
-    /// Does the work that is due, publishes the metrics and the status, and writes logs.
+    /// Runs the timers and the server check that are due, updates the metrics, publishes
+    /// the status, and writes logs.
     fn tick(&mut self) {
         let now = self.clock.now();
-        if now >= self.part.next_tick_at() {
-            self.part.tick(now, &mut self.outbox);
+        if now >= self.forwarder.next_tick_at() {
+            self.forwarder.tick(now, &mut self.outbox);
         }
         self.start_due_check(now);
-        self.metrics.flow_count.set(self.part.flow_count() as i64);
-        self.metrics.peer_count.set(self.part.peer_count() as i64);
+        self.metrics
+            .flow_count
+            .set(self.forwarder.flow_count() as i64);
+        self.metrics
+            .peer_count
+            .set(self.forwarder.peer_count() as i64);
         self.metrics
             .routes_version
-            .set(self.part.routes_version() as i64);
+            .set(self.forwarder.routes_version() as i64);
         self.status.publish(
-            self.part.is_ready(now) && self.stop_requested.is_none(),
-            self.part.routes_version(),
-            self.part.balancer_count() as u64,
+            self.forwarder.is_ready(now) && self.stop_requested_at.is_none(),
+            self.forwarder.routes_version(),
+            self.forwarder.balancer_count() as u64,
         );
         self.flush_outbox(now);
         self.journal.flush(now, false);
@@ -287,7 +293,8 @@
 
     /// Starts the check of the server that is due, if any, in the background.
     fn start_due_check(&mut self, now: MonotonicTime) {
-        let (CarryPart::Host(host), Some(server)) = (&mut self.part, &self.settings.server) else {
+        let (CarryPart::Host(host), Some(server)) = (&mut self.forwarder, &self.settings.server)
+        else {
             return;
         };
         let Some(check) = host.take_due_check(now) else {
@@ -306,29 +313,32 @@
     fn handle_command(&mut self, command: CarryCommand) {
         let now = self.clock.now();
         match command {
-            CarryCommand::SetRoutes(routes) => self.part.set_routes(routes, &mut self.outbox),
-            CarryCommand::AddContacts(contacts) => self.part.add_contacts(&contacts),
-            CarryCommand::Heartbeat { heartbeat, applied } => {
-                let verdict = match &mut self.part {
+            CarryCommand::SetRoutes(routes) => self.forwarder.set_routes(routes, &mut self.outbox),
+            CarryCommand::AddContacts(contacts) => self.forwarder.add_contacts(&contacts),
+            CarryCommand::Heartbeat {
+                heartbeat,
+                applied_sender,
+            } => {
+                let verdict = match &mut self.forwarder {
                     CarryPart::Host(host) => {
                         host.receive_heartbeat(&heartbeat, now, &mut self.outbox)
                     }
                     CarryPart::Balancer(_) => HeartbeatVerdict::Stale,
                 };
-                // Only a heartbeat in force is confirmed.
+                // Only a heartbeat that has been applied is confirmed.
                 if verdict == HeartbeatVerdict::Accepted {
                     // A server that no longer waits for the response sends another heartbeat.
-                    let _ = applied.send(());
+                    let _ = applied_sender.send(());
                 }
             }
-            CarryCommand::Deregistration { id, applied } => {
-                if let CarryPart::Host(host) = &mut self.part {
+            CarryCommand::Deregistration { id, applied_sender } => {
+                if let CarryPart::Host(host) = &mut self.forwarder {
                     host.receive_deregistration(&id, &mut self.outbox);
                 }
-                let _ = applied.send(());
+                let _ = applied_sender.send(());
             }
             CarryCommand::CheckDone(result) => {
-                if let CarryPart::Host(host) = &mut self.part {
+                if let CarryPart::Host(host) = &mut self.forwarder {
                     host.receive_check_result(result, now, &mut self.outbox);
                 }
             }
@@ -345,17 +355,17 @@
         self.flush_outbox(now);
     }
 
-    /// Starts to drain: readiness is withdrawn and the peers are told. Later signals to
-    /// stop are ignored.
+    /// Starts to drain: the process is no longer ready, and the peers are told. Ignores
+    /// further signals to stop.
     fn begin_stop(&mut self) {
-        if self.stop_requested.is_some() {
+        if self.stop_requested_at.is_some() {
             return;
         }
         let now = self.clock.now();
-        self.stop_requested = Some(now);
+        self.stop_requested_at = Some(now);
         self.journal
             .write_process("stopping", json!({ "cause": "signal" }), now);
-        self.part.stop(now, &mut self.outbox);
+        self.forwarder.stop(now, &mut self.outbox);
         self.flush_outbox(now);
     }
 
@@ -372,8 +382,10 @@
                     .iter()
                     .map(|contact| *contact.ip())
                     .collect();
-                self.part.add_contacts(&contacts);
-                if let (CarryPart::Host(host), Some(server)) = (&mut self.part, &settings.server) {
+                self.forwarder.add_contacts(&contacts);
+                if let (CarryPart::Host(host), Some(server)) =
+                    (&mut self.forwarder, &settings.server)
+                {
                     host.set_service(&server.service, now, &mut self.outbox);
                 }
                 self.journal
@@ -393,16 +405,16 @@
     /// Returns whether the process was asked to stop and has drained, or has used up its
     /// grace period.
     fn may_exit(&self) -> bool {
-        let Some(stop_requested) = self.stop_requested else {
+        let Some(stop_requested_at) = self.stop_requested_at else {
             return false;
         };
         let now = self.clock.now();
-        let elapsed = now.since(stop_requested);
+        let elapsed = now.since(stop_requested_at);
         let grace_period = Duration::from_secs_f64(self.settings.grace_seconds);
         if elapsed >= grace_period.saturating_sub(EXIT_RESERVE) {
             return true;
         }
-        match &self.part {
+        match &self.forwarder {
             CarryPart::Balancer(_) => elapsed >= BALANCER_DRAIN_TIME,
             CarryPart::Host(host) => {
                 let is_idle =
@@ -460,7 +472,7 @@
     }
 }
 
-fn create_part(settings: &CarrySettings, now: MonotonicTime) -> CarryPart {
+fn create_forwarder(settings: &CarrySettings, now: MonotonicTime) -> CarryPart {
     let address = *settings.packets.ip();
     let contacts: Vec<Ipv4Addr> = settings
         .contacts
--- a/crates/hyssopstaird/src/carry/sockets.rs
+++ b/crates/hyssopstaird/src/carry/sockets.rs
@@ -15,7 +15,7 @@
 /// servers and processes fits in it.
 pub const RECEIVE_BUFFER_BYTES: usize = 2_048;
 
-/// A UDP socket whose reads wait for the event loop and whose writes never wait.
+/// A UDP socket that the event loop waits on for reads, and whose writes never block.
 #[derive(Debug)]
 pub struct DatagramSocket {
     reader: UdpSocket,
@@ -41,7 +41,7 @@
 
     /// Waits until a datagram can be received.
     pub async fn wait_readable(&self) {
-        // The next read meets the same error.
+        // An error is ignored here, because the next read returns it again.
         let _ = self.reader.readable().await;
     }
 
@@ -52,7 +52,7 @@
             match self.reader.try_recv_from(buffer) {
                 Ok((length, SocketAddr::V4(from))) => return Some((length, *from.ip())),
                 Ok(_) => {}
-                // Reports that nothing listens where an earlier datagram was sent.
+                // An earlier datagram was sent to an address on which nothing listens.
                 Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => {}
                 Err(_) => return None,
             }
--- a/crates/hyssopstaird/src/carry/store.rs
+++ b/crates/hyssopstaird/src/carry/store.rs
@@ -18,8 +18,8 @@
 /// Timeout for opening a connection; the store usually responds in 4 ms.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Time limit for a response, in addition to the time for which the store itself may
-/// hold back the response. A slow store takes up to a hundred times as long as usual.
+/// Timeout for a response, in addition to the time for which the request allows the
+/// store to hold it back. A slow store takes up to a hundred times as long as usual.
 pub const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// Why a call of the store failed.
@@ -39,9 +39,9 @@
     Decode(#[from] hyssopstair_adapter::store::StoreDecodeError),
 }
 
-/// A connection to the store that is opened when it is needed. After a call without a
-/// response, no further response arrives on the connection; it is dropped, and the
-/// next call opens a new one.
+/// A connection to the store, opened by the first call that needs it. A call that gets
+/// no response closes the connection, which cannot be used for another call; the next
+/// call opens a new one.
 #[derive(Debug)]
 pub struct StoreConnection {
     address: SocketAddrV4,
@@ -95,7 +95,7 @@
         let (sender, connection) = http1::handshake(TokioIo::new(stream))
             .await
             .map_err(|error| StoreError::Connect(error.to_string()))?;
-        // The next call notices if the connection has ended.
+        // An error is ignored here, because the next call finds the connection closed.
         tokio::spawn(async move {
             let _ = connection.await;
         });
