--- a/crates/hyssopstaird/src/carry/journal.rs
+++ b/crates/hyssopstaird/src/carry/journal.rs
@@ -181,7 +181,7 @@
             "balancer",
             "sent a new flow to a host",
             json!({
-                "flow": flow_name(flow), "host": host, "routes": routes, "in_progress": in_progress,
+                "flow": format_flow(flow), "host": host, "routes": routes, "in_progress": in_progress,
                 "report_age_ms": report_age_millis, "attempt": attempt,
             }),
         ),
@@ -194,7 +194,7 @@
             "host",
             "passed a new flow on to another host",
             json!({
-                "flow": flow_name(flow), "host": host, "server": format!("{server:?}"),
+                "flow": format_flow(flow), "host": host, "server": format!("{server:?}"),
                 "in_progress": in_progress,
             }),
         ),
@@ -205,7 +205,7 @@
         } => (
             "host",
             "delivered a new flow to the server",
-            json!({ "flow": flow_name(flow), "balancer": balancer, "in_progress": in_progress }),
+            json!({ "flow": format_flow(flow), "balancer": balancer, "in_progress": in_progress }),
         ),
         FlowEvent::Refused {
             flow,
@@ -214,27 +214,27 @@
         } => (
             "balancer",
             "refused a flow before it opened",
-            json!({ "flow": flow_name(flow), "reason": format!("{reason:?}"), "routes": routes }),
+            json!({ "flow": format_flow(flow), "reason": format!("{reason:?}"), "routes": routes }),
         ),
         FlowEvent::Broken { flow, reason } => (
             "flow",
             "reset an open flow that its server no longer holds",
-            json!({ "flow": flow_name(flow), "reason": format!("{reason:?}") }),
+            json!({ "flow": format_flow(flow), "reason": format!("{reason:?}") }),
         ),
         FlowEvent::Searching { flow, hosts } => (
             "balancer",
             "searching for the host of a flow",
-            json!({ "flow": flow_name(flow), "hosts": hosts }),
+            json!({ "flow": format_flow(flow), "hosts": hosts }),
         ),
         FlowEvent::Unowned { flow, undecided } => (
             "balancer",
             "found no host for a flow and dropped its packet",
-            json!({ "flow": flow_name(flow), "undecided": undecided.iter().map(describe_silent_host).collect::<Vec<_>>() }),
+            json!({ "flow": format_flow(flow), "undecided": undecided.iter().map(describe_silent_host).collect::<Vec<_>>() }),
         ),
         FlowEvent::Answered { flow, micros } => (
             "host",
             "server answered a request",
-            json!({ "flow": flow_name(flow), "took_us": micros }),
+            json!({ "flow": format_flow(flow), "took_us": micros }),
         ),
         FlowEvent::Unanswered {
             flow,
@@ -243,7 +243,7 @@
         } => (
             "host",
             "server did not answer a request",
-            json!({ "flow": flow_name(flow), "waited_ms": waited_millis, "closed": is_closed }),
+            json!({ "flow": format_flow(flow), "waited_ms": waited_millis, "closed": is_closed }),
         ),
         FlowEvent::Server {
             before,
@@ -289,6 +289,6 @@
     json!({ "host": silent.host, "silent_ms": silent.silent_millis })
 }
 
-fn flow_name(flow: &FlowKey) -> String {
+fn format_flow(flow: &FlowKey) -> String {
     format!("{}>{}", flow.caller, flow.target)
 }
--- a/crates/hyssopstaird/src/carry/process.rs
+++ b/crates/hyssopstaird/src/carry/process.rs
@@ -215,7 +215,7 @@
             };
             let now = self.clock.now();
             let Some((message, payload)) = CarryMessage::decode(&buffer[..length]) else {
-                self.report_malformed(now);
+                self.record_malformed_datagram(now);
                 continue;
             };
             let packet = decode_header(payload).map(|header| RawPacket {
@@ -242,7 +242,7 @@
             };
             let now = self.clock.now();
             let Some(header) = decode_header(&buffer[..length]) else {
-                self.report_malformed(now);
+                self.record_malformed_datagram(now);
                 continue;
             };
             if header.is_bounced {
@@ -258,7 +258,7 @@
         }
     }
 
-    fn report_malformed(&mut self, now: MonotonicTime) {
+    fn record_malformed_datagram(&mut self, now: MonotonicTime) {
         self.outbox.record_event(FlowEvent::Dropped {
             reason: DropReason::Malformed,
         });
--- a/crates/hyssopstaird/src/carry/store_tasks.rs
+++ b/crates/hyssopstaird/src/carry/store_tasks.rs
@@ -68,7 +68,7 @@
             match result {
                 Ok(revision) => {
                     if is_store_lost {
-                        self.report_store(None).await;
+                        self.report_store_status(None).await;
                     }
                     is_store_lost = false;
                     if known_revision.is_some_and(|known_revision| revision > known_revision) {
@@ -87,7 +87,7 @@
                 }
                 Err(error) => {
                     if !is_store_lost {
-                        self.report_store(Some(error.to_string())).await;
+                        self.report_store_status(Some(error.to_string())).await;
                     }
                     is_store_lost = true;
                     sleep(RETRY_DELAY).await;
@@ -213,17 +213,17 @@
                 if skipped_route_count > 0 {
                     let error =
                         format!("failed to decode {skipped_route_count} routes; skipped them");
-                    self.report_store(Some(error)).await;
+                    self.report_store_status(Some(error)).await;
                 }
                 self.send_command(CarryCommand::SetRoutes(routes)).await;
             }
-            Err(error) => self.report_store(Some(error.to_string())).await,
+            Err(error) => self.report_store_status(Some(error.to_string())).await,
         }
     }
 
     /// Reports an error of the store or of the configuration in it; `None` reports
     /// that the store is available again.
-    async fn report_store(&self, error: Option<String>) {
+    async fn report_store_status(&self, error: Option<String>) {
         self.send_command(CarryCommand::DependencyChanged {
             name: "store",
             error,
