--- a/crates/flows/src/balancer/mod.rs
+++ b/crates/flows/src/balancer/mod.rs
@@ -171,7 +171,7 @@
     /// announces it to the peers.
     pub fn set_routes(&mut self, routes: RouteTable, outbox: &mut FlowOutbox) {
         if self.routes.install(routes, outbox) {
-            self.schedule_hello();
+            self.schedule_hellos();
         }
     }
 
@@ -185,14 +185,14 @@
     ) {
         let header = &packet.header;
         if header.opens_flow() {
-            self.receive_opening(packet, now, outbox);
+            self.receive_opening_packet(packet, now, outbox);
         } else if header.is_open {
             // Only servers acknowledge an opening packet.
             outbox.record_event(FlowEvent::Dropped {
                 reason: DropReason::Malformed,
             });
         } else {
-            self.receive_established(packet, now, outbox);
+            self.receive_established_packet(packet, now, outbox);
         }
     }
 
@@ -240,7 +240,7 @@
         }
     }
 
-    fn receive_established(
+    fn receive_established_packet(
         &mut self,
         packet: &RawPacket<'_>,
         now: MonotonicTime,
@@ -248,7 +248,7 @@
     ) {
         let flow = packet.header.caller_flow();
         let Some(hint) = self.hints.get_mut(&flow) else {
-            self.search_owner(packet, now, outbox);
+            self.search_for_owner(packet, now, outbox);
             return;
         };
         hint.last_used_at = now;
@@ -263,11 +263,11 @@
         bytes: &[u8],
         outbox: &mut FlowOutbox,
     ) {
-        let header = self.build_header(purpose);
+        let header = self.build_forward_header(purpose);
         outbox.enqueue_message(host, &CarryMessage::Forward(header), bytes);
     }
 
-    fn build_header(&self, purpose: ForwardPurpose) -> CarryHeader {
+    fn build_forward_header(&self, purpose: ForwardPurpose) -> CarryHeader {
         CarryHeader {
             purpose,
             balancer: self.identity.address,
@@ -278,7 +278,7 @@
     }
 
     /// Makes the next tick send hellos, so that peers learn of a change early.
-    fn schedule_hello(&mut self) {
+    fn schedule_hellos(&mut self) {
         self.next_hello_at = MonotonicTime::default();
     }
 
--- a/crates/flows/src/balancer/opening.rs
+++ b/crates/flows/src/balancer/opening.rs
@@ -89,7 +89,7 @@
     /// Handles the opening packet of a flow. Ignores it while an offer is pending or the
     /// flow is held, forwards a retransmission to the host that has accepted the flow,
     /// and offers the flow otherwise.
-    pub(super) fn receive_opening(
+    pub(super) fn receive_opening_packet(
         &mut self,
         packet: &RawPacket<'_>,
         now: MonotonicTime,
@@ -107,7 +107,7 @@
         let is_retransmit = packet.header.acknowledged > 0;
         if is_retransmit && pending.is_none() && self.hints.get(&flow).is_some() {
             // A host accepted the flow, and the answer to the caller was lost.
-            self.receive_established(packet, now, outbox);
+            self.receive_established_packet(packet, now, outbox);
             return;
         }
         let new_flow = NewFlow {
@@ -140,7 +140,7 @@
         };
         let candidates = self.select_candidates(&new_flow, &route_match, now);
         let Some((first_host, next_hosts)) = candidates.split_first() else {
-            self.hold_or_refuse(new_flow, &route_match, now, outbox);
+            self.hold_or_refuse_flow(new_flow, &route_match, now, outbox);
             return;
         };
         let first_host = *first_host;
@@ -153,7 +153,7 @@
         );
         let header = CarryHeader {
             next: next_hosts.iter().copied().collect(),
-            ..self.build_header(ForwardPurpose::Open)
+            ..self.build_forward_header(ForwardPurpose::Open)
         };
         outbox.enqueue_message(first_host, &CarryMessage::Forward(header), &new_flow.bytes);
         self.openings.push(PendingOpening {
@@ -217,13 +217,13 @@
     ) {
         self.openings.retain(|opening| opening.flow != *flow);
         if !self.hold_queue.is_empty() {
-            self.offer_next_held(flow, now, outbox);
+            self.offer_next_held_flow(flow, now, outbox);
         }
     }
 
     /// Offers a flow to other hosts after all candidates of the current offer have
     /// declined it.
-    pub(super) fn reoffer_returned(
+    pub(super) fn reoffer_returned_flow(
         &mut self,
         packet: &RawPacket<'_>,
         now: MonotonicTime,
@@ -255,7 +255,7 @@
 
     /// Offers the highest-ranked held flow of the service that has just accepted
     /// `accepted_flow`.
-    fn offer_next_held(
+    fn offer_next_held_flow(
         &mut self,
         accepted_flow: &FlowKey,
         now: MonotonicTime,
@@ -277,7 +277,7 @@
         }
     }
 
-    fn hold_or_refuse(
+    fn hold_or_refuse_flow(
         &mut self,
         new_flow: NewFlow,
         route_match: &RouteMatch,
--- a/crates/flows/src/balancer/peers.rs
+++ b/crates/flows/src/balancer/peers.rs
@@ -54,7 +54,7 @@
             }
             CarryMessage::Returned { purpose } => {
                 if let Some(packet) = packet {
-                    self.receive_returned(from, *purpose, packet, now, outbox);
+                    self.receive_returned_packet(from, *purpose, packet, now, outbox);
                 }
             }
             CarryMessage::Flows { owner, flows } => {
@@ -80,7 +80,7 @@
             } => {
                 let routes = &mut self.routes;
                 if routes.receive_part(*version, *part, *parts, payload, outbox) {
-                    self.schedule_hello();
+                    self.schedule_hellos();
                 }
             }
             CarryMessage::Forward(_) | CarryMessage::Locate { .. } => {
@@ -91,7 +91,7 @@
         }
     }
 
-    fn receive_returned(
+    fn receive_returned_packet(
         &mut self,
         from: Ipv4Addr,
         purpose: ForwardPurpose,
@@ -101,14 +101,14 @@
     ) {
         match purpose {
             ForwardPurpose::Open | ForwardPurpose::OpenHere => {
-                self.reoffer_returned(packet, now, outbox);
+                self.reoffer_returned_flow(packet, now, outbox);
             }
             ForwardPurpose::Owner if packet.header.opens_flow() => {
                 self.hints.remove(&packet.header.caller_flow());
-                self.receive_opening(packet, now, outbox);
+                self.receive_opening_packet(packet, now, outbox);
             }
             ForwardPurpose::Owner | ForwardPurpose::Probe => {
-                self.redirect_returned(packet, from, now, outbox);
+                self.redirect_returned_packet(packet, from, now, outbox);
             }
         }
     }
--- a/crates/flows/src/balancer/search.rs
+++ b/crates/flows/src/balancer/search.rs
@@ -167,7 +167,7 @@
 impl FlowBalancer {
     /// Starts a search for the owner of a packet's flow, or queues the packet if the
     /// search is already pending.
-    pub(super) fn search_owner(
+    pub(super) fn search_for_owner(
         &mut self,
         packet: &RawPacket<'_>,
         now: MonotonicTime,
@@ -213,7 +213,7 @@
     /// Handles a packet that the host `from` has returned: forwards it to the flow's owner
     /// if the table now names another host. Otherwise removes the hint and searches for
     /// the owner.
-    pub(super) fn redirect_returned(
+    pub(super) fn redirect_returned_packet(
         &mut self,
         packet: &RawPacket<'_>,
         from: Ipv4Addr,
@@ -229,7 +229,7 @@
             _ => {
                 let hint = self.hints.remove(&flow);
                 let was_exclusive = hint.is_some_and(|hint| hint.is_exclusive);
-                self.search_owner(packet, now, outbox);
+                self.search_for_owner(packet, now, outbox);
                 if let Ok(index) = self.find_search(&flow) {
                     let search = &mut self.searches[index];
                     search.was_denied_by_owner = was_exclusive;
@@ -299,7 +299,7 @@
             let search = &mut self.searches[index];
             if now.since(search.started_at) >= SEARCH_TIMEOUT {
                 let search = self.searches.remove(index);
-                self.record_unowned(&search, now, outbox);
+                self.record_unowned_flow(&search, now, outbox);
                 continue;
             }
             if now.since(search.last_query_at) >= ROUND_TIMEOUT {
@@ -315,7 +315,12 @@
         }
     }
 
-    fn record_unowned(&self, search: &PendingSearch, now: MonotonicTime, outbox: &mut FlowOutbox) {
+    fn record_unowned_flow(
+        &self,
+        search: &PendingSearch,
+        now: MonotonicTime,
+        outbox: &mut FlowOutbox,
+    ) {
         let silence = |host| {
             let record = self.members.host(host)?;
             Some(now.since(record.peer.last_seen_at).as_millis() as u32)
@@ -385,7 +390,7 @@
         if self.searches[index].is_round_complete() {
             self.query_next_round(index, now);
         }
-        let message = CarryMessage::Forward(self.build_header(ForwardPurpose::Probe));
+        let message = CarryMessage::Forward(self.build_forward_header(ForwardPurpose::Probe));
         let search = &mut self.searches[index];
         if !search.awaiting.is_empty() {
             // A host that was queried may claim the flow, which makes probes unnecessary.
--- a/crates/flows/src/holding.rs
+++ b/crates/flows/src/holding.rs
@@ -110,7 +110,7 @@
             .iter()
             .enumerate()
             .filter(|(_, held_flow)| matches(held_flow))
-            .min_by_key(|(_, held_flow)| rank(held_flow, now))?;
+            .min_by_key(|(_, held_flow)| sort_key(held_flow, now))?;
         Some(self.flows.swap_remove(index))
     }
 
@@ -126,7 +126,7 @@
 
 /// Returns the sort key of a flow, lowest first: flows that can be answered in time
 /// before late ones, then by priority, then the newest first.
-fn rank(held_flow: &HeldFlow, now: MonotonicTime) -> (bool, u8, Reverse<MonotonicTime>) {
+fn sort_key(held_flow: &HeldFlow, now: MonotonicTime) -> (bool, u8, Reverse<MonotonicTime>) {
     let age = now.since(held_flow.arrived_at) + held_flow.age_at_arrival;
     (
         age >= FRESH_MAX_AGE,
--- a/crates/flows/src/host/mod.rs
+++ b/crates/flows/src/host/mod.rs
@@ -159,7 +159,7 @@
         }
         self.identity.service = service.to_owned();
         self.reset_all_flows(outbox);
-        self.schedule_hello();
+        self.schedule_hellos();
         self.tick(now, outbox);
     }
 
@@ -176,10 +176,10 @@
         }
         match header.purpose {
             ForwardPurpose::Open | ForwardPurpose::OpenHere => {
-                self.receive_opening(header, packet, now, outbox);
+                self.receive_opening_packet(header, packet, now, outbox);
             }
             ForwardPurpose::Owner | ForwardPurpose::Probe => {
-                self.receive_established(header, packet, now, outbox);
+                self.receive_established_packet(header, packet, now, outbox);
             }
         }
     }
@@ -234,7 +234,7 @@
     }
 
     /// Handles a packet of a flow that is assumed to be open already.
-    fn receive_established(
+    fn receive_established_packet(
         &mut self,
         header: &CarryHeader,
         packet: &RawPacket<'_>,
@@ -276,7 +276,7 @@
         let is_known = record.phase != FlowPhase::Probed;
         record.balancer = header.balancer;
         if is_search && is_known {
-            self.send_owned(flow, header.balancer, now, outbox);
+            self.send_claim(flow, header.balancer, now, outbox);
         }
         self.deliver_packet(&flow, packet, now, outbox);
     }
@@ -290,7 +290,7 @@
         now: MonotonicTime,
         outbox: &mut FlowOutbox,
     ) {
-        if !self.may_hold_unseen_flow(now) || packet.header.opens_flow() {
+        if !self.may_hold_unknown_flow(now) || packet.header.opens_flow() {
             self.decline_packet(header, packet, outbox);
             return;
         }
@@ -301,7 +301,7 @@
     }
 
     /// Returns whether the server may hold flows that are not in the table.
-    fn may_hold_unseen_flow(&self, now: MonotonicTime) -> bool {
+    fn may_hold_unknown_flow(&self, now: MonotonicTime) -> bool {
         let may_be_running = match self.server.state() {
             ServerState::Ready | ServerState::Draining => true,
             ServerState::Unknown => now.since(self.created_at) < SERVER_DISCOVERY_TIMEOUT,
@@ -333,7 +333,7 @@
     }
 
     /// Answers a balancer's questions about which flows the server holds.
-    fn receive_locate(
+    fn answer_questions(
         &mut self,
         from: Ipv4Addr,
         questions: &[FlowQuestion],
@@ -345,7 +345,7 @@
         for question in questions {
             let flow = question.flow;
             let Some(record) = self.flows.get_mut(&flow) else {
-                if self.may_hold_unseen_flow(now) {
+                if self.may_hold_unknown_flow(now) {
                     uncertain.push(flow);
                 } else {
                     not_held.push(flow);
@@ -361,7 +361,7 @@
                 continue;
             }
             record.balancer = from;
-            self.send_owned(flow, from, now, outbox);
+            self.send_claim(flow, from, now, outbox);
         }
         for (flows, is_certain) in [(not_held, true), (uncertain, false)] {
             if !flows.is_empty() {
@@ -449,7 +449,7 @@
             self.finish_request(flow, now.since(request_started_at), is_answer, outbox);
         }
         if let Some(balancer) = balancer_to_notify {
-            self.send_owned(*flow, balancer, now, outbox);
+            self.send_claim(*flow, balancer, now, outbox);
         }
     }
 
@@ -513,7 +513,7 @@
     }
 
     /// Tells a balancer that the server holds a flow.
-    fn send_owned(
+    fn send_claim(
         &self,
         flow: FlowKey,
         balancer: Ipv4Addr,
--- a/crates/flows/src/host/opening.rs
+++ b/crates/flows/src/host/opening.rs
@@ -43,7 +43,7 @@
 
 impl FlowHost {
     /// Accepts the opening packet of a flow or passes it on.
-    pub(super) fn receive_opening(
+    pub(super) fn receive_opening_packet(
         &mut self,
         header: &CarryHeader,
         packet: &RawPacket<'_>,
@@ -76,9 +76,9 @@
                 {
                     next_header.best = Some((self.identity.address, request_count));
                 }
-                self.forward_to_next(next_header, packet, now, outbox);
+                self.forward_to_next_host(next_header, packet, now, outbox);
             }
-            OpeningVerdict::Reject => self.forward_to_next(next_header, packet, now, outbox),
+            OpeningVerdict::Reject => self.forward_to_next_host(next_header, packet, now, outbox),
         }
     }
 
@@ -102,7 +102,7 @@
         self.flows.remove(&flow);
         self.load.remove_offer(offered_at);
         if let Some(forward_header) = forward_header {
-            self.forward_to_next(*forward_header, packet, now, outbox);
+            self.forward_to_next_host(*forward_header, packet, now, outbox);
         }
     }
 
@@ -176,7 +176,7 @@
     }
 
     /// Passes the flow on to the next candidate, or assigns it if there is none.
-    fn forward_to_next(
+    fn forward_to_next_host(
         &mut self,
         mut header: CarryHeader,
         packet: &RawPacket<'_>,
--- a/crates/flows/src/host/peers.rs
+++ b/crates/flows/src/host/peers.rs
@@ -40,7 +40,7 @@
                 }
             }
             CarryMessage::Locate { questions } => {
-                self.receive_locate(from, questions, now, outbox);
+                self.answer_questions(from, questions, now, outbox);
             }
             CarryMessage::Hello(hello) => self.receive_hello(from, hello, now, outbox),
             CarryMessage::Flows { owner, flows } if *owner == self.identity.address => {
@@ -82,7 +82,7 @@
         for contact in contacts {
             if let Err(index) = self.contacts.binary_search(contact) {
                 self.contacts.insert(index, *contact);
-                self.schedule_hello();
+                self.schedule_hellos();
             }
         }
     }
@@ -105,7 +105,7 @@
     }
 
     /// Makes the next tick send hellos, so that balancers learn of a change early.
-    pub(super) fn schedule_hello(&mut self) {
+    pub(super) fn schedule_hellos(&mut self) {
         self.next_hello_at = MonotonicTime::default();
     }
 
--- a/crates/flows/src/host/server.rs
+++ b/crates/flows/src/host/server.rs
@@ -241,6 +241,6 @@
             state,
             source,
         });
-        self.schedule_hello();
+        self.schedule_hellos();
     }
 }
