--- a/crates/flows/src/balancer/peers.rs
+++ b/crates/flows/src/balancer/peers.rs
@@ -30,7 +30,7 @@
 impl FlowBalancer {
     /// Handles a message from a peer. `payload` holds the bytes that follow the
     /// message, and `packet` the packet parsed from them, if they are one.
-    pub fn receive_peer(
+    pub fn receive_peer_message(
         &mut self,
         from: Ipv4Addr,
         message: &CarryMessage,
@@ -54,7 +54,7 @@
             }
             CarryMessage::Returned { purpose } => {
                 if let Some(packet) = packet {
-                    self.receive_returned(from, *purpose, packet, now, outbox);
+                    self.receive_returned_packet(from, *purpose, packet, now, outbox);
                 }
             }
             CarryMessage::Flows { owner, flows } => {
@@ -80,7 +80,7 @@
             } => {
                 let routes = &mut self.routes;
                 if routes.receive_part(*version, *part, *parts, payload, outbox) {
-                    self.schedule_hello();
+                    self.schedule_hellos();
                 }
             }
             CarryMessage::Forward(_) | CarryMessage::Locate { .. } => {
@@ -91,7 +91,7 @@
         }
     }
 
-    fn receive_returned(
+    fn receive_returned_packet(
         &mut self,
         from: Ipv4Addr,
         purpose: ForwardPurpose,
@@ -101,14 +101,14 @@
     ) {
         match purpose {
             ForwardPurpose::Open | ForwardPurpose::OpenHere => {
-                self.reoffer_returned(packet, now, outbox);
+                self.reoffer_returned_flow(packet, now, outbox);
             }
             ForwardPurpose::Owner if packet.header.opens_flow() => {
                 self.hints.remove(&packet.header.caller_flow());
-                self.receive_opening(packet, now, outbox);
+                self.receive_opening_packet(packet, now, outbox);
             }
             ForwardPurpose::Owner | ForwardPurpose::Probe => {
-                self.search_returned(packet, from, now, outbox);
+                self.redirect_returned_packet(packet, from, now, outbox);
             }
         }
     }
@@ -134,7 +134,7 @@
         }
         match &hello.role {
             HelloRole::Host(host) => {
-                self.first_host_at.get_or_insert(now);
+                self.first_host_joined_at.get_or_insert(now);
                 if is_new {
                     self.last_host_joined_at = Some(now);
                     self.query_new_host(from, now, outbox);
@@ -163,10 +163,10 @@
         }
     }
 
-    /// Sends hellos to all hosts and contacts. A contact that is not a known balancer
-    /// is asked for a hello in return.
+    /// Sends hellos to all hosts and contacts, and schedules the next round. A contact
+    /// that is not a known balancer is asked for a hello in return.
     pub(super) fn send_hellos(&mut self, now: MonotonicTime, outbox: &mut FlowOutbox) {
-        self.next_hello = now + self.members.timeouts().hello_interval;
+        self.next_hello_at = now + self.members.timeouts().hello_interval;
         self.hello_number += 1;
         let hello = CarryMessage::Hello(self.build_hello(false, now));
         let hello_request = CarryMessage::Hello(self.build_hello(true, now));
@@ -185,7 +185,7 @@
 
     fn build_hello(&self, wants_answer: bool, now: MonotonicTime) -> HelloMessage {
         HelloMessage {
-            started: self.identity.started,
+            started: self.identity.started_unix_millis,
             number: self.hello_number,
             zone: self.identity.zone.clone(),
             routes: self.routes.table().version(),
--- a/crates/hyssopstaird/src/carry/part.rs
+++ b/crates/hyssopstaird/src/carry/part.rs
@@ -10,7 +10,7 @@
 use hyssopstair_wire::carried::CarryMessage;
 use hyssopstair_wire::time::MonotonicTime;
 
-/// The decisions of a process, by its role.
+/// The forwarding logic of a process: a balancer or a host.
 #[derive(Debug)]
 pub enum CarryPart {
     /// The process is a balancer.
@@ -34,10 +34,9 @@
         }
     }
 
-    /// Handles a message from a peer. `payload` is the rest of the datagram behind
-    /// the message, and `packet` is the same payload with its decoded header, if it is a
-    /// packet.
-    pub fn receive_peer(
+    /// Handles a message from a peer. `payload` holds the bytes that follow the message,
+    /// and `packet` the packet parsed from them, if they are one.
+    pub fn receive_peer_message(
         &mut self,
         from: Ipv4Addr,
         message: &CarryMessage,
@@ -48,13 +47,15 @@
     ) {
         match self {
             Self::Balancer(balancer) => {
-                balancer.receive_peer(from, message, packet, payload, now, outbox);
+                balancer.receive_peer_message(from, message, packet, payload, now, outbox);
+            }
+            Self::Host(host) => {
+                host.receive_peer_message(from, message, packet, payload, now, outbox)
             }
-            Self::Host(host) => host.receive_peer(from, message, packet, payload, now, outbox),
         }
     }
 
-    /// Does the periodic work that is due.
+    /// Runs the timers that are due.
     pub fn tick(&mut self, now: MonotonicTime, outbox: &mut FlowOutbox) {
         match self {
             Self::Balancer(balancer) => balancer.tick(now, outbox),
@@ -62,15 +63,15 @@
         }
     }
 
-    /// Returns when the next tick is due.
-    pub fn next_tick(&self) -> MonotonicTime {
+    /// Returns the time at which the next tick is due.
+    pub fn next_tick_at(&self) -> MonotonicTime {
         match self {
-            Self::Balancer(balancer) => balancer.next_tick(),
-            Self::Host(host) => host.next_tick(),
+            Self::Balancer(balancer) => balancer.next_tick_at(),
+            Self::Host(host) => host.next_tick_at(),
         }
     }
 
-    /// Puts routes in force.
+    /// Installs a route table if it is newer than the one in force.
     pub fn set_routes(&mut self, routes: RouteTable, outbox: &mut FlowOutbox) {
         match self {
             Self::Balancer(balancer) => balancer.set_routes(routes, outbox),
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Adds addresses at which there may be balancers.
+    /// Adds addresses at which there may be balancers, so that hellos are sent to them.
     pub fn add_contacts(&mut self, contacts: &[Ipv4Addr]) {
         match self {
             Self::Balancer(balancer) => balancer.add_contacts(contacts),
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Tells the peers that the process is about to stop.
+    /// Prepares the process to stop, and tells the peers.
     pub fn stop(&mut self, now: MonotonicTime, outbox: &mut FlowOutbox) {
         match self {
             Self::Balancer(balancer) => balancer.stop(now, outbox),
@@ -118,11 +119,11 @@
         }
     }
 
-    /// Returns the number of known flows.
+    /// Returns the number of flows in the flow table.
     pub fn flow_count(&self) -> usize {
         match self {
-            Self::Balancer(balancer) => balancer.flows(),
-            Self::Host(host) => host.flows(),
+            Self::Balancer(balancer) => balancer.flow_count(),
+            Self::Host(host) => host.flow_count(),
         }
     }
 
