--- a/crates/hyssopstaird/examples/gossip_carrier.rs
+++ b/crates/hyssopstaird/examples/gossip_carrier.rs
@@ -22,7 +22,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use hyssopstair_roster::budget::DATAGRAM_OVERHEAD;
+use hyssopstair_roster::budget::DATAGRAM_OVERHEAD_BYTES;
 use hyssopstair_wire::address::HostIncarnation;
 use hyssopstair_wire::address::ProcessId;
 use hyssopstair_wire::address::ServiceId;
@@ -169,7 +169,7 @@
     }
     json!({
         "payload_bytes_per_message": packet.len(),
-        "bytes_per_message": packet.len() as u64 + DATAGRAM_OVERHEAD,
+        "bytes_per_message": packet.len() as u64 + DATAGRAM_OVERHEAD_BYTES,
         "micros_per_message": start.elapsed().as_micros() as f64 / MESSAGES as f64,
     })
 }
--- a/crates/hyssopstaird/src/host/state.rs
+++ b/crates/hyssopstaird/src/host/state.rs
@@ -122,7 +122,9 @@
     /// Returns the number of flows whose handshake is in progress.
     fn pending_flow_count(&self) -> u32 {
         let now = self.node.clock.now();
-        self.router.get().map_or(0, |router| router.pending(now))
+        self.router
+            .get()
+            .map_or(0, |router| router.pending_count(now))
     }
 
     /// Records that a handshake has succeeded or failed. `connection_id` is the connection
--- a/crates/roster/examples/control_cost.rs
+++ b/crates/roster/examples/control_cost.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 use argh::FromArgs;
-use hyssopstair_roster::budget::DATAGRAM_OVERHEAD;
+use hyssopstair_roster::budget::DATAGRAM_OVERHEAD_BYTES;
 use hyssopstair_roster::digest::bucket_hashes;
 use hyssopstair_roster::state::RosterAction;
 use hyssopstair_roster::state::RosterState;
@@ -138,7 +138,7 @@
 impl CostMeter {
     fn receive(&mut self, message: &ControlMessage) {
         let packet = encode_packet(PacketKind::Control, message, &[]).expect("fits");
-        self.received_bytes += packet.len() as u64 + DATAGRAM_OVERHEAD;
+        self.received_bytes += packet.len() as u64 + DATAGRAM_OVERHEAD_BYTES;
         self.received_messages += 1;
         let start = cpu_nanos();
         let (_, rest) = split_kind(&packet).expect("readable");
@@ -159,7 +159,9 @@
 
     fn record_sent(&mut self, actions: Vec<RosterAction>, packets: &[Vec<u8>]) {
         self.sent_messages += packets.len() as u64;
-        let lengths = packets.iter().map(|it| it.len() as u64 + DATAGRAM_OVERHEAD);
+        let lengths = packets
+            .iter()
+            .map(|it| it.len() as u64 + DATAGRAM_OVERHEAD_BYTES);
         self.sent_bytes += lengths.sum::<u64>();
         self.sent_actions.extend(actions);
     }
--- a/crates/roster/src/budget.rs
+++ b/crates/roster/src/budget.rs
@@ -10,7 +10,7 @@
 pub const BURST_BYTES: u64 = 9_000;
 
 /// Bytes of the IPv4 and UDP headers of a datagram.
-pub const DATAGRAM_OVERHEAD: u64 = 28;
+pub const DATAGRAM_OVERHEAD_BYTES: u64 = 28;
 
 /// Bytes that repairs must leave in the budget for changes.
 const REPAIR_RESERVE: u64 = BURST_BYTES / 4;
@@ -53,7 +53,7 @@
     /// be sent, and returns whether it may.
     pub fn try_charge(&mut self, class: SendClass, length: usize, now: MonotonicTime) -> bool {
         self.refill(now);
-        let bytes = length as u64 + DATAGRAM_OVERHEAD;
+        let bytes = length as u64 + DATAGRAM_OVERHEAD_BYTES;
         let needed = match class {
             SendClass::Probe => 0,
             SendClass::Change => bytes,
@@ -75,7 +75,7 @@
             SendClass::Repair => REPAIR_RESERVE,
         };
         let longest = hyssopstair_wire::control::MAX_CONTROL_LENGTH as u64;
-        self.tokens >= (longest + DATAGRAM_OVERHEAD + reserve) * MICROS_PER_SECOND
+        self.tokens >= (longest + DATAGRAM_OVERHEAD_BYTES + reserve) * MICROS_PER_SECOND
     }
 
     fn refill(&mut self, now: MonotonicTime) {
--- a/crates/roster/tests/network/mod.rs
+++ b/crates/roster/tests/network/mod.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-use hyssopstair_roster::budget::DATAGRAM_OVERHEAD;
+use hyssopstair_roster::budget::DATAGRAM_OVERHEAD_BYTES;
 use hyssopstair_roster::state::RosterAction;
 use hyssopstair_roster::state::RosterState;
 use hyssopstair_wire::address::HostIncarnation;
@@ -202,7 +202,7 @@
             let packet = encode_packet(PacketKind::Control, &message, &[]).expect("fits");
             assert!(packet.len() <= 1_200, "{} bytes", packet.len());
             self.nodes[from].sent_messages += 1;
-            self.nodes[from].sent_bytes += packet.len() as u64 + DATAGRAM_OVERHEAD;
+            self.nodes[from].sent_bytes += packet.len() as u64 + DATAGRAM_OVERHEAD_BYTES;
             if self.rng.random_bool(self.loss) {
                 continue;
             }
--- a/crates/routing/examples/placement.rs
+++ b/crates/routing/examples/placement.rs
@@ -427,7 +427,7 @@
         let host = &self.hosts[index];
         HostLoad {
             flows: host.flows,
-            pending: host.router.pending(MonotonicTime(self.now)),
+            pending: host.router.pending_count(MonotonicTime(self.now)),
             limit: MAX_FLOWS,
             draining: host.draining,
         }
--- a/crates/routing/src/host.rs
+++ b/crates/routing/src/host.rs
@@ -198,7 +198,7 @@
     }
 
     /// Returns the number of accepted flows whose handshake is in progress.
-    pub fn pending(&self, now: MonotonicTime) -> u32 {
+    pub fn pending_count(&self, now: MonotonicTime) -> u32 {
         lock(&self.pending).count(now)
     }
 
--- a/crates/routing/tests/host.rs
+++ b/crates/routing/tests/host.rs
@@ -326,7 +326,7 @@
         let now = MonotonicTime::from_millis(millis);
         lines.push(format!(
             "{name}, {millis} ms: {} pending",
-            router.pending(now)
+            router.pending_count(now)
         ));
     };
     let open = |connection_id: &[u8], header: &ForwardHeader, millis: u64| {
