--- a/crates/wire/src/carried.rs
+++ b/crates/wire/src/carried.rs
@@ -108,7 +108,8 @@
     pub is_stopping: bool,
     /// Whether the balancer requests the flow tables of other processes.
     pub wants_flows: bool,
-    /// Number of hosts with a server from which the balancer heard recently.
+    /// Number of hosts that the balancer does not suspect and whose server is not
+    /// reported as down.
     pub hosts: u16,
     /// Addresses of other balancers, so that all processes learn of all balancers.
     pub balancers: ArrayVec<Ipv4Addr, MAX_HELLO_BALANCERS>,
--- a/crates/wire/src/control.rs
+++ b/crates/wire/src/control.rs
@@ -88,7 +88,8 @@
 pub struct RunMember {
     /// Distance from the address of the previous member; 0 for the first one.
     pub skip: u8,
-    /// Check value of the entry before the change, which identifies it.
+    /// Checksum of the entry before the change. A receiver that knows a different
+    /// entry ignores the change.
     pub check: [u8; 2],
 }
 
@@ -120,13 +121,13 @@
         /// Newer entries for the two processes than those in the ping.
         changes: Vec<MemberEntry>,
     },
-    /// Requests an indirect probe: asks the receiver to ping a member that does
+    /// Requests an indirect ping: asks the receiver to ping a member that does
     /// not answer the sender.
     PingFor {
         /// The member to ping.
         target: ProcessId,
     },
-    /// Reports that a member answered an indirect probe.
+    /// Reports that a member answered an indirect ping.
     Heard {
         /// The member that answered.
         target: ProcessId,
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -43,7 +43,7 @@
 
 /// Asks the issuer of a ticket for the outcome of the request that used it.
 ///
-/// An unused ticket is invalid after this request.
+/// This request revokes the ticket if it is unused.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SettleRequest {
     /// The ticket in its text form.
@@ -172,7 +172,7 @@
     ConfigurationSteps(Vec<ConfigurationStep>),
 }
 
-/// Encodes a request.
+/// Returns the encoded request, or an empty vector if encoding fails.
 pub fn encode_request(request: &PeerRequest) -> Vec<u8> {
     postcard::to_stdvec(request).unwrap_or_default()
 }
@@ -182,7 +182,7 @@
     postcard::from_bytes(bytes).ok()
 }
 
-/// Encodes an answer.
+/// Returns the encoded answer, or an empty vector if encoding fails.
 pub fn encode_answer(answer: &PeerAnswer) -> Vec<u8> {
     postcard::to_stdvec(answer).unwrap_or_default()
 }
@@ -192,7 +192,8 @@
     postcard::from_bytes(bytes).ok()
 }
 
-/// Encodes the reply of a backend server.
+/// Returns the encoded reply of a backend server, or an empty vector if encoding
+/// fails.
 pub fn encode_reply(reply: &BackendReply) -> Vec<u8> {
     postcard::to_stdvec(reply).unwrap_or_default()
 }
--- a/crates/wire/src/time.rs
+++ b/crates/wire/src/time.rs
@@ -1,4 +1,4 @@
-//! The clock reading that callers pass to the crates that read no clock.
+//! Clock readings, which the daemons pass to the crates that read no clock.
 
 use std::ops::Add;
 use std::time::Duration;
