--- a/crates/routing/src/host.rs
+++ b/crates/routing/src/host.rs
@@ -126,7 +126,7 @@
     key: OpeningKey,
     /// The host to which the flow was handed over; `None` if it was accepted here.
     passed_to: Option<ProcessId>,
-    decided: MonotonicTime,
+    decided_at: MonotonicTime,
     /// Whether the handshake is counted as pending on this host.
     is_pending: bool,
 }
@@ -135,7 +135,7 @@
 #[derive(Debug, Default)]
 struct OpeningShard {
     records: Vec<OpeningRecord>,
-    pruned: MonotonicTime,
+    pruned_at: MonotonicTime,
 }
 
 /// Decides which packets a host accepts, passes on, resets or drops.
@@ -165,12 +165,12 @@
 
     /// Returns the action for a packet.
     ///
-    /// `me` is the current incarnation of the host. It is passed with each call
+    /// `own_incarnation` is the current incarnation of the host. It is passed with each call
     /// because it may increase: the host raises it on learning that an earlier
     /// process at its address had a higher one.
     pub fn receive<'a>(
         &self,
-        me: HostIncarnation,
+        own_incarnation: HostIncarnation,
         header: &ForwardHeader,
         datagram: &'a [u8],
         load: &HostLoad,
@@ -183,10 +183,12 @@
             return HostAction::Drop(DropReason::Malformed);
         };
         match header.incarnation {
-            Some(incarnation) if incarnation == me => HostAction::Accept,
+            Some(incarnation) if incarnation == own_incarnation => HostAction::Accept,
             // The flow belonged to an earlier process at this address and ended
             // with it.
-            Some(incarnation) if incarnation < me && packet.form == QuicForm::Short => {
+            Some(incarnation)
+                if incarnation < own_incarnation && packet.form == QuicForm::Short =>
+            {
                 HostAction::Reset {
                     connection_id: packet.destination_id,
                 }
@@ -213,7 +215,7 @@
         let record = &mut shard.records[index];
         if record.is_pending {
             record.is_pending = false;
-            lock(&self.pending).end(record.decided);
+            lock(&self.pending).end(record.decided_at);
         }
     }
 
@@ -262,7 +264,7 @@
                 let record = OpeningRecord {
                     key,
                     passed_to,
-                    decided: now,
+                    decided_at: now,
                     is_pending,
                 };
                 shard.records.insert(index, record);
@@ -295,7 +297,7 @@
         self.records[index] = OpeningRecord {
             key,
             passed_to: None,
-            decided: now,
+            decided_at: now,
             is_pending: true,
         };
         true
@@ -303,12 +305,12 @@
 
     /// Removes expired decisions, at most once per `OPENING_LIFETIME / 8`.
     fn prune(&mut self, now: MonotonicTime) {
-        if now.since(self.pruned) < OPENING_LIFETIME / 8 {
+        if now.since(self.pruned_at) < OPENING_LIFETIME / 8 {
             return;
         }
-        self.pruned = now;
+        self.pruned_at = now;
         self.records
-            .retain(|record| now.since(record.decided) < OPENING_LIFETIME);
+            .retain(|record| now.since(record.decided_at) < OPENING_LIFETIME);
     }
 }
 
--- a/crates/routing/src/loads.rs
+++ b/crates/routing/src/loads.rs
@@ -25,14 +25,14 @@
 struct LoadRecord {
     host: ProcessId,
     report: LoadReport,
-    received: MonotonicTime,
+    received_at: MonotonicTime,
 }
 
 /// Load records, sorted by the address of the host.
 #[derive(Debug, Default)]
 struct LoadShard {
     records: Vec<LoadRecord>,
-    pruned: MonotonicTime,
+    pruned_at: MonotonicTime,
 }
 
 /// The last load report of each host, except stale ones.
@@ -56,7 +56,7 @@
         let record = LoadRecord {
             host,
             report,
-            received: now,
+            received_at: now,
         };
         let mut shard = self.shards.lock(&host.address.ip().octets());
         match shard.find(host.address) {
@@ -73,7 +73,7 @@
     pub fn recent_report(&self, host: ProcessId, now: MonotonicTime) -> Option<LoadReport> {
         let shard = self.shards.lock(&host.address.ip().octets());
         let record = shard.records[shard.find(host.address).ok()?];
-        let is_recent = record.host == host && now.since(record.received) < REPORT_LIFETIME;
+        let is_recent = record.host == host && now.since(record.received_at) < REPORT_LIFETIME;
         is_recent.then_some(record.report)
     }
 }
@@ -86,11 +86,11 @@
 
     /// Removes stale records, at most once per [`REPORT_LIFETIME`].
     fn prune(&mut self, now: MonotonicTime) {
-        if now.since(self.pruned) < REPORT_LIFETIME {
+        if now.since(self.pruned_at) < REPORT_LIFETIME {
             return;
         }
-        self.pruned = now;
+        self.pruned_at = now;
         self.records
-            .retain(|record| now.since(record.received) < REPORT_LIFETIME);
+            .retain(|record| now.since(record.received_at) < REPORT_LIFETIME);
     }
 }
--- a/crates/routing/src/pace.rs
+++ b/crates/routing/src/pace.rs
@@ -18,15 +18,14 @@
 }
 
 impl BuildPacer {
-    /// Records a roster change and returns whether the caller must build a view
-    /// now.
+    /// Records a roster change and returns whether a view must be built now.
     pub fn record_change(&mut self, now: MonotonicTime) -> bool {
         self.has_pending_change = true;
         self.take_due_build(now)
     }
 
-    /// Returns whether the caller must build a view now for changes whose build was
-    /// delayed. If so, the changes are no longer pending.
+    /// Returns whether a view must be built now for changes whose build was delayed.
+    /// If so, the changes are no longer pending.
     pub fn take_due_build(&mut self, now: MonotonicTime) -> bool {
         let is_too_early = self
             .last_build
--- a/crates/routing/src/pending.rs
+++ b/crates/routing/src/pending.rs
@@ -42,9 +42,9 @@
         slot.flows += 1;
     }
 
-    /// Removes a handshake that started at `started`, unless it has expired.
-    pub(crate) fn end(&mut self, started: MonotonicTime) {
-        let period = period_of(started);
+    /// Removes a handshake that started at `started_at`, unless it has expired.
+    pub(crate) fn end(&mut self, started_at: MonotonicTime) {
+        let period = period_of(started_at);
         let slot = &mut self.slots[slot_index(period)];
         if slot.period == period {
             slot.flows = slot.flows.saturating_sub(1);
--- a/crates/routing/src/returns.rs
+++ b/crates/routing/src/returns.rs
@@ -36,7 +36,7 @@
     caller: SocketAddrV4,
     target: SocketAddrV4,
     balancer: SocketAddrV4,
-    received: MonotonicTime,
+    received_at: MonotonicTime,
     /// Number of packets returned since then while `balancer` was inactive.
     rerouted: u32,
 }
@@ -45,14 +45,14 @@
 #[derive(Debug, Clone, Copy)]
 struct BalancerRecord {
     address: SocketAddrV4,
-    received: MonotonicTime,
+    received_at: MonotonicTime,
 }
 
 /// Return paths, sorted by caller.
 #[derive(Debug, Default)]
 struct ReturnShard {
     paths: Vec<ReturnPath>,
-    pruned: MonotonicTime,
+    pruned_at: MonotonicTime,
 }
 
 /// The return paths to the callers of a host, and the known balancers.
@@ -87,7 +87,7 @@
             caller: header.caller,
             target: header.target,
             balancer: header.balancer,
-            received: now,
+            received_at: now,
             rerouted: 0,
         };
         let mut shard = self.shards.lock(&caller_bytes(header.caller));
@@ -137,12 +137,12 @@
 
     /// Removes expired callers, at most once per `CALLER_LIFETIME / 8`.
     fn prune(&mut self, now: MonotonicTime) {
-        if now.since(self.pruned) < CALLER_LIFETIME / 8 {
+        if now.since(self.pruned_at) < CALLER_LIFETIME / 8 {
             return;
         }
-        self.pruned = now;
+        self.pruned_at = now;
         self.paths
-            .retain(|path| now.since(path.received) < CALLER_LIFETIME);
+            .retain(|path| now.since(path.received_at) < CALLER_LIFETIME);
     }
 }
 
@@ -153,7 +153,7 @@
     path: &mut ReturnPath,
     now: MonotonicTime,
 ) -> SocketAddrV4 {
-    let is_active = |record: &&BalancerRecord| now.since(record.received) <= BALANCER_TIMEOUT;
+    let is_active = |record: &&BalancerRecord| now.since(record.received_at) <= BALANCER_TIMEOUT;
     let preferred = balancers
         .iter()
         .find(|record| record.address == path.balancer);
@@ -178,13 +178,13 @@
 fn record_balancer(balancers: &mut Vec<BalancerRecord>, address: SocketAddrV4, now: MonotonicTime) {
     let record = BalancerRecord {
         address,
-        received: now,
+        received_at: now,
     };
     match balancers.binary_search_by_key(&address, |item| item.address) {
         Ok(index) => balancers[index] = record,
         Err(index) if balancers.len() < MAX_BALANCERS => balancers.insert(index, record),
         Err(_) => {
-            let oldest = balancers.iter_mut().min_by_key(|item| item.received);
+            let oldest = balancers.iter_mut().min_by_key(|item| item.received_at);
             if let Some(item) = oldest {
                 *item = record;
             }
--- a/crates/routing/tests/balancer.rs
+++ b/crates/routing/tests/balancer.rs
@@ -137,9 +137,9 @@
         flows: 40,
         takes_new: true,
     };
-    let received = MonotonicTime::from_millis(900);
-    loads.record(fixture::process(1, 5), report, received);
-    loads.record(fixture::process(2, 5), report, received);
+    let received_at = MonotonicTime::from_millis(900);
+    loads.record(fixture::process(1, 5), report, received_at);
+    loads.record(fixture::process(2, 5), report, received_at);
     lines.push(format_action(&view, &loads, LEERPLEIN, &packet));
     lines.push(format_action(&view, &loads, DIPLOMAKLUIS, &packet));
     expect![[r#"
--- a/crates/routing/tests/host.rs
+++ b/crates/routing/tests/host.rs
@@ -249,13 +249,13 @@
     .assert_eq(&lines.join("\n"));
 }
 
-/// A host may hand a flow over to a leaving host because it has not yet learned of
-/// the leave. The leaving host sends the flow back; the first host must then accept
+/// A host may hand a flow over to a draining host because it has not yet learned of
+/// the drain. The draining host sends the flow back; the first host must then accept
 /// it, including its later packets, instead of passing them on in a loop.
 #[test]
-fn flow_handed_to_a_leaving_host_returns() {
+fn flow_handed_to_a_draining_host_returns() {
     let first_host = HostRouter::new(LEERPLEIN);
-    let leaving_host = router();
+    let draining_host = router();
     let packet = fixture::initial_packet(b"caller-1");
     let direct = opening_header(report(0));
     let mut lines = Vec::new();
@@ -266,10 +266,10 @@
     };
     header.second = opening_header(report(50)).second;
     header.second.as_mut().unwrap().process = fixture::process(1, 5);
-    let action = leaving_host.receive(OWN_INCARNATION, &header, &packet, &draining(), NOW);
+    let action = draining_host.receive(OWN_INCARNATION, &header, &packet, &draining(), NOW);
     lines.push(format_action(&action));
     let HostAction::PassOn { header, .. } = action else {
-        panic!("the leaving host must send the flow back");
+        panic!("the draining host must send the flow back");
     };
     lines.push(format_action(&first_host.receive(
         OWN_INCARNATION,
--- a/crates/routing/tests/reuse.rs
+++ b/crates/routing/tests/reuse.rs
@@ -185,7 +185,10 @@
         let receiver = self.deliver(balancer, target, &packet);
         let is_running = self.hosts.iter().any(|other| other.process == host);
         let expected = (is_running && service == target).then_some(host);
-        assert_eq!(receiver, expected, "a packet of an open flow");
+        assert_eq!(
+            receiver, expected,
+            "a packet of an open flow reached the wrong host"
+        );
     }
 
     /// Routes a packet through a balancer and returns the host that accepts it, if
@@ -205,7 +208,7 @@
         let receiver = self.receive(host, &header, packet, now)?;
         assert_eq!(
             receiver.service, target,
-            "a host took a packet of another service"
+            "a host accepted a packet of another service"
         );
         let receiver = receiver.process;
         self.accepted_packets += 1;
