--- a/crates/roster/examples/control_cost.rs
+++ b/crates/roster/examples/control_cost.rs
@@ -137,12 +137,14 @@
 
 impl CostMeter {
     fn receive(&mut self, message: &ControlMessage) {
-        let packet = encode_packet(PacketKind::Control, message, &[]).expect("fits");
+        let packet = encode_packet(PacketKind::Control, message, &[])
+            .expect("the message fits into a packet");
         self.received_bytes += packet.len() as u64 + DATAGRAM_OVERHEAD_BYTES;
         self.received_messages += 1;
         let start = cpu_nanos();
-        let (_, rest) = split_kind(&packet).expect("readable");
-        let (message, _) = split_message::<ControlMessage>(rest).expect("readable");
+        let (_, rest) = split_kind(&packet).expect("the packet is well-formed");
+        let (message, _) =
+            split_message::<ControlMessage>(rest).expect("the packet is well-formed");
         let actions = self.roster.receive(&message, self.now);
         let packets = encode_all(&actions);
         self.cpu_nanos += cpu_nanos() - start;
@@ -171,7 +173,8 @@
     actions
         .iter()
         .map(|RosterAction::Send { message, .. }| {
-            encode_packet(PacketKind::Control, message, &[]).expect("fits")
+            encode_packet(PacketKind::Control, message, &[])
+                .expect("the message fits into a packet")
         })
         .collect()
 }
--- a/crates/roster/src/budget.rs
+++ b/crates/roster/src/budget.rs
@@ -13,7 +13,7 @@
 pub const DATAGRAM_OVERHEAD_BYTES: u64 = 28;
 
 /// Bytes that repairs must leave in the budget for changes.
-const REPAIR_RESERVE: u64 = BURST_BYTES / 4;
+const REPAIR_RESERVE_BYTES: u64 = BURST_BYTES / 4;
 
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
@@ -34,7 +34,7 @@
 /// A token bucket that limits the bytes sent.
 #[derive(Debug)]
 pub struct SendBudget {
-    /// Bytes that may be sent, in millionths of a byte.
+    /// The tokens in the bucket, each of which permits a millionth of a byte.
     tokens: u64,
     last_refill: MonotonicTime,
 }
@@ -57,7 +57,7 @@
         let needed = match class {
             SendClass::Probe => 0,
             SendClass::Change => bytes,
-            SendClass::Repair => bytes + REPAIR_RESERVE,
+            SendClass::Repair => bytes + REPAIR_RESERVE_BYTES,
         };
         if self.tokens < needed * MICROS_PER_SECOND {
             return false;
@@ -72,7 +72,7 @@
         let reserve = match class {
             SendClass::Probe => return true,
             SendClass::Change => 0,
-            SendClass::Repair => REPAIR_RESERVE,
+            SendClass::Repair => REPAIR_RESERVE_BYTES,
         };
         let longest = hyssopstair_wire::control::MAX_CONTROL_LENGTH as u64;
         self.tokens >= (longest + DATAGRAM_OVERHEAD_BYTES + reserve) * MICROS_PER_SECOND
--- a/crates/roster/src/contacts.rs
+++ b/crates/roster/src/contacts.rs
@@ -6,7 +6,7 @@
 use rand::RngExt;
 use rand::rngs::StdRng;
 
-/// Most addresses in the list.
+/// Maximum number of addresses in the list.
 pub(crate) const MAX_CONTACTS: usize = 64;
 
 /// A bounded set of addresses at which members may be reachable.
--- a/crates/roster/src/exchange.rs
+++ b/crates/roster/src/exchange.rs
@@ -18,21 +18,21 @@
 use crate::digest::leaf_entries;
 use crate::digest::leaf_hashes;
 use crate::join::SETTLE_TIME;
-use crate::probe::RelayRecord;
+use crate::probe::IndirectPing;
 use crate::runs::apply_run_change;
 use crate::runs::decode_run;
 use crate::state::RosterAction;
 use crate::state::RosterState;
 
-/// Most buckets that are repaired in answer to one digest.
+/// Maximum number of buckets that are repaired in answer to one digest.
 const MAX_REPAIRED_BUCKETS: usize = 8;
 
-/// Most other members that a process names to a joining one when its send budget
-/// doesn't allow a page.
+/// Maximum number of other members that a process names to a joining one when its
+/// send budget does not allow a page.
 const MAX_REFERRALS: usize = 3;
 
-/// Most relayed pings that await an answer at once.
-const MAX_RELAYS: usize = 64;
+/// Maximum number of indirect pings that await an answer at once.
+const MAX_INDIRECT_PINGS: usize = 64;
 
 impl RosterState {
     /// Handles a message of another member and returns the messages to send.
@@ -43,7 +43,7 @@
             return actions;
         }
         self.last_received = now;
-        // A starting process doesn't know yet whether its incarnation is the
+        // A starting process does not know yet whether its incarnation is the
         // highest at its address, and its answer would announce a wrong one.
         if self.presence.is_starting() && message.body.compares_rosters() {
             return actions;
@@ -187,18 +187,18 @@
         self.watch_list.record_answer(sender);
         self.presence.record_pong(number);
         let Some(index) = self
-            .relays
+            .indirect_pings
             .iter()
-            .position(|relay| relay.ping_number == number)
+            .position(|indirect_ping| indirect_ping.ping_number == number)
         else {
             return;
         };
-        let requester = self.relays.swap_remove(index).requester;
+        let requester = self.indirect_pings.swap_remove(index).requester;
         let body = ControlBody::Heard { target: sender };
         self.send(actions, SendClass::Probe, requester, body, now);
     }
 
-    /// Pings a member on behalf of another one.
+    /// Sends an indirect ping: pings a member on behalf of `requester`.
     fn handle_ping_request(
         &mut self,
         actions: &mut Vec<RosterAction>,
@@ -206,11 +206,11 @@
         target: ProcessId,
         now: MonotonicTime,
     ) {
-        if self.relays.len() >= MAX_RELAYS || target == self.own_entry.process {
+        if self.indirect_pings.len() >= MAX_INDIRECT_PINGS || target == self.own_entry.process {
             return;
         }
         let ping_number = self.send_ping(actions, target.address, now);
-        self.relays.push(RelayRecord {
+        self.indirect_pings.push(IndirectPing {
             ping_number,
             requester,
             sent_at: now,
@@ -299,7 +299,7 @@
             .collect();
         missing.truncate(MAX_ENTRIES);
         for entry in theirs {
-            // An absent member whose entry was already evicted here isn't added
+            // An absent member whose entry was already evicted here is not added
             // again.
             let known = self.table.find(entry.process.address).is_some();
             if known || entry.state.is_present() {
@@ -313,7 +313,7 @@
     }
 
     /// Answers a request for a page, or names other members if the send budget
-    /// doesn't allow a page.
+    /// does not allow a page.
     fn handle_join(
         &mut self,
         actions: &mut Vec<RosterAction>,
@@ -325,7 +325,7 @@
             self.send_referrals(actions, to, now);
             return;
         }
-        // A starting process doesn't know yet whether its incarnation is the
+        // A starting process does not know yet whether its incarnation is the
         // highest at its address.
         let unannounced_process = self
             .presence
@@ -406,8 +406,8 @@
 /// Returns whether `entry`, which has the sender's address, contradicts that
 /// `sender` is alive.
 fn contradicts_sender(sender: ProcessId, entry: &MemberEntry) -> bool {
-    let gone = !entry.state.is_present() && entry.process.incarnation == sender.incarnation;
-    gone || entry.process.incarnation > sender.incarnation
+    let is_gone = !entry.state.is_present() && entry.process.incarnation == sender.incarnation;
+    is_gone || entry.process.incarnation > sender.incarnation
 }
 
 /// Returns whether a process that holds `entries` is missing `entry`, or holds an
--- a/crates/roster/src/members.rs
+++ b/crates/roster/src/members.rs
@@ -12,14 +12,15 @@
 use rand::rngs::StdRng;
 
 /// How long the entry of a gone member is kept, so that an older announcement
-/// can't add the member again.
+/// cannot add the member again.
 pub const TOMBSTONE_TTL: Duration = Duration::from_secs(3_600);
 
 /// How long a member stays suspect before it is declared gone and its flows are
 /// dropped. A flow that waits for its host costs less than one that is broken.
 pub const SUSPECT_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Random draws of a member before the search falls back to a linear scan.
+/// Number of random draws before the search for a live member falls back to a
+/// linear scan.
 const MAX_DRAWS: usize = 32;
 
 /// When a member became suspect or gone.
--- a/crates/roster/src/presence.rs
+++ b/crates/roster/src/presence.rs
@@ -1,7 +1,7 @@
 //! Whether this process may take new work.
 //!
-//! A process that starts doesn't know whether an earlier one at its address had a
-//! higher incarnation, and one that was paused doesn't know whether it was
+//! A process that starts does not know whether an earlier one at its address had a
+//! higher incarnation, and one that was paused does not know whether it was
 //! declared gone meanwhile. Both must hear from another member before they take
 //! new work.
 
@@ -91,7 +91,7 @@
     }
 
     /// Records that the process must be confirmed again. `first_ping` is the number
-    /// of the next ping: answers to earlier ones don't count.
+    /// of the next ping: answers to earlier ones do not count.
     pub fn require_reconfirmation(&mut self, first_ping: u32) {
         if !self.is_starting() {
             self.phase = PresencePhase::Reconfirming { first_ping };
--- a/crates/roster/src/probe.rs
+++ b/crates/roster/src/probe.rs
@@ -1,7 +1,7 @@
 //! Periodic rounds that probe the watched members.
 //!
-//! A watched member that doesn't answer is also pinged through other members
-//! before it becomes suspect.
+//! Before a watched member that does not answer becomes suspect, other members are
+//! asked to ping it as well. Such pings are called indirect.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -20,18 +20,18 @@
 use crate::watch::WATCHERS;
 use crate::watch::watched_members;
 
-/// Members that are asked to ping a silent one, per round in which it was silent.
-/// An occasional lost packet thus costs few messages, while heavy loss doesn't
-/// make a live member suspect.
-const RELAYS_PER_MISS: usize = 2;
+/// Number of members that are asked to ping a silent one, per consecutive round in
+/// which it was silent. An occasional lost packet thus costs few messages, while
+/// heavy loss does not make a live member suspect.
+const INDIRECT_PINGS_PER_MISS: usize = 2;
 
-/// How long an answer to a relayed ping is reported to the member that requested
+/// How long an answer to an indirect ping is reported to the member that requested
 /// it.
-const RELAY_TTL: Duration = Duration::from_secs(2);
+const INDIRECT_PING_TTL: Duration = Duration::from_secs(2);
 
 /// A ping that was sent on behalf of another member.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct RelayRecord {
+pub(crate) struct IndirectPing {
     pub(crate) ping_number: u32,
     pub(crate) requester: SocketAddrV4,
     pub(crate) sent_at: MonotonicTime,
@@ -41,8 +41,8 @@
     /// Evaluates the answers to the last pings and pings the watched members
     /// again.
     pub(crate) fn run_probe_round(&mut self, actions: &mut Vec<RosterAction>, now: MonotonicTime) {
-        self.relays
-            .retain(|relay| now.since(relay.sent_at) < RELAY_TTL);
+        self.indirect_pings
+            .retain(|indirect_ping| now.since(indirect_ping.sent_at) < INDIRECT_PING_TTL);
         if !self.presence.is_confirmed(now) {
             return;
         }
@@ -54,7 +54,7 @@
         }
         self.update_watch_list();
         for silent in &round.silent {
-            self.request_relayed_pings(actions, silent, now);
+            self.request_indirect_pings(actions, silent, now);
         }
         for index in 0..self.watch_list.probes().len() {
             let to = self.watch_list.probes()[index].target.address;
@@ -121,14 +121,14 @@
     }
 
     /// Asks random members to ping a silent one.
-    fn request_relayed_pings(
+    fn request_indirect_pings(
         &mut self,
         actions: &mut Vec<RosterAction>,
         silent: &SilentMember,
         now: MonotonicTime,
     ) {
         let target = silent.target;
-        for _ in 0..RELAYS_PER_MISS * silent.misses {
+        for _ in 0..INDIRECT_PINGS_PER_MISS * silent.misses {
             let Some(to) = self.random_live().filter(|to| *to != target.address) else {
                 continue;
             };
--- a/crates/roster/src/queue.rs
+++ b/crates/roster/src/queue.rs
@@ -6,11 +6,12 @@
 /// sent in runs.
 const LONG_QUEUE_LENGTH: usize = 200;
 
-/// Most times that a change is sent if it is enqueued while the queue is long.
-/// Digests repair what these miss.
+/// Maximum number of times that a change is sent if it is enqueued while the queue
+/// is long. Digests repair the rosters that it does not reach.
 const LONG_QUEUE_SENDS: u32 = 6;
 
-/// Times that a change is sent in addition to the logarithm of the fleet size.
+/// Number of times that a change is sent in addition to the natural logarithm of
+/// the fleet size.
 const EXTRA_SENDS: u32 = 4;
 
 /// A changed member whose entry is still to be sent.
@@ -65,7 +66,7 @@
     /// Enqueues a change, in place of an earlier one of the same member.
     ///
     /// When each of `n` members sends a change `ln n + 4` times, the expected
-    /// share of members that it doesn't reach is about `exp(-4) / n`.
+    /// share of members that it does not reach is about `exp(-4) / n`.
     pub fn push(&mut self, address: SocketAddrV4, fleet_size: usize) {
         self.changes.retain(|change| change.address != address);
         let remaining_sends = (fleet_size.max(1) as f64).ln().ceil() as u32 + EXTRA_SENDS;
--- a/crates/roster/src/runs.rs
+++ b/crates/roster/src/runs.rs
@@ -16,10 +16,10 @@
 use hyssopstair_wire::control::RunMember;
 use siphasher::sip::SipHasher13;
 
-/// Most members of a run.
+/// Maximum number of members of a run.
 pub const MAX_RUN_MEMBERS: usize = 350;
 
-/// Fewest members of a run. Fewer changes are sent as whole entries.
+/// Minimum number of members of a run. Fewer changes are sent as whole entries.
 pub const MIN_RUN_MEMBERS: usize = 60;
 
 /// Returns the longest run of changed members that starts with the first of
@@ -38,7 +38,7 @@
         if entry.process.address.port() != last.port() || entry.state != first.state {
             break;
         }
-        let Some(check) = previous_check(entry) else {
+        let Some(check) = previous_checksum(entry) else {
             break;
         };
         members.push(RunMember { skip, check });
@@ -67,7 +67,7 @@
     state: MemberState,
     check: [u8; 2],
 ) -> Option<MemberEntry> {
-    let matches = entry_check(known, known.counter) == check;
+    let matches = entry_checksum(known, known.counter) == check;
     let counter = known.counter.checked_add(counter_increment(state))?;
     matches.then_some(MemberEntry {
         counter,
@@ -78,9 +78,9 @@
 
 /// Returns the checksum of an entry before its last change, or `None` if the
 /// change is the first announcement of the member.
-fn previous_check(entry: &MemberEntry) -> Option<[u8; 2]> {
+fn previous_checksum(entry: &MemberEntry) -> Option<[u8; 2]> {
     let counter = entry.counter.checked_sub(counter_increment(entry.state))?;
-    Some(entry_check(entry, counter))
+    Some(entry_checksum(entry, counter))
 }
 
 /// Returns by how much a change to `state` raises the counter. Other members
@@ -94,7 +94,7 @@
 
 /// Returns a checksum of `entry`, with `counter` in place of its own counter and
 /// without its state.
-fn entry_check(entry: &MemberEntry, counter: u32) -> [u8; 2] {
+fn entry_checksum(entry: &MemberEntry, counter: u32) -> [u8; 2] {
     let mut hasher = SipHasher13::new();
     hasher.write_u32(entry.process.address.ip().to_bits());
     hasher.write_u32(entry.process.incarnation.0);
--- a/crates/roster/src/state.rs
+++ b/crates/roster/src/state.rs
@@ -24,7 +24,7 @@
 use crate::members::MemberTable;
 use crate::presence::PAUSE_LIMIT;
 use crate::presence::PresenceState;
-use crate::probe::RelayRecord;
+use crate::probe::IndirectPing;
 use crate::queue::ChangeQueue;
 use crate::repair::CONTACT_INTERVAL;
 use crate::watch::PROBE_INTERVAL;
@@ -60,7 +60,7 @@
     pub(crate) watch_list: WatchList,
     pub(crate) presence: PresenceState,
     pub(crate) join: JoinProgress,
-    pub(crate) relays: Vec<RelayRecord>,
+    pub(crate) indirect_pings: Vec<IndirectPing>,
     pub(crate) schedule: RoundSchedule,
     /// When the last message of another process was received.
     pub(crate) last_received: MonotonicTime,
@@ -89,7 +89,7 @@
             watch_list: WatchList::default(),
             presence: PresenceState::default(),
             join: JoinProgress::default(),
-            relays: Vec::new(),
+            indirect_pings: Vec::new(),
             schedule: RoundSchedule::default(),
             last_received: MonotonicTime::default(),
             rng: StdRng::seed_from_u64(seed),
@@ -179,7 +179,7 @@
 
     /// Returns messages that announce the entry of this process without waiting
     /// for the next gossip round. A process that is still starting announces
-    /// nothing.
+    /// nothing. `version` is that of the configuration in force.
     pub fn announce_immediately(&mut self, version: u64, now: MonotonicTime) -> Vec<RosterAction> {
         self.config_version = version;
         let mut actions = Vec::new();
@@ -261,7 +261,8 @@
             version: self.config_version,
             body,
         };
-        let length = encode_packet(PacketKind::Control, &message, &[]).map_or(0, |it| it.len());
+        let length =
+            encode_packet(PacketKind::Control, &message, &[]).map_or(0, |packet| packet.len());
         let is_allowed = self.budget.try_charge(class, length, now);
         if is_allowed {
             actions.push(RosterAction::Send { to, message });
--- a/crates/roster/src/watch.rs
+++ b/crates/roster/src/watch.rs
@@ -2,7 +2,7 @@
 //!
 //! Members form a ring, ordered by a hash of their addresses, and each member
 //! probes the next few. Every member thus has the same number of watchers, the
-//! cost per process doesn't grow with the fleet, and members that are next to
+//! cost per process does not grow with the fleet, and members that are next to
 //! each other on the ring are rarely in the same rack. When watchers are gone,
 //! the members before them on the ring take their place.
 
@@ -61,7 +61,7 @@
     sent_at: MonotonicTime,
 }
 
-/// A member that doesn't answer but is not suspect yet.
+/// A member that does not answer but is not suspect yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SilentMember {
     /// The watched member.
@@ -73,7 +73,7 @@
 /// The result of a round of pings.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct ProbeRound {
-    /// Members that don't answer but are not suspect yet.
+    /// Members that do not answer but are not suspect yet.
     pub silent: Vec<SilentMember>,
     /// Members that have not answered for [`SUSPICION_TIMEOUT`].
     pub failed: Vec<ProcessId>,
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Ends a round of pings and returns the members that didn't answer.
+    /// Ends a round of pings and returns the members that did not answer.
     pub fn end_round(&mut self, now: MonotonicTime) -> ProbeRound {
         let mut round = ProbeRound::default();
         for probe in self.probes.iter_mut().filter(|probe| !probe.answered) {
--- a/crates/roster/tests/fleet/mod.rs
+++ b/crates/roster/tests/fleet/mod.rs
@@ -49,7 +49,7 @@
 /// must spread between processes.
 const POLL_INTERVAL: Duration = Duration::from_secs(60);
 const ALL_PROCESSES: u32 = u32::MAX;
-/// Time without failures after which all rosters must be equal.
+/// Time without failures after which all rosters must hold the same live members.
 const QUIET_TIME: Duration = Duration::from_secs(90);
 
 #[derive(Debug, Clone)]
@@ -70,7 +70,7 @@
         millis: u64,
     },
     Drain(usize),
-    /// Restarts a process as a host of another service.
+    /// Restarts a process as a host of another service, or as a balancer if it was one.
     ReuseAddress(usize),
     /// Partitions the processes whose bit is set from the others.
     Partition(u32),
@@ -89,7 +89,7 @@
 struct FleetProcess {
     roster: RosterState,
     config: ConfigState,
-    host: Option<HostRouter>,
+    router: Option<HostRouter>,
     running: bool,
     paused_until: MonotonicTime,
     paused_since: MonotonicTime,
@@ -105,7 +105,7 @@
     /// The processes that `may_suspect_until` applies to, one bit each.
     may_suspect: u32,
     drained_at: Option<MonotonicTime>,
-    next_poll: MonotonicTime,
+    next_poll_at: MonotonicTime,
 }
 
 #[derive(Debug)]
@@ -117,7 +117,7 @@
 
 #[derive(Debug)]
 struct FleetMessage {
-    due: MonotonicTime,
+    due_at: MonotonicTime,
     from: usize,
     to: SocketAddrV4,
     message: ControlMessage,
@@ -126,7 +126,7 @@
 #[derive(Debug)]
 struct AcceptedChange {
     version: u64,
-    at: MonotonicTime,
+    accepted_at: MonotonicTime,
     first: usize,
 }
 
@@ -231,7 +231,7 @@
         self.check();
     }
 
-    /// Ends all failures, waits, and checks that all rosters are equal.
+    /// Ends all failures, waits, and checks that all rosters hold the same live members.
     pub fn check_recovery(&mut self) {
         self.set_partition(0);
         self.loss = 0.0;
@@ -287,7 +287,7 @@
         FleetProcess {
             roster,
             config: ConfigState::default(),
-            host: service.map(HostRouter::new),
+            router: service.map(HostRouter::new),
             running: true,
             paused_until: MonotonicTime::default(),
             paused_since: MonotonicTime::default(),
@@ -297,7 +297,7 @@
             may_suspect_until: MonotonicTime::default(),
             may_suspect: 0,
             drained_at: None,
-            next_poll: self.now,
+            next_poll_at: self.now,
         }
     }
 
@@ -366,7 +366,7 @@
         if readable {
             self.accepted_changes.push(AcceptedChange {
                 version,
-                at: self.now,
+                accepted_at: self.now,
                 first,
             });
         }
@@ -413,8 +413,8 @@
         let now = self.now;
         let process = &mut self.processes[number];
         let version = process.config.version();
-        if self.platform_up && now >= process.next_poll {
-            process.next_poll = now + POLL_INTERVAL;
+        if self.platform_up && now >= process.next_poll_at {
+            process.next_poll_at = now + POLL_INTERVAL;
             process
                 .config
                 .apply(self.stored_config.0, &self.stored_config.1);
@@ -438,7 +438,7 @@
                 let max_delay_millis = if is_delayed { 3_000 } else { 30 };
                 let delay = Duration::from_millis(self.rng.random_range(1..max_delay_millis));
                 self.in_flight.push(FleetMessage {
-                    due: self.now + delay,
+                    due_at: self.now + delay,
                     from,
                     to,
                     message: message.clone(),
@@ -449,7 +449,7 @@
 
     fn deliver(&mut self) {
         let messages = std::mem::take(&mut self.in_flight);
-        let (due, later) = messages.into_iter().partition(|it| it.due <= self.now);
+        let (due, later) = messages.into_iter().partition(|it| it.due_at <= self.now);
         self.in_flight = later;
         for FleetMessage {
             from, to, message, ..
@@ -462,9 +462,9 @@
             }
             if !self.is_up(number) {
                 // The message stays in the socket buffer of the paused process.
-                let due = self.processes[number].paused_until;
+                let due_at = self.processes[number].paused_until;
                 self.in_flight.push(FleetMessage {
-                    due,
+                    due_at,
                     from,
                     to,
                     message,
@@ -591,7 +591,7 @@
     }
 
     /// Returns whether the process accepts the packet, or `None` if the packet
-    /// doesn't reach it.
+    /// does not reach it.
     fn deliver_packet(
         &self,
         number: usize,
@@ -603,9 +603,9 @@
         if !self.is_up(number) || process.partition != self.processes[balancer].partition {
             return None;
         }
-        let host = process.host.as_ref()?;
+        let router = process.router.as_ref()?;
         let incarnation = process.roster.own_entry().process.incarnation;
-        let action = host.receive(incarnation, header, packet, &self.load(number), self.now);
+        let action = router.receive(incarnation, header, packet, &self.load(number), self.now);
         Some(action == HostAction::Accept)
     }
 
@@ -620,7 +620,7 @@
         self.flows.retain(|flow| {
             let process = &processes[process_number(flow.host.address)];
             process.running && process.roster.own_entry().process == flow.host
-                || process.host.is_some()
+                || process.router.is_some()
         });
         for flow in &self.flows {
             let packet = packet(false, &flow.token);
@@ -670,13 +670,15 @@
     /// process within the limit.
     fn check_changes(&self) {
         for change in &self.accepted_changes {
-            let due = change.at + PROPAGATION_LIMIT;
-            if self.now < due || self.processes[change.first].undisturbed_since >= change.at {
+            let due_at = change.accepted_at + PROPAGATION_LIMIT;
+            if self.now < due_at
+                || self.processes[change.first].undisturbed_since >= change.accepted_at
+            {
                 continue;
             }
             for number in (0..PROCESSES).filter(|it| self.is_up(*it)) {
                 let process = &self.processes[number];
-                let was_undisturbed = process.undisturbed_since < change.at;
+                let was_undisturbed = process.undisturbed_since < change.accepted_at;
                 let first = &self.processes[change.first];
                 let reachable = self.is_up(change.first) && process.partition == first.partition;
                 if was_undisturbed && reachable {
@@ -691,11 +693,12 @@
     }
 }
 
-/// Returns a QUIC version 1 packet with this destination connection ID.
-fn packet(opens: bool, connection: &[u8]) -> Vec<u8> {
-    if opens {
-        let length = connection.len() as u8;
-        return [&[0xc0, 0, 0, 0, 1, length], connection, &[0; 40]].concat();
+/// Returns a QUIC version 1 packet with this destination connection ID: an Initial
+/// packet if `is_opening`, and a short header packet otherwise.
+fn packet(is_opening: bool, connection_id: &[u8]) -> Vec<u8> {
+    if is_opening {
+        let length = connection_id.len() as u8;
+        return [&[0xc0, 0, 0, 0, 1, length], connection_id, &[0; 40]].concat();
     }
-    [&[0x40], connection, &[0; 20]].concat()
+    [&[0x40], connection_id, &[0; 20]].concat()
 }
--- a/crates/roster/tests/network/mod.rs
+++ b/crates/roster/tests/network/mod.rs
@@ -148,7 +148,7 @@
     }
 
     /// Advances the simulated time until `done` holds, and returns how long that
-    /// took, or `None` if it didn't hold within `limit`.
+    /// took, or `None` if it did not hold within `limit`.
     pub fn run_until(
         &mut self,
         limit: Duration,
@@ -199,7 +199,8 @@
     pub fn send_actions(&mut self, from: usize, actions: Vec<RosterAction>) {
         for action in actions {
             let RosterAction::Send { to, message } = action;
-            let packet = encode_packet(PacketKind::Control, &message, &[]).expect("fits");
+            let packet = encode_packet(PacketKind::Control, &message, &[])
+                .expect("the message fits into a packet");
             assert!(packet.len() <= 1_200, "{} bytes", packet.len());
             self.nodes[from].sent_messages += 1;
             self.nodes[from].sent_bytes += packet.len() as u64 + DATAGRAM_OVERHEAD_BYTES;
--- a/crates/roster/tests/roster.rs
+++ b/crates/roster/tests/roster.rs
@@ -268,7 +268,8 @@
         version: u64::MAX,
         body,
     };
-    let packet = encode_packet(PacketKind::Control, &message, &[]).expect("fits");
+    let packet =
+        encode_packet(PacketKind::Control, &message, &[]).expect("the message fits into a packet");
     assert!(packet.len() <= MAX_CONTROL_LENGTH, "{}", packet.len());
 }
 
--- a/crates/roster/tests/runs.rs
+++ b/crates/roster/tests/runs.rs
@@ -81,6 +81,7 @@
             members,
         },
     };
-    let packet = encode_packet(PacketKind::Control, &message, &[]).expect("fits");
+    let packet =
+        encode_packet(PacketKind::Control, &message, &[]).expect("the message fits into a packet");
     assert!(packet.len() <= MAX_CONTROL_LENGTH, "{}", packet.len());
 }
