--- a/crates/hyssopstaird/src/control/configuration.rs
+++ b/crates/hyssopstaird/src/control/configuration.rs
@@ -135,8 +135,8 @@
 /// Requests a newer configuration from a peer and returns whether one was applied.
 async fn fetch_from_peer(node: &ControlNode, peer: SocketAddrV4) -> bool {
     let above = node.view().version;
-    let content = request_update(node, peer, PeerRequest::Configuration { above }).await;
-    let content = match content {
+    let update = request_update(node, peer, PeerRequest::Configuration { above }).await;
+    let update = match update {
         PeerUpdate::Mismatch => {
             log::warn!(
                 above;
@@ -144,9 +144,9 @@
             );
             request_update(node, peer, PeerRequest::WholeConfiguration { above }).await
         }
-        PeerUpdate::Nothing | PeerUpdate::Newer { .. } => content,
+        PeerUpdate::Nothing | PeerUpdate::Newer { .. } => update,
     };
-    match content {
+    match update {
         PeerUpdate::Newer {
             version,
             text,
--- a/crates/hyssopstaird/src/control/entries.rs
+++ b/crates/hyssopstaird/src/control/entries.rs
@@ -45,8 +45,8 @@
     }
 }
 
-/// Adds all entry addresses as contacts, and writes the own address into a random slot
-/// that is empty or whose holder is not an alive member.
+/// Adds all entry addresses as contacts, and chooses a random slot. If the slot is empty or
+/// its holder is not an alive member, writes the address of this process into it.
 async fn refresh_entries(node: &ControlNode, client: &PlatformClient) -> Result<(), PlatformError> {
     let entries = client.get_prefix(ENTRY_PREFIX).await?;
     for address in entries.iter().filter_map(parse_entry_address) {
--- a/crates/hyssopstaird/src/control/gossip.rs
+++ b/crates/hyssopstaird/src/control/gossip.rs
@@ -1,4 +1,4 @@
-//! Exchange of the member list with other processes.
+//! Exchange of the roster with other processes.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/hyssopstaird/src/control/mod.rs
+++ b/crates/hyssopstaird/src/control/mod.rs
@@ -1,7 +1,7 @@
-//! The member list and the configuration, which both roles maintain.
+//! The roster and the configuration, which both roles maintain.
 //!
 //! [`node`] contains the shared state. Three background tasks update it: [`gossip`]
-//! exchanges the member list with other processes, [`entries`] finds the first members
+//! exchanges the roster with other processes, [`entries`] finds the first members
 //! through the platform, and [`configuration`] fetches newer configurations.
 
 pub mod configuration;
--- a/crates/hyssopstaird/src/control/node.rs
+++ b/crates/hyssopstaird/src/control/node.rs
@@ -53,7 +53,7 @@
 /// the loss of a message does not hide it.
 const STATE_ANNOUNCEMENT_ROUNDS: usize = 3;
 
-/// Maximum time of the search for a short list of edits between two versions.
+/// Maximum time to search for a short list of edits between two versions.
 const DIFF_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// The service that a host announces until a configuration names its own.
@@ -153,8 +153,8 @@
         lock(&self.roster).is_confirmed(self.clock.now())
     }
 
-    /// Returns whether the process has received the whole member list of another process,
-    /// or found no other process.
+    /// Returns whether the process has received the whole roster of another member, or found
+    /// no other member.
     pub fn is_joined(&self) -> bool {
         lock(&self.roster).is_joined()
     }
--- a/crates/hyssopstaird/src/peer/client.rs
+++ b/crates/hyssopstaird/src/peer/client.rs
@@ -78,9 +78,9 @@
 }
 
 impl SendLatch {
-    /// Records the request as sent, unless it was abandoned. Returns whether the caller
-    /// may send it.
-    fn try_start(&self) -> bool {
+    /// Records the request as sent, unless it was abandoned. Returns whether it may be
+    /// sent.
+    fn try_mark_sent(&self) -> bool {
         let mut state = lock(&self.state);
         if *state == SendState::Abandoned {
             return false;
@@ -125,7 +125,7 @@
                 Some(socket) => socket,
                 None => open_socket(address)?,
             };
-            if !sender_latch.try_start() {
+            if !sender_latch.try_mark_sent() {
                 return Err(PeerError::NotSent);
             }
             let answer = exchange_blocking(&socket, &bytes, timeout)?;
--- a/crates/hyssopstaird/src/peer/server.rs
+++ b/crates/hyssopstaird/src/peer/server.rs
@@ -92,10 +92,10 @@
         if version <= above {
             return PeerAnswer::UpToDate;
         }
-        match self.compressed_text(&config) {
-            Ok(compressed) => PeerAnswer::Configuration {
+        match self.deflated_text(&config) {
+            Ok(deflated_text) => PeerAnswer::Configuration {
                 version,
-                deflated_text: compressed.to_vec(),
+                deflated_text: deflated_text.to_vec(),
             },
             Err(error) => {
                 log::warn!(error:% = error; "config: failed to compress the text");
@@ -104,17 +104,18 @@
         }
     }
 
-    /// Returns the compressed text of the configuration, and stores it for later requests.
-    fn compressed_text(&self, config: &ConfigState) -> std::io::Result<Arc<[u8]>> {
+    /// Returns the text of the configuration, compressed with DEFLATE, and stores the result
+    /// for later requests.
+    fn deflated_text(&self, config: &ConfigState) -> std::io::Result<Arc<[u8]>> {
         let version = config.version();
-        if let Some(compressed) = lock(&self.node.updates).find_deflated_text(version) {
-            return Ok(compressed);
+        if let Some(deflated_text) = lock(&self.node.updates).find_deflated_text(version) {
+            return Ok(deflated_text);
         }
         // The lock is not held during compression; concurrent requests may compress the
         // same text more than once.
-        let compressed: Arc<[u8]> = deflate_text(config.text())?.into();
-        lock(&self.node.updates).store_deflated_text(version, Arc::clone(&compressed));
-        Ok(compressed)
+        let deflated_text: Arc<[u8]> = deflate_text(config.text())?.into();
+        lock(&self.node.updates).store_deflated_text(version, Arc::clone(&deflated_text));
+        Ok(deflated_text)
     }
 }
 
