--- a/crates/hyssopstaird/src/host/answer.rs
+++ b/crates/hyssopstaird/src/host/answer.rs
@@ -204,6 +204,6 @@
 }
 
 /// Returns the duration in seconds, rounded up.
-fn ceil_seconds(time: Duration) -> u64 {
-    time.as_millis().div_ceil(1_000) as u64
+fn ceil_seconds(duration: Duration) -> u64 {
+    duration.as_millis().div_ceil(1_000) as u64
 }
--- a/crates/hyssopstaird/src/host/backend.rs
+++ b/crates/hyssopstaird/src/host/backend.rs
@@ -149,7 +149,8 @@
     }
 }
 
-/// Releases the slot of a request that could not be sent.
+/// Releases the slot of a request that could not be sent, and returns
+/// [`BackendResult::NotRun`].
 fn fail_call(slot: Option<SlotGuard>) -> BackendResult {
     if let Some(slot) = slot {
         slot.release(SlotOutcome::Failed);
@@ -159,7 +160,8 @@
     }
 }
 
-/// Returns the answer, or `NotRun` if the backend server has shed the request.
+/// Returns the answer, or [`BackendResult::NotRun`] if the backend server has shed the
+/// request.
 fn read_response(response: Response<Incoming>, slot: Option<SlotGuard>) -> BackendResult {
     let is_shed = response.status() == StatusCode::SERVICE_UNAVAILABLE
         && response.headers().contains_key(SHED_HEADER);
--- a/crates/hyssopstaird/src/host/proxy.rs
+++ b/crates/hyssopstaird/src/host/proxy.rs
@@ -185,8 +185,8 @@
     }
 }
 
-/// Returns the number of tickets that are sent with an answer. A refused request has made
-/// its ticket void, so the caller needs at least one new ticket to retry it.
+/// Returns the number of tickets that are sent with an answer. The ticket of a request that
+/// did not run cannot be used again, so the caller needs at least one new ticket to retry.
 fn count_tickets(state: &HostState, request: &CallerRequest, result: &ServeResult) -> usize {
     if state.is_draining() {
         return 0;
--- a/crates/hyssopstaird/src/host/server.rs
+++ b/crates/hyssopstaird/src/host/server.rs
@@ -153,13 +153,13 @@
     while let Some(incoming) = endpoint.accept().await {
         let state = state.clone();
         tokio::spawn(async move {
-            let first_connection = incoming.orig_dst_cid();
+            let connection_id = incoming.orig_dst_cid();
             let Ok(connection) = incoming.await else {
-                state.end_handshake(&first_connection);
+                state.end_handshake(&connection_id);
                 return;
             };
             state.add_flow();
-            state.end_handshake(&first_connection);
+            state.end_handshake(&connection_id);
             COUNTERS.flows_opened.increment();
             let _open = COUNTERS.flows_open.enter();
             serve_flow(connection, &state).await;
--- a/crates/hyssopstaird/src/host/settle.rs
+++ b/crates/hyssopstaird/src/host/settle.rs
@@ -70,7 +70,7 @@
 }
 
 /// Returns the outcome of the request with a ticket that this host has issued. An unused
-/// ticket becomes void.
+/// ticket is revoked.
 pub fn answer_settle_request(state: &Arc<HostState>, request: &SettleRequest) -> SettleAnswer {
     let Ok(ticket) = state.ticket_key.decode_ticket(&request.ticket) else {
         return SettleAnswer::MayHaveRun;
--- a/crates/hyssopstaird/src/host/slots.rs
+++ b/crates/hyssopstaird/src/host/slots.rs
@@ -59,17 +59,17 @@
     /// released again.
     fn send_decisions(
         &mut self,
-        changes: &[QueueDecision],
+        decisions: &[QueueDecision],
         rules: &AdmissionRules,
         now: MonotonicTime,
     ) {
-        for change in changes {
+        for queued in decisions {
             let is_sent = self
-                .remove_waiter(change.key)
-                .is_some_and(|sender| sender.send(change.decision).is_ok());
-            if !is_sent && change.decision == SlotDecision::Run {
-                let follow_up_changes = self.admission.release(SlotOutcome::Unused, rules, now);
-                self.send_decisions(&follow_up_changes, rules, now);
+                .remove_waiter(queued.key)
+                .is_some_and(|sender| sender.send(queued.decision).is_ok());
+            if !is_sent && queued.decision == SlotDecision::Run {
+                let follow_up_decisions = self.admission.release(SlotOutcome::Unused, rules, now);
+                self.send_decisions(&follow_up_decisions, rules, now);
             }
         }
     }
@@ -110,20 +110,20 @@
 
     /// Releases the slot after a complete answer.
     pub fn complete(self) {
-        let time = self.elapsed();
-        self.release(SlotOutcome::Completed(time));
+        let elapsed = self.elapsed();
+        self.release(SlotOutcome::Completed(elapsed));
     }
 
     /// Releases the slot after the deadline has passed without an answer.
     pub fn time_out(self) {
-        let time = self.elapsed();
-        self.release(SlotOutcome::TimedOut(time));
+        let elapsed = self.elapsed();
+        self.release(SlotOutcome::TimedOut(elapsed));
     }
 
-    /// Releases the slot. `end` tells how the request ended.
-    pub fn release(mut self, end: SlotOutcome) {
+    /// Releases the slot of a request that ended with `outcome`.
+    pub fn release(mut self, outcome: SlotOutcome) {
         self.is_released = true;
-        self.release_slot(end);
+        self.release_slot(outcome);
     }
 
     /// Returns the time since the slot was acquired.
@@ -131,11 +131,11 @@
         self.state.node.clock.now().since(self.acquired_at)
     }
 
-    fn release_slot(&self, end: SlotOutcome) {
+    fn release_slot(&self, outcome: SlotOutcome) {
         let now = self.state.node.clock.now();
         let mut scheduler = lock(&self.state.scheduler);
-        let changes = scheduler.admission.release(end, &self.rules, now);
-        scheduler.send_decisions(&changes, &self.rules, now);
+        let decisions = scheduler.admission.release(outcome, &self.rules, now);
+        scheduler.send_decisions(&decisions, &self.rules, now);
     }
 }
 
@@ -163,10 +163,10 @@
         // Decisions are sent while the lock is held, so none can arrive after this check.
         if self.receiver.try_recv() == Ok(SlotDecision::Run) {
             let now = self.state.node.clock.now();
-            let changes = scheduler
+            let decisions = scheduler
                 .admission
                 .release(SlotOutcome::Unused, self.rules, now);
-            scheduler.send_decisions(&changes, self.rules, now);
+            scheduler.send_decisions(&decisions, self.rules, now);
         }
     }
 }
@@ -176,7 +176,7 @@
 ///
 /// # Errors
 ///
-/// Returns the time after which the caller may retry if the request is refused.
+/// If the request is refused, returns the time after which the caller may retry it.
 pub async fn acquire_slot(
     state: &Arc<HostState>,
     service: &ServiceRule,
@@ -192,11 +192,11 @@
             class,
             deadline,
         };
-        let mut changes = Vec::new();
+        let mut decisions = Vec::new();
         let decision = scheduler
             .admission
-            .admit(request, &rules, now, &mut changes);
-        scheduler.send_decisions(&changes, &rules, now);
+            .admit(request, &rules, now, &mut decisions);
+        scheduler.send_decisions(&decisions, &rules, now);
         let (sender, receiver) = oneshot::channel();
         if decision == SlotDecision::Wait {
             scheduler.waiters.push(SlotWaiter {
@@ -230,8 +230,8 @@
         let now = guard.state.node.clock.now();
         let next_advance_at = {
             let mut scheduler = lock(&guard.state.scheduler);
-            let changes = scheduler.admission.advance(guard.rules, now);
-            scheduler.send_decisions(&changes, guard.rules, now);
+            let decisions = scheduler.admission.advance(guard.rules, now);
+            scheduler.send_decisions(&decisions, guard.rules, now);
             scheduler.admission.next_advance_at(now).unwrap_or(now)
         };
         let timeout = next_advance_at.since(now).max(MIN_WAIT);
@@ -245,8 +245,8 @@
 ///
 /// # Errors
 ///
-/// Returns the time after which the other host may retry if no slot is free or the
-/// request is not expected to meet its deadline.
+/// If no slot is free or the request is not expected to meet its deadline, returns the time
+/// after which the other host may retry it.
 pub fn try_acquire_slot(
     state: &Arc<HostState>,
     service: &ServiceRule,
--- a/crates/hyssopstaird/src/host/socket.rs
+++ b/crates/hyssopstaird/src/host/socket.rs
@@ -38,7 +38,7 @@
 /// Accepted datagrams that the QUIC endpoint has not read yet.
 #[derive(Debug, Default)]
 pub struct PacketQueue {
-    inner: Mutex<QueueState>,
+    state: Mutex<QueueState>,
 }
 
 /// Each datagram with its caller, and the task that waits for the next one.
@@ -52,7 +52,7 @@
     /// Appends a caller's datagram and wakes the QUIC endpoint. Drops the datagram if the
     /// queue is full.
     pub fn push(&self, caller: SocketAddrV4, datagram: Vec<u8>) {
-        let mut state = lock(&self.inner);
+        let mut state = lock(&self.state);
         if state.datagrams.len() >= MAX_QUEUED_DATAGRAMS {
             return;
         }
@@ -64,7 +64,7 @@
 
     /// Removes and returns the first datagram, or registers the task to be woken.
     fn poll_pop(&self, context: &mut Context<'_>) -> Poll<(SocketAddrV4, Vec<u8>)> {
-        let mut state = lock(&self.inner);
+        let mut state = lock(&self.state);
         match state.datagrams.pop_front() {
             Some(packet) => Poll::Ready(packet),
             None => {
@@ -123,12 +123,12 @@
         let Ok(length) = result else {
             return Ok(());
         };
-        let target = SocketAddr::V4(route.balancer);
+        let balancer = SocketAddr::V4(route.balancer);
         match self
             .state
             .node
             .socket
-            .try_send_to(&buffer[..length], target)
+            .try_send_to(&buffer[..length], balancer)
         {
             Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => {
                 self.state.return_table.remove_balancer(route.balancer);
--- a/crates/hyssopstaird/src/host/state.rs
+++ b/crates/hyssopstaird/src/host/state.rs
@@ -33,7 +33,7 @@
 /// The state that all components of a host share.
 #[derive(Debug)]
 pub struct HostState {
-    /// The member list and the configuration.
+    /// The roster and the configuration.
     pub node: Arc<ControlNode>,
     /// The address of the backend server.
     pub backend: SocketAddrV4,
@@ -156,8 +156,8 @@
         !accepts_new_flows || self.draining.load(Ordering::Relaxed)
     }
 
-    /// Stops accepting new flows and requests. All unused tickets become void, so that
-    /// other hosts can settle them while this process still answers.
+    /// Stops accepting new flows and requests. All unused tickets are revoked, so that other
+    /// hosts can settle them while this process still answers.
     pub fn start_draining(&self) {
         lock(&self.ledger).revoke_unused();
         self.draining.store(true, Ordering::Relaxed);
