--- a/crates/hyssopstaird/src/host/relay.rs
+++ b/crates/hyssopstaird/src/host/relay.rs
@@ -175,8 +175,8 @@
     match answer.outcome {
         RelayOutcome::Done(reply) => RelayResult::Reply(reply),
         RelayOutcome::NotRun { retry_after_millis } => {
-            let pause = Duration::from_millis(u64::from(retry_after_millis));
-            loads.avoid_peer(peer, pause, now);
+            let retry_after = Duration::from_millis(u64::from(retry_after_millis));
+            loads.avoid_peer(peer, retry_after, now);
             RelayResult::NotRun
         }
         RelayOutcome::MayHaveRun => RelayResult::MayHaveRun,
--- a/crates/roster/examples/control_cost.rs
+++ b/crates/roster/examples/control_cost.rs
@@ -163,7 +163,7 @@
         self.sent_messages += packets.len() as u64;
         let lengths = packets
             .iter()
-            .map(|it| it.len() as u64 + DATAGRAM_OVERHEAD_BYTES);
+            .map(|packet| packet.len() as u64 + DATAGRAM_OVERHEAD_BYTES);
         self.sent_bytes += lengths.sum::<u64>();
         self.sent_actions.extend(actions);
     }
--- a/crates/roster/tests/fleet/mod.rs
+++ b/crates/roster/tests/fleet/mod.rs
@@ -210,7 +210,8 @@
             FleetStep::Kill(number) => self.processes[number].running = false,
             FleetStep::Restart(number) => self.restart(number, initial_service(number)),
             FleetStep::ReuseAddress(number) => {
-                let other = initial_service(number).map(|it| ServiceId(SERVICES + 1 - it.0));
+                let other =
+                    initial_service(number).map(|service| ServiceId(SERVICES + 1 - service.0));
                 self.restart(number, other);
             }
             FleetStep::Pause { number, millis } => {
@@ -238,11 +239,13 @@
         self.platform_up = true;
         self.run(QUIET_TIME);
         self.check();
-        let up_numbers: Vec<usize> = (0..PROCESSES).filter(|it| self.is_up(*it)).collect();
+        let up_numbers: Vec<usize> = (0..PROCESSES)
+            .filter(|number| self.is_up(*number))
+            .collect();
         let present_members = |number: usize| -> Vec<MemberEntry> {
             let members = self.processes[number].roster.members().iter();
             members
-                .filter(|it| it.state.is_present())
+                .filter(|entry| entry.state.is_present())
                 .copied()
                 .collect()
         };
@@ -280,7 +283,7 @@
         };
         let mut roster = RosterState::new(entry, self.rng.random());
         // One known peer must be enough to join when the platform is down.
-        let peer = (0..self.processes.len()).find(|it| *it != number && self.is_up(*it));
+        let peer = (0..self.processes.len()).find(|other| *other != number && self.is_up(*other));
         if let Some(peer) = peer {
             roster.add_contact(address(peer));
         }
@@ -344,7 +347,11 @@
     }
 
     fn record_partitioned(&mut self) {
-        let partitions: Vec<bool> = self.processes.iter().map(|it| it.partition).collect();
+        let partitions: Vec<bool> = self
+            .processes
+            .iter()
+            .map(|process| process.partition)
+            .collect();
         for process in &mut self.processes {
             for (number, partition) in partitions.iter().enumerate() {
                 process.partitioned_from |= u32::from(*partition != process.partition) << number;
@@ -449,7 +456,9 @@
 
     fn deliver(&mut self) {
         let messages = std::mem::take(&mut self.in_flight);
-        let (due, later) = messages.into_iter().partition(|it| it.due_at <= self.now);
+        let (due, later) = messages
+            .into_iter()
+            .partition(|message| message.due_at <= self.now);
         self.in_flight = later;
         for FleetMessage {
             from, to, message, ..
@@ -527,7 +536,8 @@
         }
         let process = &self.processes[number];
         let role = process.roster.own_entry().role;
-        let serves_flow = matches!(role, MemberRole::Host { service: it, .. } if it == service);
+        let serves_flow =
+            matches!(role, MemberRole::Host { service: own_service, .. } if own_service == service);
         assert!(
             serves_flow,
             "a flow was opened at a host of another service"
@@ -676,7 +686,7 @@
             {
                 continue;
             }
-            for number in (0..PROCESSES).filter(|it| self.is_up(*it)) {
+            for number in (0..PROCESSES).filter(|number| self.is_up(*number)) {
                 let process = &self.processes[number];
                 let was_undisturbed = process.undisturbed_since < change.accepted_at;
                 let first = &self.processes[change.first];
--- a/crates/roster/tests/fleet_machine.rs
+++ b/crates/roster/tests/fleet_machine.rs
@@ -33,7 +33,7 @@
 }
 
 fn proptest_config() -> Config {
-    let cases = read_variable("HYSSOPSTAIR_FUZZ_CASES").map_or(DEFAULT_CASES, |it| it as u32);
+    let cases = read_variable("HYSSOPSTAIR_FUZZ_CASES").map_or(DEFAULT_CASES, |count| count as u32);
     let seed = read_variable("HYSSOPSTAIR_FUZZ_SEED").unwrap_or(DEFAULT_SEED);
     Config {
         cases,
--- a/crates/roster/tests/roster.rs
+++ b/crates/roster/tests/roster.rs
@@ -94,13 +94,13 @@
     let changes: Vec<u64> = network
         .nodes
         .iter()
-        .map(|it| it.roster.change_count())
+        .map(|node| node.roster.change_count())
         .collect();
     network.run(seconds(300));
     let after: Vec<u64> = network
         .nodes
         .iter()
-        .map(|it| it.roster.change_count())
+        .map(|node| node.roster.change_count())
         .collect();
     assert_eq!(after, changes);
 }
@@ -164,7 +164,7 @@
         network
             .nodes
             .iter()
-            .filter(|it| it.running)
+            .filter(|node| node.running)
             .all(has_evicted)
     );
 }
@@ -224,7 +224,7 @@
     let elapsed = network.run_until(seconds(60), |network| {
         network.nodes[..60]
             .iter()
-            .all(|it| it.roster.live_count() == 60)
+            .all(|node| node.roster.live_count() == 60)
     });
     assert!(elapsed.is_some());
 }
@@ -298,7 +298,7 @@
 #[test]
 fn large_fleet_joins_through_one_contact() {
     let network = start_fleet(300);
-    assert!(network.nodes.iter().all(|it| it.roster.is_joined()));
+    assert!(network.nodes.iter().all(|node| node.roster.is_joined()));
 }
 
 #[test]
