--- a/crates/hyssopstaird/src/host/state.rs
+++ b/crates/hyssopstaird/src/host/state.rs
@@ -33,7 +33,7 @@
 /// The state that all components of a host share.
 #[derive(Debug)]
 pub struct HostState {
-    /// The member list and the configuration.
+    /// The roster and the configuration.
     pub node: Arc<ControlNode>,
     /// The address of the backend server.
     pub backend: SocketAddrV4,
@@ -122,7 +122,9 @@
     /// Returns the number of flows whose handshake is in progress.
     fn pending_flow_count(&self) -> u32 {
         let now = self.node.clock.now();
-        self.router.get().map_or(0, |router| router.pending(now))
+        self.router
+            .get()
+            .map_or(0, |router| router.pending_count(now))
     }
 
     /// Records that a handshake has succeeded or failed. `connection_id` is the connection
@@ -154,8 +156,8 @@
         !accepts_new_flows || self.draining.load(Ordering::Relaxed)
     }
 
-    /// Stops accepting new flows and requests. All unused tickets become void, so that
-    /// other hosts can settle them while this process still answers.
+    /// Stops accepting new flows and requests. All unused tickets are revoked, so that other
+    /// hosts can settle them while this process still answers.
     pub fn start_draining(&self) {
         lock(&self.ledger).revoke_unused();
         self.draining.store(true, Ordering::Relaxed);
--- a/crates/roster/src/budget.rs
+++ b/crates/roster/src/budget.rs
@@ -10,10 +10,10 @@
 pub const BURST_BYTES: u64 = 9_000;
 
 /// Bytes of the IPv4 and UDP headers of a datagram.
-pub const DATAGRAM_OVERHEAD: u64 = 28;
+pub const DATAGRAM_OVERHEAD_BYTES: u64 = 28;
 
 /// Bytes that repairs must leave in the budget for changes.
-const REPAIR_RESERVE: u64 = BURST_BYTES / 4;
+const REPAIR_RESERVE_BYTES: u64 = BURST_BYTES / 4;
 
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
@@ -34,7 +34,7 @@
 /// A token bucket that limits the bytes sent.
 #[derive(Debug)]
 pub struct SendBudget {
-    /// Bytes that may be sent, in millionths of a byte.
+    /// The tokens in the bucket, each of which permits a millionth of a byte.
     tokens: u64,
     last_refill: MonotonicTime,
 }
@@ -53,11 +53,11 @@
     /// be sent, and returns whether it may.
     pub fn try_charge(&mut self, class: SendClass, length: usize, now: MonotonicTime) -> bool {
         self.refill(now);
-        let bytes = length as u64 + DATAGRAM_OVERHEAD;
+        let bytes = length as u64 + DATAGRAM_OVERHEAD_BYTES;
         let needed = match class {
             SendClass::Probe => 0,
             SendClass::Change => bytes,
-            SendClass::Repair => bytes + REPAIR_RESERVE,
+            SendClass::Repair => bytes + REPAIR_RESERVE_BYTES,
         };
         if self.tokens < needed * MICROS_PER_SECOND {
             return false;
@@ -72,10 +72,10 @@
         let reserve = match class {
             SendClass::Probe => return true,
             SendClass::Change => 0,
-            SendClass::Repair => REPAIR_RESERVE,
+            SendClass::Repair => REPAIR_RESERVE_BYTES,
         };
         let longest = hyssopstair_wire::control::MAX_CONTROL_LENGTH as u64;
-        self.tokens >= (longest + DATAGRAM_OVERHEAD + reserve) * MICROS_PER_SECOND
+        self.tokens >= (longest + DATAGRAM_OVERHEAD_BYTES + reserve) * MICROS_PER_SECOND
     }
 
     fn refill(&mut self, now: MonotonicTime) {
--- a/crates/roster/tests/fleet/mod.rs
+++ b/crates/roster/tests/fleet/mod.rs
@@ -49,7 +49,7 @@
 /// must spread between processes.
 const POLL_INTERVAL: Duration = Duration::from_secs(60);
 const ALL_PROCESSES: u32 = u32::MAX;
-/// Time without failures after which all rosters must be equal.
+/// Time without failures after which all rosters must hold the same live members.
 const QUIET_TIME: Duration = Duration::from_secs(90);
 
 #[derive(Debug, Clone)]
@@ -70,7 +70,7 @@
         millis: u64,
     },
     Drain(usize),
-    /// Restarts a process as a host of another service.
+    /// Restarts a process as a host of another service, or as a balancer if it was one.
     ReuseAddress(usize),
     /// Partitions the processes whose bit is set from the others.
     Partition(u32),
@@ -89,7 +89,7 @@
 struct FleetProcess {
     roster: RosterState,
     config: ConfigState,
-    host: Option<HostRouter>,
+    router: Option<HostRouter>,
     running: bool,
     paused_until: MonotonicTime,
     paused_since: MonotonicTime,
@@ -105,7 +105,7 @@
     /// The processes that `may_suspect_until` applies to, one bit each.
     may_suspect: u32,
     drained_at: Option<MonotonicTime>,
-    next_poll: MonotonicTime,
+    next_poll_at: MonotonicTime,
 }
 
 #[derive(Debug)]
@@ -117,7 +117,7 @@
 
 #[derive(Debug)]
 struct FleetMessage {
-    due: MonotonicTime,
+    due_at: MonotonicTime,
     from: usize,
     to: SocketAddrV4,
     message: ControlMessage,
@@ -126,7 +126,7 @@
 #[derive(Debug)]
 struct AcceptedChange {
     version: u64,
-    at: MonotonicTime,
+    accepted_at: MonotonicTime,
     first: usize,
 }
 
@@ -210,7 +210,8 @@
             FleetStep::Kill(number) => self.processes[number].running = false,
             FleetStep::Restart(number) => self.restart(number, initial_service(number)),
             FleetStep::ReuseAddress(number) => {
-                let other = initial_service(number).map(|it| ServiceId(SERVICES + 1 - it.0));
+                let other =
+                    initial_service(number).map(|service| ServiceId(SERVICES + 1 - service.0));
                 self.restart(number, other);
             }
             FleetStep::Pause { number, millis } => {
@@ -231,18 +232,20 @@
         self.check();
     }
 
-    /// Ends all failures, waits, and checks that all rosters are equal.
+    /// Ends all failures, waits, and checks that all rosters hold the same live members.
     pub fn check_recovery(&mut self) {
         self.set_partition(0);
         self.loss = 0.0;
         self.platform_up = true;
         self.run(QUIET_TIME);
         self.check();
-        let up_numbers: Vec<usize> = (0..PROCESSES).filter(|it| self.is_up(*it)).collect();
+        let up_numbers: Vec<usize> = (0..PROCESSES)
+            .filter(|number| self.is_up(*number))
+            .collect();
         let present_members = |number: usize| -> Vec<MemberEntry> {
             let members = self.processes[number].roster.members().iter();
             members
-                .filter(|it| it.state.is_present())
+                .filter(|entry| entry.state.is_present())
                 .copied()
                 .collect()
         };
@@ -280,14 +283,14 @@
         };
         let mut roster = RosterState::new(entry, self.rng.random());
         // One known peer must be enough to join when the platform is down.
-        let peer = (0..self.processes.len()).find(|it| *it != number && self.is_up(*it));
+        let peer = (0..self.processes.len()).find(|other| *other != number && self.is_up(*other));
         if let Some(peer) = peer {
             roster.add_contact(address(peer));
         }
         FleetProcess {
             roster,
             config: ConfigState::default(),
-            host: service.map(HostRouter::new),
+            router: service.map(HostRouter::new),
             running: true,
             paused_until: MonotonicTime::default(),
             paused_since: MonotonicTime::default(),
@@ -297,7 +300,7 @@
             may_suspect_until: MonotonicTime::default(),
             may_suspect: 0,
             drained_at: None,
-            next_poll: self.now,
+            next_poll_at: self.now,
         }
     }
 
@@ -344,7 +347,11 @@
     }
 
     fn record_partitioned(&mut self) {
-        let partitions: Vec<bool> = self.processes.iter().map(|it| it.partition).collect();
+        let partitions: Vec<bool> = self
+            .processes
+            .iter()
+            .map(|process| process.partition)
+            .collect();
         for process in &mut self.processes {
             for (number, partition) in partitions.iter().enumerate() {
                 process.partitioned_from |= u32::from(*partition != process.partition) << number;
@@ -366,7 +373,7 @@
         if readable {
             self.accepted_changes.push(AcceptedChange {
                 version,
-                at: self.now,
+                accepted_at: self.now,
                 first,
             });
         }
@@ -413,8 +420,8 @@
         let now = self.now;
         let process = &mut self.processes[number];
         let version = process.config.version();
-        if self.platform_up && now >= process.next_poll {
-            process.next_poll = now + POLL_INTERVAL;
+        if self.platform_up && now >= process.next_poll_at {
+            process.next_poll_at = now + POLL_INTERVAL;
             process
                 .config
                 .apply(self.stored_config.0, &self.stored_config.1);
@@ -438,7 +445,7 @@
                 let max_delay_millis = if is_delayed { 3_000 } else { 30 };
                 let delay = Duration::from_millis(self.rng.random_range(1..max_delay_millis));
                 self.in_flight.push(FleetMessage {
-                    due: self.now + delay,
+                    due_at: self.now + delay,
                     from,
                     to,
                     message: message.clone(),
@@ -449,7 +456,9 @@
 
     fn deliver(&mut self) {
         let messages = std::mem::take(&mut self.in_flight);
-        let (due, later) = messages.into_iter().partition(|it| it.due <= self.now);
+        let (due, later) = messages
+            .into_iter()
+            .partition(|message| message.due_at <= self.now);
         self.in_flight = later;
         for FleetMessage {
             from, to, message, ..
@@ -462,9 +471,9 @@
             }
             if !self.is_up(number) {
                 // The message stays in the socket buffer of the paused process.
-                let due = self.processes[number].paused_until;
+                let due_at = self.processes[number].paused_until;
                 self.in_flight.push(FleetMessage {
-                    due,
+                    due_at,
                     from,
                     to,
                     message,
@@ -527,7 +536,8 @@
         }
         let process = &self.processes[number];
         let role = process.roster.own_entry().role;
-        let serves_flow = matches!(role, MemberRole::Host { service: it, .. } if it == service);
+        let serves_flow =
+            matches!(role, MemberRole::Host { service: own_service, .. } if own_service == service);
         assert!(
             serves_flow,
             "a flow was opened at a host of another service"
@@ -591,7 +601,7 @@
     }
 
     /// Returns whether the process accepts the packet, or `None` if the packet
-    /// doesn't reach it.
+    /// does not reach it.
     fn deliver_packet(
         &self,
         number: usize,
@@ -603,9 +613,9 @@
         if !self.is_up(number) || process.partition != self.processes[balancer].partition {
             return None;
         }
-        let host = process.host.as_ref()?;
+        let router = process.router.as_ref()?;
         let incarnation = process.roster.own_entry().process.incarnation;
-        let action = host.receive(incarnation, header, packet, &self.load(number), self.now);
+        let action = router.receive(incarnation, header, packet, &self.load(number), self.now);
         Some(action == HostAction::Accept)
     }
 
@@ -620,7 +630,7 @@
         self.flows.retain(|flow| {
             let process = &processes[process_number(flow.host.address)];
             process.running && process.roster.own_entry().process == flow.host
-                || process.host.is_some()
+                || process.router.is_some()
         });
         for flow in &self.flows {
             let packet = packet(false, &flow.token);
@@ -670,13 +680,15 @@
     /// process within the limit.
     fn check_changes(&self) {
         for change in &self.accepted_changes {
-            let due = change.at + PROPAGATION_LIMIT;
-            if self.now < due || self.processes[change.first].undisturbed_since >= change.at {
+            let due_at = change.accepted_at + PROPAGATION_LIMIT;
+            if self.now < due_at
+                || self.processes[change.first].undisturbed_since >= change.accepted_at
+            {
                 continue;
             }
-            for number in (0..PROCESSES).filter(|it| self.is_up(*it)) {
+            for number in (0..PROCESSES).filter(|number| self.is_up(*number)) {
                 let process = &self.processes[number];
-                let was_undisturbed = process.undisturbed_since < change.at;
+                let was_undisturbed = process.undisturbed_since < change.accepted_at;
                 let first = &self.processes[change.first];
                 let reachable = self.is_up(change.first) && process.partition == first.partition;
                 if was_undisturbed && reachable {
@@ -691,11 +703,12 @@
     }
 }
 
-/// Returns a QUIC version 1 packet with this destination connection ID.
-fn packet(opens: bool, connection: &[u8]) -> Vec<u8> {
-    if opens {
-        let length = connection.len() as u8;
-        return [&[0xc0, 0, 0, 0, 1, length], connection, &[0; 40]].concat();
+/// Returns a QUIC version 1 packet with this destination connection ID: an Initial
+/// packet if `is_opening`, and a short header packet otherwise.
+fn packet(is_opening: bool, connection_id: &[u8]) -> Vec<u8> {
+    if is_opening {
+        let length = connection_id.len() as u8;
+        return [&[0xc0, 0, 0, 0, 1, length], connection_id, &[0; 40]].concat();
     }
-    [&[0x40], connection, &[0; 20]].concat()
+    [&[0x40], connection_id, &[0; 20]].concat()
 }
--- a/crates/roster/tests/network/mod.rs
+++ b/crates/roster/tests/network/mod.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-use hyssopstair_roster::budget::DATAGRAM_OVERHEAD;
+use hyssopstair_roster::budget::DATAGRAM_OVERHEAD_BYTES;
 use hyssopstair_roster::state::RosterAction;
 use hyssopstair_roster::state::RosterState;
 use hyssopstair_wire::address::HostIncarnation;
@@ -148,7 +148,7 @@
     }
 
     /// Advances the simulated time until `done` holds, and returns how long that
-    /// took, or `None` if it didn't hold within `limit`.
+    /// took, or `None` if it did not hold within `limit`.
     pub fn run_until(
         &mut self,
         limit: Duration,
@@ -199,10 +199,11 @@
     pub fn send_actions(&mut self, from: usize, actions: Vec<RosterAction>) {
         for action in actions {
             let RosterAction::Send { to, message } = action;
-            let packet = encode_packet(PacketKind::Control, &message, &[]).expect("fits");
+            let packet = encode_packet(PacketKind::Control, &message, &[])
+                .expect("the message fits into a packet");
             assert!(packet.len() <= 1_200, "{} bytes", packet.len());
             self.nodes[from].sent_messages += 1;
-            self.nodes[from].sent_bytes += packet.len() as u64 + DATAGRAM_OVERHEAD;
+            self.nodes[from].sent_bytes += packet.len() as u64 + DATAGRAM_OVERHEAD_BYTES;
             if self.rng.random_bool(self.loss) {
                 continue;
             }
