--- a/crates/hyssopstaird/src/host/relay.rs
+++ b/crates/hyssopstaird/src/host/relay.rs
@@ -163,11 +163,11 @@
     let answer = match answer {
         Ok(PeerAnswer::Relayed(answer)) => answer,
         Ok(PeerAnswer::Refused) | Err(PeerError::NotSent) => {
-            loads.avoid_peer(peer, PEER_RETRY_DELAY, now);
+            loads.exclude_peer(peer, PEER_RETRY_DELAY, now);
             return RelayResult::NotRun;
         }
         Ok(_) | Err(PeerError::NoAnswer) => {
-            loads.avoid_peer(peer, PEER_RETRY_DELAY, now);
+            loads.exclude_peer(peer, PEER_RETRY_DELAY, now);
             return RelayResult::MayHaveRun;
         }
     };
@@ -176,7 +176,7 @@
         RelayOutcome::Done(reply) => RelayResult::Reply(reply),
         RelayOutcome::NotRun { retry_after_millis } => {
             let pause = Duration::from_millis(u64::from(retry_after_millis));
-            loads.avoid_peer(peer, pause, now);
+            loads.exclude_peer(peer, pause, now);
             RelayResult::NotRun
         }
         RelayOutcome::MayHaveRun => RelayResult::MayHaveRun,
--- a/crates/hyssopstaird/src/host/server.rs
+++ b/crates/hyssopstaird/src/host/server.rs
@@ -192,7 +192,7 @@
                 tokio::spawn(async move {
                     if let Ok((request, stream)) = resolver.resolve_request().await {
                         let scope = RequestScope::start(&request);
-                        let traced = TracedRequest::begin(&state, caller, &scope);
+                        let traced = TracedRequest::start(&state, caller, &scope);
                         scope
                             .run(proxy::serve_request(&state, request, stream, &connection))
                             .await;
--- a/crates/hyssopstaird/src/telemetry.rs
+++ b/crates/hyssopstaird/src/telemetry.rs
@@ -180,7 +180,7 @@
 impl<'a> TracedRequest<'a> {
     /// Starts to attach the trace context of `scope` to packets to `caller`. Has no effect
     /// if the request is not sampled or the caller has an IPv6 address.
-    pub fn begin(state: &'a HostState, caller: SocketAddr, scope: &RequestScope) -> Self {
+    pub fn start(state: &'a HostState, caller: SocketAddr, scope: &RequestScope) -> Self {
         let traced = to_ipv4(caller).zip(scope.trace_context());
         if let Some((caller, trace)) = traced {
             CALLER_TRACES.start_request(caller, trace, state.node.clock.now());
--- a/crates/platform/src/update.rs
+++ b/crates/platform/src/update.rs
@@ -22,7 +22,7 @@
 use crate::record::inflate_text;
 
 /// Maximum number of steps that a process stores.
-pub const MAX_KEPT_STEPS: usize = 64;
+pub const MAX_STORED_STEPS: usize = 64;
 
 /// Maximum total size of the encoded edits that a process stores, in bytes.
 pub const MAX_EDIT_BYTES: usize = 64 * 1024;
@@ -84,7 +84,7 @@
     pub fn add_step(&mut self, step: ConfigurationStep) {
         self.edit_bytes += step.edits.len();
         self.steps.push_back(step);
-        while self.steps.len() > MAX_KEPT_STEPS || self.edit_bytes > MAX_EDIT_BYTES {
+        while self.steps.len() > MAX_STORED_STEPS || self.edit_bytes > MAX_EDIT_BYTES {
             let Some(oldest_step) = self.steps.pop_front() else {
                 return;
             };
--- a/crates/platform/tests/update.rs
+++ b/crates/platform/tests/update.rs
@@ -3,7 +3,7 @@
 use expect_test::expect;
 use hyssopstair_platform::record::deflate_text;
 use hyssopstair_platform::update::MAX_EDIT_BYTES;
-use hyssopstair_platform::update::MAX_KEPT_STEPS;
+use hyssopstair_platform::update::MAX_STORED_STEPS;
 use hyssopstair_platform::update::PeerUpdate;
 use hyssopstair_platform::update::UpdateLog;
 use hyssopstair_platform::update::VersionedText;
@@ -206,9 +206,9 @@
             ..new_step(at(version, FIRST_TEXT), at(version + 1, SECOND_TEXT))
         });
     }
-    assert_eq!(log.edit_bytes(), MAX_KEPT_STEPS * 10);
-    assert!(log.find_steps(101 - MAX_KEPT_STEPS as u64, 101).is_some());
-    assert!(log.find_steps(100 - MAX_KEPT_STEPS as u64, 101).is_none());
+    assert_eq!(log.edit_bytes(), MAX_STORED_STEPS * 10);
+    assert!(log.find_steps(101 - MAX_STORED_STEPS as u64, 101).is_some());
+    assert!(log.find_steps(100 - MAX_STORED_STEPS as u64, 101).is_none());
     for version in 101..=104 {
         log.add_step(ConfigurationStep {
             edits: vec![0; MAX_EDIT_BYTES / 3],
--- a/crates/requests/src/relay.rs
+++ b/crates/requests/src/relay.rs
@@ -58,7 +58,7 @@
     }
 
     /// Excludes a peer from selection for `time`.
-    pub fn avoid_peer(&mut self, peer: ProcessId, time: Duration, now: MonotonicTime) {
+    pub fn exclude_peer(&mut self, peer: ProcessId, time: Duration, now: MonotonicTime) {
         self.load_mut(peer).excluded_until = now + time;
     }
 
--- a/crates/requests/tests/admission.rs
+++ b/crates/requests/tests/admission.rs
@@ -330,7 +330,7 @@
     let mut loads = PeerLoads::new(7);
     loads.record_load(peers[0], 100, time_at(1));
     loads.record_load(peers[1], 0, time_at(1));
-    loads.avoid_peer(peers[2], Duration::from_secs(1), time_at(1));
+    loads.exclude_peer(peers[2], Duration::from_secs(1), time_at(1));
     let mut counts = [0; 3];
     for _ in 0..1_000 {
         let chosen = loads.choose_peer(&peers, time_at(2)).unwrap();
--- a/crates/requests/tests/curve/relaying.rs
+++ b/crates/requests/tests/curve/relaying.rs
@@ -65,7 +65,7 @@
         let loads = &mut self.hosts[first_host].loads;
         loads.record_load(process_id(host), percent, self.now);
         if let Some(pause) = retry_after {
-            loads.avoid_peer(process_id(host), pause, self.now);
+            loads.exclude_peer(process_id(host), pause, self.now);
             self.tally.relays_refused += 1;
             self.retry_or_refuse(request);
         }
