--- a/crates/requests/src/admission.rs
+++ b/crates/requests/src/admission.rs
@@ -4,7 +4,7 @@
 //! number of slots in use is limited by the rules and by an adaptive concurrency
 //! limit. That limit starts at one, grows with completed requests and is reset to
 //! one when the backend server sheds, fails or times out. A load report of the
-//! backend server can only reset the limit; only completed requests raise it.
+//! backend server can reset the limit but never raises it.
 
 use std::time::Duration;
 
@@ -23,8 +23,8 @@
 /// host is reset.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Age of the service time estimate at which an idle host that refuses a request
-/// only because of the estimate admits it as a probe.
+/// Age of the service time estimate from which an idle host no longer refuses a
+/// request because of the estimate alone, but admits it as a probe.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A load report is ignored if a request has completed within this time before
@@ -50,7 +50,7 @@
 /// Whether a request may run more than once; determines its priority in the queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestClass {
-    /// May run again; evicted from a full queue first.
+    /// May run more than once; evicted from a full queue first.
     Idempotent,
     /// Must not run twice. Counts double in the goodput and evicts an idempotent
     /// request from a full queue.
@@ -122,8 +122,8 @@
 }
 
 impl AdmissionController {
-    /// Decides whether a new request runs, waits or is refused. Decisions about
-    /// queued requests that are refused in the process are added to `decisions`.
+    /// Decides whether a new request runs, waits or is refused. If this causes queued
+    /// requests to be refused, adds the decisions about them to `decisions`.
     pub fn admit(
         &mut self,
         request: SlotRequest,
@@ -334,6 +334,8 @@
         }
     }
 
+    /// Refuses the queued requests that are expected to end after their deadline, and
+    /// adds the decisions about them to `decisions`.
     fn refuse_late(
         &mut self,
         rules: &AdmissionRules,
--- a/crates/requests/src/estimate.rs
+++ b/crates/requests/src/estimate.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-/// Divisor of the weight of a new sample: the mean moves by 1/8 of the
-/// difference to it.
+/// Divisor of the moving means: each sample moves a mean by 1/8 of the difference
+/// between the two.
 const MEAN_DIVISOR: u32 = 8;
 
 /// Number of mean deviations that the upper bound adds to the mean.
--- a/crates/requests/src/ledger.rs
+++ b/crates/requests/src/ledger.rs
@@ -41,14 +41,14 @@
     }
 }
 
-/// A complete response, in the encoding that hosts exchange.
+/// The complete reply of a backend server, in the encoding that hosts exchange.
 pub type StoredReply = Arc<[u8]>;
 
 /// How a request with a ticket ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RunOutcome {
-    /// The request ran, with this response; `None` if the response is too long to
-    /// be stored.
+    /// The request ran and got this reply; `None` if the reply is too long to be
+    /// stored.
     Done(Option<StoredReply>),
     /// The request did not run and never will under its ticket.
     NotRun,
@@ -59,11 +59,11 @@
 /// How a request that presents a ticket is handled.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TicketDecision {
-    /// The request may run; the ticket is claimed by it.
+    /// The request may run, and has claimed the ticket.
     Run,
     /// Another copy of the request holds the ticket and has not ended.
     Wait,
-    /// The request ran before, with this response; `None` if the response was too
+    /// The request has already run and got this reply; `None` if the reply was too
     /// long to be stored.
     Replay(Option<StoredReply>),
     /// The request did not run and never will under this ticket.
@@ -79,8 +79,8 @@
 /// What the issuer reports about a ticket that was presented to another host.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SettleDecision {
-    /// The request ran, with this response; `None` if the response was too long to
-    /// be stored.
+    /// The request ran and got this reply; `None` if the reply was too long to be
+    /// stored.
     Done(Option<StoredReply>),
     /// A request holds the ticket and has not ended.
     Running,
@@ -130,8 +130,8 @@
     next_number: TicketNumber,
     /// Tickets below this number that have no record are revoked.
     revoked_below: TicketNumber,
-    /// The latest expiry among the purged records. A ticket without a record that
-    /// expires no later may have run.
+    /// The latest expiry among the purged records. A ticket that has no record and
+    /// does not expire later may have run.
     latest_purged_expiry: MonotonicTime,
     latest_expiry: MonotonicTime,
     next_purge_at: MonotonicTime,
@@ -268,8 +268,9 @@
         }
     }
 
-    /// Records how a request that holds a ticket ended. A response that exceeds the
-    /// remaining space for replies is not stored; a second outcome is ignored.
+    /// Records how a request that holds a ticket ended. A reply that exceeds the
+    /// remaining space for replies is not stored. Does nothing if an outcome is
+    /// already recorded.
     pub fn record_outcome(&mut self, number: TicketNumber, outcome: RunOutcome) {
         let free_bytes = self.limits.max_reply_bytes - self.stored_reply_bytes;
         let outcome = match outcome {
--- a/crates/requests/src/relay.rs
+++ b/crates/requests/src/relay.rs
@@ -14,7 +14,7 @@
 /// Load assumed for a peer without a recent load report, in percent.
 const DEFAULT_LOAD_PERCENT: u16 = 50;
 
-/// Age at which a load report is stale.
+/// Age at which a load report is stale and no longer used.
 const MAX_LOAD_AGE: Duration = Duration::from_secs(2);
 
 /// Maximum number of relay numbers that are tracked for each sender.
@@ -57,9 +57,9 @@
         load.updated_at = now;
     }
 
-    /// Excludes a peer from selection for `time`.
-    pub fn exclude_peer(&mut self, peer: ProcessId, time: Duration, now: MonotonicTime) {
-        self.load_mut(peer).excluded_until = now + time;
+    /// Excludes a peer from selection for `duration`.
+    pub fn exclude_peer(&mut self, peer: ProcessId, duration: Duration, now: MonotonicTime) {
+        self.load_mut(peer).excluded_until = now + duration;
     }
 
     /// Returns the less loaded of two peers that are drawn at random from `peers`,
--- a/crates/requests/tests/curve/mod.rs
+++ b/crates/requests/tests/curve/mod.rs
@@ -1,8 +1,8 @@
 //! Simulation of seven hosts under seeded load, with the decision code of real
 //! hosts.
 //!
-//! A policy step is disabled through the inputs of the decision code, so that the
-//! code under test is the same in all steps.
+//! All policy steps run the same decision code: a step that is not in use is disabled
+//! through the inputs of that code.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -79,7 +79,7 @@
     RelayAnswered {
         request: usize,
         host: usize,
-        percent: u16,
+        load_percent: u16,
         retry_after: Option<Duration>,
     },
     End {
@@ -218,9 +218,9 @@
             SimulationEvent::RelayAnswered {
                 request,
                 host,
-                percent,
+                load_percent,
                 retry_after,
-            } => self.handle_relay_answer(request, host, percent, retry_after),
+            } => self.handle_relay_answer(request, host, load_percent, retry_after),
             SimulationEvent::End {
                 request,
                 host,
--- a/crates/requests/tests/curve/relaying.rs
+++ b/crates/requests/tests/curve/relaying.rs
@@ -43,11 +43,11 @@
         retry_after: Option<Duration>,
     ) {
         let rules = self.setting.admission_rules();
-        let percent = self.hosts[host].admission.load_percent(&rules, self.now);
+        let load_percent = self.hosts[host].admission.load_percent(&rules, self.now);
         let answer = SimulationEvent::RelayAnswered {
             request,
             host,
-            percent,
+            load_percent,
             retry_after,
         };
         self.schedule(HOST_LATENCY, answer);
@@ -58,14 +58,14 @@
         &mut self,
         request: usize,
         host: usize,
-        percent: u16,
+        load_percent: u16,
         retry_after: Option<Duration>,
     ) {
         let first_host = self.requests[request].first_host;
         let loads = &mut self.hosts[first_host].loads;
-        loads.record_load(process_id(host), percent, self.now);
-        if let Some(pause) = retry_after {
-            loads.exclude_peer(process_id(host), pause, self.now);
+        loads.record_load(process_id(host), load_percent, self.now);
+        if let Some(delay) = retry_after {
+            loads.exclude_peer(process_id(host), delay, self.now);
             self.tally.relays_refused += 1;
             self.retry_or_refuse(request);
         }
@@ -101,10 +101,10 @@
     pub(super) fn retry_or_refuse(&mut self, request: usize) {
         let refused = &self.requests[request];
         let delay = refused.retry_after;
-        let callers_retry = self.setting.callers_retry
+        let caller_retries = self.setting.callers_retry
             && refused.attempt_count < MAX_ATTEMPTS
             && self.now + delay < refused.deadline;
-        if callers_retry {
+        if caller_retries {
             let delay_factor = self.rng.random_range(1.0..1.5);
             return self.schedule(
                 delay.mul_f64(delay_factor),
--- a/crates/requests/tests/model/mod.rs
+++ b/crates/requests/tests/model/mod.rs
@@ -29,7 +29,7 @@
 use proptest_state_machine::ReferenceStateMachine;
 use proptest_state_machine::StateMachineTest;
 
-const HOSTS: usize = 3;
+const HOST_COUNT: usize = 3;
 const RULES: AdmissionRules = AdmissionRules { slots: 2, queue: 1 };
 const LIMITS: LedgerLimits = LedgerLimits {
     max_records: 6,
@@ -37,7 +37,8 @@
 };
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// One step of the model. An index is taken modulo the number of existing items.
+/// One step of the model. Indices of tickets, requests and messages are taken modulo
+/// the number that exist.
 #[derive(Debug, Clone)]
 pub enum FleetStep {
     /// A host issues a ticket.
@@ -62,7 +63,7 @@
         message: usize,
         is_response_lost: bool,
     },
-    /// A running request ends.
+    /// A running request ends at the backend server of its host.
     End { request: usize, end: RunEnd },
     /// A host restarts at its address with a new incarnation.
     Restart { host: usize },
@@ -93,7 +94,7 @@
     }
 
     fn transitions((): &()) -> BoxedStrategy<FleetStep> {
-        let host = || 0..HOSTS;
+        let host = || 0..HOST_COUNT;
         let any_index = || 0..64_usize;
         let end = prop_oneof![
             3 => Just(RunEnd::Completed),
@@ -125,7 +126,7 @@
 struct ModelHost {
     self_id: ProcessId,
     ledger: TicketLedger,
-    relays: RelayLog,
+    relay_log: RelayLog,
     admission: AdmissionController,
     /// Number of slots that requests of the model hold.
     held_slot_count: u32,
@@ -142,7 +143,7 @@
         Self {
             self_id,
             ledger: TicketLedger::new(self_id, LIMITS, first),
-            relays: RelayLog::new(self_id),
+            relay_log: RelayLog::new(self_id),
             admission: AdmissionController::default(),
             held_slot_count: 0,
             last_relay_number: 0,
@@ -385,9 +386,9 @@
             .iter()
             .position(|host| host.self_id.address == message.target.address)
             .unwrap();
-        let relays = &mut self.hosts[target_host].relays;
+        let relay_log = &mut self.hosts[target_host].relay_log;
         let relay_decision =
-            relays.record_relay(message.sender, message.target, message.number, now);
+            relay_log.record_relay(message.sender, message.target, message.number, now);
         let outcome = match relay_decision {
             RelayDecision::Repeated => RunOutcome::MayHaveRun,
             RelayDecision::Refused => RunOutcome::NotRun,
@@ -414,8 +415,8 @@
             outcome
         };
         if outcome == RunOutcome::NotRun {
-            // No other copy of the message can run, because its number is recorded
-            // at the receiver.
+            // The receiver has recorded the number of the message, so that no other copy
+            // can run.
             let number = self.tickets[message.ticket].ticket.number;
             let host = self.requests[pending].host;
             if self.hosts[host].self_id == message.sender {
@@ -458,7 +459,9 @@
     fn init_test((): &()) -> Self {
         Self {
             now: MonotonicTime::from_millis(1_000),
-            hosts: (0..HOSTS).map(|host| ModelHost::new(host, 1)).collect(),
+            hosts: (0..HOST_COUNT)
+                .map(|host| ModelHost::new(host, 1))
+                .collect(),
             tickets: Vec::new(),
             requests: Vec::new(),
             messages: Vec::new(),
@@ -513,10 +516,10 @@
             FleetStep::Restart { host } => {
                 state.incarnation += 1;
                 state.hosts[host] = ModelHost::new(host, state.incarnation);
-                let self_id = state.hosts[host].self_id.address;
+                let address = state.hosts[host].self_id.address;
                 state
                     .requests
-                    .retain(|request| request.issuer.address != self_id);
+                    .retain(|request| request.issuer.address != address);
             }
             FleetStep::Drain { host } => state.hosts[host].ledger.revoke_unused(),
             FleetStep::Wait { millis } => state.now = now + Duration::from_millis(millis),
