--- a/crates/telemetry/src/callers.rs
+++ b/crates/telemetry/src/callers.rs
@@ -34,8 +34,8 @@
 /// The callers with a sampled request, and the trace context of that request.
 #[derive(Debug, Default)]
 pub struct CallerTraces {
-    // Read for each packet without taking the lock, since usually no request is
-    // sampled.
+    // The length of `callers`. It is read for each packet, to avoid taking the lock
+    // while no request is sampled, which is the usual case.
     caller_count: AtomicUsize,
     callers: Mutex<Vec<TracedCaller>>,
 }
@@ -49,8 +49,8 @@
         }
     }
 
-    /// Records the start of a sampled request. It replaces an earlier request of the
-    /// same caller.
+    /// Records the start of a sampled request, which replaces an earlier request of the
+    /// same caller. Does nothing for a new caller if [`MAX_TRACED_CALLERS`] are tracked.
     pub fn start_request(&self, caller: SocketAddrV4, trace: TraceContext, now: MonotonicTime) {
         let mut callers = self.lock();
         callers.retain(|entry| !entry.is_expired(now));
--- a/crates/telemetry/src/limiter.rs
+++ b/crates/telemetry/src/limiter.rs
@@ -46,8 +46,9 @@
         Some(std::mem::take(&mut self.suppressed_count))
     }
 
-    /// Records that the cause of the warnings has ended. Returns the number of
-    /// suppressed warnings since the last report, or `None` if there was no warning.
+    /// Records that the cause of the warnings has ended, so that the next warning is
+    /// reported at once. Returns the number of warnings that were suppressed since the
+    /// last report, or `None` if there was no warning.
     pub fn record_recovery(&mut self) -> Option<u64> {
         self.reported_at.take()?;
         Some(std::mem::take(&mut self.suppressed_count))
--- a/crates/telemetry/src/logs.rs
+++ b/crates/telemetry/src/logs.rs
@@ -38,7 +38,7 @@
             "logfmt" => Ok(Self::Logfmt),
             "json" => Ok(Self::Json),
             _ => Err(format!(
-                "unknown log format \"{name}\" in {FORMAT_VARIABLE}; logfmt and json are known"
+                "unknown log format \"{name}\" in {FORMAT_VARIABLE}, expected logfmt or json"
             )),
         }
     }
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -54,7 +54,7 @@
 /// Returns the current values of the gauges of a daemon.
 pub type GaugeSource = Arc<dyn Fn() -> GaugeValues + Send + Sync>;
 
-/// A failure to export metrics.
+/// A failure to set up the metrics or to render them as text.
 #[derive(Debug, thiserror::Error)]
 #[error("failed to {0} metrics")]
 pub struct MetricsError(&'static str);
@@ -69,8 +69,8 @@
 static REQUEST_DURATION: OnceLock<Histogram<f64>> = OnceLock::new();
 
 impl MetricsExporter {
-    /// Registers all instruments. `gauges` is called each time that the metrics are
-    /// rendered.
+    /// Creates the exporter and registers all metrics. Calls `gauges` each time that
+    /// the metrics are rendered.
     ///
     /// # Errors
     ///
@@ -80,7 +80,7 @@
         let exporter = opentelemetry_prometheus::exporter()
             .with_registry(registry.clone())
             .build()
-            .change_context(MetricsError("export"))?;
+            .change_context(MetricsError("set up"))?;
         let provider = SdkMeterProvider::builder()
             .with_resource(resource)
             .with_reader(exporter)
@@ -108,7 +108,7 @@
         let mut text = Vec::new();
         TextEncoder::new()
             .encode(&self.registry.gather(), &mut text)
-            .change_context(MetricsError("write"))?;
+            .change_context(MetricsError("render"))?;
         Ok(String::from_utf8_lossy(&text).into_owned())
     }
 }
--- a/crates/telemetry/src/requests.rs
+++ b/crates/telemetry/src/requests.rs
@@ -89,8 +89,8 @@
         })
     }
 
-    /// Runs `future`, which serves the request, in the context of the span. Then
-    /// ends the span and records the verdict and duration of the request.
+    /// Runs `future`, which serves the request, in the context of the span. When it
+    /// completes, ends the span and records the verdict and duration of the request.
     pub async fn run<F: Future>(self, future: F) -> F::Output {
         let _open_guard = COUNTERS.requests_open.enter();
         let output = future.with_context(self.context.clone()).await;
--- a/crates/telemetry/src/traces.rs
+++ b/crates/telemetry/src/traces.rs
@@ -51,7 +51,7 @@
 pub struct ProcessAttributes<'a> {
     /// The role of the process.
     pub role: &'a str,
-    /// The name of the process.
+    /// The ID of the process.
     pub instance: &'a str,
     /// The availability zone.
     pub zone: &'a str,
@@ -123,7 +123,7 @@
         let _ = self.provider.shutdown_with_timeout(SHUTDOWN_TIMEOUT);
     }
 
-    /// Returns a tracer whose spans are exported.
+    /// Returns a tracer whose spans this exporter exports.
     pub fn tracer(&self) -> impl opentelemetry::trace::Tracer + use<> {
         self.provider.tracer(SCOPE)
     }
--- a/crates/telemetry/tests/logs.rs
+++ b/crates/telemetry/tests/logs.rs
@@ -15,7 +15,7 @@
                 Json,
             ),
             Err(
-                "unknown log format \"yaml\" in HYSSOPSTAIR_LOG_FORMAT; logfmt and json are known",
+                "unknown log format \"yaml\" in HYSSOPSTAIR_LOG_FORMAT, expected logfmt or json",
             ),
         ]
     "#]]
