--- a/crates/hyssopstaird/src/admin.rs
+++ b/crates/hyssopstaird/src/admin.rs
@@ -1,7 +1,7 @@
 //! The HTTP server on the admin address of a daemon.
 //!
-//! Operators read the status, the metrics and the configuration; the network fabric
-//! reads the readiness to decide whether to send traffic to a balancer.
+//! It provides the status, the metrics and the configuration for operators, and the
+//! readiness, by which the network fabric decides whether to send packets to a balancer.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -28,7 +28,7 @@
 /// Content type of the metrics, in the Prometheus text format.
 const METRICS_CONTENT_TYPE: &str = "text/plain; version=0.0.4";
 
-/// The answer to `/status`.
+/// The response to `/status`.
 #[derive(Debug, Serialize)]
 pub struct StatusReport {
     /// The ID of this process.
@@ -82,18 +82,18 @@
 }
 
 async fn get_metrics(
-    State(reader): State<Arc<MetricsExporter>>,
+    State(exporter): State<Arc<MetricsExporter>>,
 ) -> Result<impl IntoResponse, StatusCode> {
-    let text = reader.render().map_err(|error| {
+    let text = exporter.render().map_err(|error| {
         log::warn!(error:? = error; "admin: failed to render the metrics");
         StatusCode::INTERNAL_SERVER_ERROR
     })?;
     Ok(([(CONTENT_TYPE, METRICS_CONTENT_TYPE)], text))
 }
 
-/// Returns 200 if the process can take new work, otherwise 503. It can if it has a
-/// configuration, has joined the fleet, is confirmed ([`ControlNode::is_confirmed`]) and is
-/// neither draining nor suspected by other members.
+/// Returns 200 if the process is ready for new flows, otherwise 503. It is ready if it
+/// has a configuration, has joined the fleet, is confirmed
+/// ([`ControlNode::is_confirmed`]), and is neither draining nor suspected by other members.
 async fn get_readiness(State(node): State<Arc<ControlNode>>) -> StatusCode {
     let process_id = node.process_id();
     let is_not_alive = node
--- a/crates/hyssopstaird/src/ops/run.rs
+++ b/crates/hyssopstaird/src/ops/run.rs
@@ -1,4 +1,4 @@
-//! Starts the components of a daemon, waits for a signal to stop and drains it.
+//! Starts the components of a daemon, waits for a signal to stop, and drains the daemon.
 
 use std::sync::Arc;
 
@@ -42,8 +42,9 @@
     result
 }
 
-/// Starts all components, waits for a signal to stop, and announces to the other members
-/// first that the process is draining and then that it is gone.
+/// Starts all components and waits for a signal to stop. Then announces to the other
+/// members that the process is draining, waits for the drain to end, and announces that
+/// the process is gone.
 async fn run_components(settings: DaemonSettings) -> Result<(), Report<DaemonError>> {
     let node = Arc::new(ControlNode::start(&settings).await?);
     log::info!(process:% = node.process_id(), zone = settings.zone.as_str(); "daemon: started");
--- a/crates/hyssopstaird/src/telemetry.rs
+++ b/crates/hyssopstaird/src/telemetry.rs
@@ -30,12 +30,12 @@
 use crate::host::state::HostState;
 
 /// Interval between two exports of the balancer's finished spans.
-const RELAY_EXPORT_INTERVAL: Duration = Duration::from_millis(250);
+const SPAN_EXPORT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The metrics reader and the trace export of a daemon.
+/// The exporters of the metrics and traces of a daemon.
 #[derive(Debug)]
 pub struct DaemonTelemetry {
-    /// The reader that renders the metrics for `/metrics`.
+    /// Renders the metrics for `/metrics`.
     pub metrics: Arc<MetricsExporter>,
     traces: Option<TraceExporter>,
 }
@@ -45,30 +45,30 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the metrics cannot be created or the collector's URL is
-    /// invalid.
+    /// Returns an error if the metrics exporter cannot be built or the collector's URL
+    /// is invalid.
     pub fn start(
         settings: &DaemonSettings,
         node: &Arc<ControlNode>,
     ) -> Result<Self, Report<DaemonError>> {
         let instance = node.process_id().to_string();
-        let names = ProcessAttributes {
+        let attributes = ProcessAttributes {
             role: role_name(&settings.role),
             instance: &instance,
             zone: &settings.zone,
         };
         let gauge_node = node.clone();
         let gauges = Arc::new(move || read_gauges(&gauge_node));
-        let metrics = MetricsExporter::start(names.resource(), gauges)
+        let metrics = MetricsExporter::start(attributes.resource(), gauges)
             .change_context_lazy(|| DaemonError::new("failed to start the metrics"))?;
         let traces = settings
             .traces
             .as_deref()
-            .map(|url| TraceExporter::start(url, names.resource()))
+            .map(|url| TraceExporter::start(url, attributes.resource()))
             .transpose()
             .change_context_lazy(|| DaemonError::new("failed to start the trace export"))?;
         if traces.is_some() {
-            tokio::spawn(run_relay_export(node.clone()));
+            tokio::spawn(run_span_export(node.clone()));
         }
         Ok(Self {
             metrics: Arc::new(metrics),
@@ -87,8 +87,8 @@
 }
 
 /// Exports the balancer's finished spans periodically until the process ends.
-async fn run_relay_export(node: Arc<ControlNode>) {
-    let mut interval = tokio::time::interval(RELAY_EXPORT_INTERVAL);
+async fn run_span_export(node: Arc<ControlNode>) {
+    let mut interval = tokio::time::interval(SPAN_EXPORT_INTERVAL);
     loop {
         interval.tick().await;
         relays::export_due_spans(node.clock.now());
@@ -143,8 +143,8 @@
     }
 }
 
-/// Counts a packet that is forwarded to a host. A header without an incarnation belongs
-/// to a packet that opens a flow, which is counted separately as well.
+/// Counts a packet that is forwarded to a host. A packet whose header has no incarnation
+/// opens a flow and is also counted as an opening packet.
 pub fn count_forwarded_packet(header: &ForwardHeader) {
     COUNTERS.packets_forwarded.increment();
     if header.incarnation.is_none() {
@@ -189,7 +189,7 @@
     }
 
     /// Marks the request as ended. Packets to the caller carry the trace context for a
-    /// short time longer, because the end of the answer is still being sent.
+    /// short time longer, because the end of the response is still being sent.
     pub fn end(self) {
         if let Some((caller, trace)) = self.traced {
             CALLER_TRACES.end_request(caller, trace, self.state.node.clock.now());
