--- a/crates/rules/src/builder.rs
+++ b/crates/rules/src/builder.rs
@@ -234,8 +234,8 @@
     }
 
     /// Records a rule that a file may contain only once for each service, and returns
-    /// the service. If two operators each add such a rule, one of the two would
-    /// silently override the other.
+    /// the service. If two operators could each add such a rule, one of the two rules
+    /// would silently override the other.
     ///
     /// # Errors
     ///
--- a/crates/rules/src/edit.rs
+++ b/crates/rules/src/edit.rs
@@ -40,8 +40,8 @@
     diff_lines_until(old, new, None)
 }
 
-/// Returns the edits that turn `old` into `new`. If the deadline passes before the
-/// search for the shortest edits ends, they are correct but may be longer than
+/// Returns the edits that turn `old` into `new`. The search for the shortest edits ends
+/// at the deadline; edits that are found by then are correct but may be longer than
 /// necessary.
 pub fn diff_lines_until(old: &str, new: &str, deadline: Option<Instant>) -> Vec<LineEdit> {
     let old: Vec<&str> = old.lines().collect();
--- a/crates/rules/src/error.rs
+++ b/crates/rules/src/error.rs
@@ -10,6 +10,6 @@
     pub column: usize,
     /// What is wrong.
     pub message: String,
-    /// How to correct it.
+    /// What is expected instead, or how to correct it.
     pub hint: String,
 }
--- a/crates/rules/src/line.rs
+++ b/crates/rules/src/line.rs
@@ -53,7 +53,7 @@
             .map_or(self.end_column, |word| word.column)
     }
 
-    /// Returns whether the line contains no rule.
+    /// Returns whether the line is empty or contains only a comment.
     pub fn is_blank(&self) -> bool {
         self.words.is_empty()
     }
@@ -102,8 +102,8 @@
         expected: &str,
     ) -> Result<T, RuleError> {
         word.text.parse().map_err(|_| {
-            let message = format!("invalid value \"{}\", expected {expected}", word.text);
-            self.error_at_word(word, message, &format!("write {expected}"))
+            let message = format!("invalid value \"{}\"", word.text);
+            self.error_at_word(word, message, &format!("expected {expected}"))
         })
     }
 
--- a/crates/rules/src/rule.rs
+++ b/crates/rules/src/rule.rs
@@ -9,9 +9,9 @@
 //! | `deadline SERVICE MILLISECONDS` | deadline of a request |
 //! | `idempotent SERVICE METHOD PREFIX` | requests that may run more than once |
 //! | `stream SERVICE PREFIX` | paths with long-lived responses, which need no slot and have no deadline |
-//! | `withdraw SERVICE` | all hosts reject new flows to the service |
+//! | `withdraw SERVICE` | no host accepts new flows to the service |
 //! | `drain IP:PORT` | the host at this inner address accepts no new flows |
-//! | `key N` | a valid route key; the one with the highest number seals new tokens |
+//! | `key N` | declares a valid route key; the one with the highest number seals new tokens |
 
 use std::net::SocketAddrV4;
 use std::num::NonZeroU16;
@@ -172,8 +172,12 @@
     if word.text == label {
         return Ok(());
     }
-    let message = format!("unexpected word \"{}\", expected \"{label}\"", word.text);
-    Err(line.error_at_word(word, message, &format!("write {label} and its value")))
+    let message = format!("unexpected word \"{}\"", word.text);
+    Err(line.error_at_word(
+        word,
+        message,
+        &format!("expected \"{label}\" and its value"),
+    ))
 }
 
 fn parse_labelled<T: std::str::FromStr>(
--- a/crates/rules/src/rule_set.rs
+++ b/crates/rules/src/rule_set.rs
@@ -110,7 +110,7 @@
         Some(self.zones[index].id)
     }
 
-    /// Returns whether there is a drain rule for the host at this inner address.
+    /// Returns whether a drain rule applies to the host at this inner address.
     pub fn is_drained(&self, host: SocketAddrV4) -> bool {
         self.drained_hosts.binary_search(&host).is_ok()
     }
--- a/crates/rules/src/service_rule.rs
+++ b/crates/rules/src/service_rule.rs
@@ -51,7 +51,7 @@
     pub stream_prefixes: Vec<String>,
     /// Weights of the hosts, sorted by zone; zones without a rule are missing.
     pub zone_weights: Vec<ZoneWeight>,
-    /// Whether all hosts reject new flows to the service.
+    /// Whether a withdraw rule stops new flows to the service.
     pub is_withdrawn: bool,
 }
 
