--- a/crates/platform/src/change.rs
+++ b/crates/platform/src/change.rs
@@ -14,8 +14,8 @@
 //!   delayed and still take effect, so exactly the same write is sent again.
 //! - If the revision is higher, the write can no longer take effect, and the change is
 //!   merged into the new configuration.
-//! - If so many other changes followed that the record would no longer list the change,
-//!   the outcome remains unknown.
+//! - If so many other changes followed that the record no longer lists changes of that
+//!   age, the outcome remains unknown.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -193,8 +193,8 @@
         }
     }
 
-    /// Returns the step that follows the event. If that step could not start before the
-    /// deadline, the change ends.
+    /// Returns the step that follows an event. If that step would start at the deadline or
+    /// later, the change ends instead.
     pub fn handle_event(&mut self, event: ChangeEvent, now: MonotonicTime) -> ChangeStep {
         match event {
             ChangeEvent::Read(stored) if stored.revision < self.latest_revision => {
--- a/crates/platform/src/record.rs
+++ b/crates/platform/src/record.rs
@@ -22,8 +22,7 @@
 /// Number of past configurations that are stored.
 pub const HISTORY_SLOTS: u64 = 32;
 
-/// Prefix of the keys of the entry addresses: addresses of processes through which
-/// other processes can join.
+/// Prefix of the keys of the entry addresses, which processes contact to join the fleet.
 pub const ENTRY_PREFIX: &str = "/hyssopstair/entry/";
 
 /// Maximum number of stored entry addresses.
@@ -129,8 +128,8 @@
         Some(change.version)
     }
 
-    /// Returns whether the record would still list a change that created `version`.
-    /// If so, a change that it does not list was never written.
+    /// Returns whether the record lists all changes from `version` on. If it does, a change
+    /// that would have created this version and is not listed was never written.
     pub fn covers_version(&self, version: u64) -> bool {
         let oldest_version = self.changes.first().map_or(0, |change| change.version);
         self.changes.len() < MAX_RECORDED_CHANGES || oldest_version <= version
--- a/crates/platform/src/update.rs
+++ b/crates/platform/src/update.rs
@@ -1,11 +1,12 @@
 //! Sends newer configurations from one process to another.
 //!
-//! A process stores the line edits between its latest versions, limited in number and
-//! size. A peer whose version is among these receives the edits; any other peer
-//! receives the complete text. The receiver applies the edits to its own text and
-//! checks the checksum of each version. If one does not match, it requests the
-//! complete text instead. The checksum detects that the texts of the two processes
-//! differ; it gives no protection against attackers.
+//! A step consists of the line edits that turn the text of one version into that of the
+//! next. A process stores its latest steps, limited in number and size. A peer whose
+//! version is among these receives the steps that follow it; any other peer receives the
+//! complete text. The receiver applies the steps to its own text and checks the checksum
+//! of each version. If one does not match, it requests the complete text instead. The
+//! checksum detects that the texts of the two processes differ; it gives no protection
+//! against attackers.
 
 use std::collections::VecDeque;
 use std::hash::Hasher;
@@ -24,7 +25,8 @@
 /// Maximum number of steps that a process stores.
 pub const MAX_STORED_STEPS: usize = 64;
 
-/// Maximum total size of the encoded edits that a process stores, in bytes.
+/// Maximum total size of the encoded edits of all stored steps, in bytes. A step with
+/// larger edits is not built.
 pub const MAX_EDIT_BYTES: usize = 64 * 1024;
 
 /// Returns the checksum over the number and the text of a version.
@@ -109,7 +111,7 @@
         Some(path)
     }
 
-    /// Returns the total size of the stored edits, in bytes.
+    /// Returns the total size of the encoded edits of the stored steps, in bytes.
     pub fn edit_bytes(&self) -> usize {
         self.edit_bytes
     }
@@ -138,7 +140,7 @@
 pub enum PeerUpdate {
     /// The peer sent no newer configuration.
     Nothing,
-    /// The peer sent edits that do not apply to the text of this process. The complete
+    /// The peer sent steps that do not apply to the text of this process. The complete
     /// text must be requested.
     Mismatch,
     /// The peer sent a newer configuration.
--- a/crates/platform/tests/support/mod.rs
+++ b/crates/platform/tests/support/mod.rs
@@ -51,7 +51,7 @@
     AddLine,
     /// Replaces a line that other operators replace too.
     ReplaceLine,
-    /// Removes a line, if it is a drain rule.
+    /// Removes a line if it is a drain rule.
     RemoveLine,
     /// Adds a drain rule with the drain command.
     Drain,
--- a/crates/platform/tests/update.rs
+++ b/crates/platform/tests/update.rs
@@ -1,4 +1,4 @@
-//! Tests of configuration updates that are sent as line edits.
+//! Tests of configuration updates that are sent as steps of line edits.
 
 use expect_test::expect;
 use hyssopstair_platform::record::deflate_text;
@@ -227,8 +227,8 @@
         ..ProptestConfig::with_cases(1_000)
     })]
 
-    /// Checks that the stored steps lead from each version to the last one, and that they
-    /// never turn a text with an additional line into another text than the last one.
+    /// Checks that the stored steps lead from each version to the last one. Applied to a
+    /// text with an additional line, they produce the last text or a mismatch.
     #[test]
     fn steps_reproduce_the_last_text_from_each_version(
         texts in vec(vec("[ab]{0,2}", 0..12), 2..8),
