--- a/crates/rules/src/carry_settings.rs
+++ b/crates/rules/src/carry_settings.rs
@@ -29,7 +29,7 @@
     /// Availability zone of the instance.
     pub zone: String,
     /// UDP address on which the process receives packets; on a balancer, those of
-    /// callers. Packets to callers are sent to the same port number.
+    /// callers. Packets to a caller are sent to this port at the address of the caller.
     pub packets: SocketAddrV4,
     /// HTTP address of the readiness check.
     pub readiness: SocketAddrV4,
--- a/crates/rules/src/edit.rs
+++ b/crates/rules/src/edit.rs
@@ -2,7 +2,8 @@
 //!
 //! Each line is a rule of its own, and the order of the rules has no meaning. Two
 //! edits therefore conflict only if both change the same line of their common base.
-//! If both add lines at the same position, all of these lines are kept.
+//! If both add lines at the same position, all of these lines are kept, and equal ones
+//! appear once.
 
 use std::time::Instant;
 
