--- a/crates/hyssopstair/src/commands/check.rs
+++ b/crates/hyssopstair/src/commands/check.rs
@@ -11,7 +11,7 @@
 use crate::ops::rule_file::read_rule_file;
 use crate::shell::ConsoleShell;
 
-/// Validates a rule file and lists all mistakes.
+/// Validates a rule file and lists all errors in it.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "check")]
 pub struct CheckArgs {
--- a/crates/hyssopstair/src/commands/drain.rs
+++ b/crates/hyssopstair/src/commands/drain.rs
@@ -15,7 +15,7 @@
 use crate::ops::runtime::block_on;
 use crate::shell::ConsoleShell;
 
-/// Adds a drain rule for a host, which then accepts no new flows and requests and
+/// Adds a drain rule for a host, which then accepts no new flows or requests and
 /// keeps those it has.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "drain")]
--- a/crates/hyssopstair/src/ops/change_report.rs
+++ b/crates/hyssopstair/src/ops/change_report.rs
@@ -1,4 +1,4 @@
-//! Describes the outcome of a change that did not take effect.
+//! Describes the outcome of a change as an error for the operator.
 
 use hyssopstair_platform::change::ChangeOutcome;
 use hyssopstair_rules::edit::LineConflict;
@@ -28,7 +28,7 @@
             format!(
                 "nothing was written: the rules are invalid when merged with version \
                  {version}\n{}",
-                format_mistakes(text, errors)
+                format_errors(text, errors)
             ),
         ),
         ChangeOutcome::NotWritten => CommandError::new(
@@ -70,10 +70,10 @@
     lines.join("\n          ")
 }
 
-fn format_mistakes(text: &str, errors: &[RuleError]) -> String {
-    let describe = |mistake: &RuleError| {
-        let line = text.lines().nth(mistake.line - 1).unwrap_or_default();
-        format!("{mistake}\n  {line}")
+fn format_errors(text: &str, errors: &[RuleError]) -> String {
+    let describe = |error: &RuleError| {
+        let line = text.lines().nth(error.line - 1).unwrap_or_default();
+        format!("{error}\n  {line}")
     };
     errors.iter().map(describe).collect::<Vec<_>>().join("\n")
 }
--- a/crates/hyssopstair/src/ops/confirm.rs
+++ b/crates/hyssopstair/src/ops/confirm.rs
@@ -110,8 +110,8 @@
         }
     }
 
-    /// Waits until all daemons report `version` or a higher one. Returns a
-    /// description of each daemon that does not after `timeout`; empty if all do.
+    /// Waits until all daemons report `version` or a higher one, but at most for
+    /// `timeout`. Returns a description of each daemon that has not confirmed by then.
     pub async fn wait_until_confirmed(&self, version: u64, timeout: Duration) -> Vec<String> {
         let deadline = Instant::now() + timeout;
         loop {
--- a/crates/hyssopstair/src/ops/drain.rs
+++ b/crates/hyssopstair/src/ops/drain.rs
@@ -8,7 +8,7 @@
 use crate::error::FailureKind;
 use crate::ops::daemon::DaemonClient;
 
-/// Returns the name of the requester without surrounding white space. The name is
+/// Returns the name of the requester without surrounding whitespace. The name is
 /// written to the comment of a rule, which ends with the line.
 ///
 /// # Errors
--- a/crates/hyssopstair/src/ops/load/backends.rs
+++ b/crates/hyssopstair/src/ops/load/backends.rs
@@ -1,8 +1,8 @@
 //! Fetches the reports of backend servers, and evaluates which requests ran twice
 //! and how evenly the servers were used.
 //!
-//! The report of a backend server logs each request that ran there, also those whose
-//! response did not reach the caller.
+//! The report of a backend server lists each request that ran there, including those
+//! whose response did not reach the caller.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -22,7 +22,7 @@
 /// Work of a non-idempotent request, relative to that of an idempotent one.
 const NON_IDEMPOTENT_WORK: u64 = 2;
 
-/// A run of a request.
+/// A run of a request on a backend server.
 #[derive(Debug, Clone, Deserialize)]
 pub struct RunRecord {
     /// The method and path, separated by a space.
@@ -133,8 +133,8 @@
     }
 }
 
-/// Returns the number of runs beyond the first of non-idempotent requests.
-/// `is_non_idempotent` decides by the method and path of a request.
+/// Returns the number of repeated runs of non-idempotent requests: of each request, all
+/// runs except the first. `is_non_idempotent` decides by the method and path.
 pub fn count_repeated_runs(
     backends: &[BackendReport],
     is_non_idempotent: impl Fn(&str) -> bool,
--- a/crates/hyssopstair/src/ops/load/caller.rs
+++ b/crates/hyssopstair/src/ops/load/caller.rs
@@ -171,8 +171,9 @@
         self.send(request, body).await
     }
 
-    /// Returns why the flow broke, or `None` if it is open or was closed gracefully:
-    /// the service announced the end, and no request was in progress.
+    /// Returns why the flow broke, or `None` if it is open or was closed gracefully.
+    /// A service closes a flow gracefully after it has announced the end and has
+    /// answered all requests.
     pub fn failure_reason(&self) -> Option<CallerError> {
         let reason = self.connection.close_reason()?;
         if is_graceful_close(&reason) {
--- a/crates/hyssopstair/src/ops/load/compare.rs
+++ b/crates/hyssopstair/src/ops/load/compare.rs
@@ -76,7 +76,7 @@
     }
 }
 
-/// Sets a number, and keeps `numbers` sorted by name.
+/// Sets a number in the column of one report. `numbers` stays sorted by name.
 fn set_number(
     name: &str,
     value: Option<f64>,
--- a/crates/hyssopstair/src/ops/load/faults.rs
+++ b/crates/hyssopstair/src/ops/load/faults.rs
@@ -40,8 +40,8 @@
 }
 
 fn send_signal(kind: SignalKind, pid_file: &Path) -> Result<(), String> {
-    let text =
-        fs::read_to_string(pid_file).map_err(|error| format!("{}: {error}", pid_file.display()))?;
+    let text = fs::read_to_string(pid_file)
+        .map_err(|error| format!("failed to read {}: {error}", pid_file.display()))?;
     let pid: i32 = text
         .trim()
         .parse()
--- a/crates/hyssopstair/src/ops/load/groups.rs
+++ b/crates/hyssopstair/src/ops/load/groups.rs
@@ -36,9 +36,9 @@
     /// Time during which the rates increase linearly from 0, in seconds.
     pub ramp_seconds: f64,
     /// Share of the requests that carry a sampled trace context, from 0 to 1.
-    pub traced: f64,
+    pub traced_share: f64,
     /// Random part of the names of requests and feeds, which distinguishes them from
-    /// those of earlier loads in the run logs.
+    /// those of earlier loads in the reports of the backend servers.
     pub run_id: String,
 }
 
@@ -90,7 +90,7 @@
         }
         let due = context.start + arrival;
         tokio::time::sleep_until(due.into()).await;
-        let is_traced = rng.random_bool(context.traced);
+        let is_traced = rng.random_bool(context.traced_share);
         let trace = is_traced.then(|| sampled_trace_context(&mut rng));
         let plan = RequestPlan {
             group: group.clone(),
@@ -116,7 +116,8 @@
     tasks
 }
 
-/// Returns the flow for a request: the requests of a group use its flows in turn.
+/// Returns the flow for the request with this number, or `None` if it is not open. The
+/// requests of a group use its flows in turn.
 fn get_flow(slots: &[FlowSlot], number: usize) -> Option<TicketFlow> {
     lock(&slots[number % slots.len()]).clone()
 }
--- a/crates/hyssopstair/src/ops/load/mod.rs
+++ b/crates/hyssopstair/src/ops/load/mod.rs
@@ -5,7 +5,7 @@
 //! - [`caller`] opens flows and sends requests over them.
 //! - [`groups`] and [`requests`] send the requests of a group and retry them.
 //! - [`feeds`] keeps feeds open, and [`faults`] injects faults.
-//! - [`tally`] counts results, and [`backends`] fetches the run logs of the backend
+//! - [`tally`] counts results, and [`backends`] fetches the reports of the backend
 //!   servers; [`report`] combines both.
 //! - [`plot`] draws a report, and [`compare`] compares two of them.
 
@@ -66,7 +66,7 @@
         start,
         duration: Duration::from_secs_f64(workload.seconds),
         ramp_seconds: workload.ramp_seconds,
-        traced: workload.traced,
+        traced_share: workload.traced,
         run_id: format!("{:08x}", rand::random::<u32>()),
     };
     let progress_task = tokio::spawn(print_progress(tally.clone(), progress));
@@ -90,8 +90,8 @@
     for service in &workload.services {
         spawn_feeds(service, context, &mut tasks);
         for group in &service.requests {
-            // Each group has its own sequence of arrivals. The step is 2 because a
-            // group also uses the seed that follows its own, to draw trace contexts.
+            // Each group has its own seed, for the times of its requests. A group also uses
+            // the next seed, to draw trace contexts, so the seed increases by 2.
             seed = seed.wrapping_add(2);
             let task = groups::run_group(context.clone(), service.clone(), group.clone(), seed);
             tasks.push(tokio::spawn(task));
--- a/crates/hyssopstair/src/ops/load/report.rs
+++ b/crates/hyssopstair/src/ops/load/report.rs
@@ -1,4 +1,4 @@
-//! The report of a load, which combines the callers' counts with the run logs of the
+//! The report of a load, which combines the callers' counts with the reports of the
 //! backend servers.
 
 use serde::Serialize;
@@ -31,7 +31,8 @@
     /// The counts of requests and flows.
     #[serde(flatten)]
     pub counts: LoadCounts,
-    /// Runs beyond the first of non-idempotent requests.
+    /// Repeated runs of non-idempotent requests: of each request, all runs except the
+    /// first.
     pub doubled: u64,
     /// Requests that reached a backend server of the wrong service.
     pub wrong_service: u64,
@@ -127,8 +128,8 @@
     }
 }
 
-/// Returns whether a request of a run log, given by its method and path, belongs to a
-/// group of non-idempotent requests.
+/// Returns whether a request in the report of a backend server, given by its method and
+/// path, belongs to a group of non-idempotent requests.
 fn is_non_idempotent(workload: &LoadWorkload, request: &str) -> bool {
     let groups = workload.services.iter().flat_map(|item| &item.requests);
     groups.filter(|group| !group.is_idempotent()).any(|group| {
--- a/crates/hyssopstair/src/ops/load/requests.rs
+++ b/crates/hyssopstair/src/ops/load/requests.rs
@@ -115,7 +115,7 @@
 pub struct RequestPlan {
     /// The group that the request belongs to.
     pub group: RequestLoad,
-    /// A unique name, by which the run logs of the backend servers show whether the
+    /// A unique name, by which the reports of the backend servers show whether the
     /// request ran twice.
     pub name: String,
     /// When the request is due; latency is measured from this time.
@@ -175,8 +175,8 @@
 }
 
 /// Sends a non-idempotent request with a ticket, up to [`MAX_ATTEMPTS`] times.
-/// Returns the first response that does not ask for a ticket, or else the result of
-/// the last attempt.
+/// Returns the first response whose status is not 428 (a ticket is required), or else
+/// the result of the last attempt.
 async fn send_with_ticket(
     flow: &TicketFlow,
     fallback: &TicketFlow,
@@ -195,8 +195,8 @@
                 }
                 request.key = flow.take_ticket();
             }
-            // The ticket was not used, but the flow of its issuer is draining: the
-            // other flow needs a ticket of its own.
+            // The request was not sent, for example because the flow is draining. Its
+            // ticket belongs to this flow; the other flow needs a ticket of its own.
             Err(CallerError::Unsent(_)) => {
                 flow = fallback;
                 request.key = flow.take_ticket();
--- a/crates/hyssopstair/src/ops/load/tally.rs
+++ b/crates/hyssopstair/src/ops/load/tally.rs
@@ -26,9 +26,9 @@
     pub requests_asked: u64,
     /// Requests that ran and whose complete response arrived.
     pub done: u64,
-    /// The part of `done` that is not idempotent.
+    /// The non-idempotent requests among those in `done`.
     pub done_once: u64,
-    /// Requests that were rejected or not sent, and so did not run.
+    /// Requests that did not run: their response says so, or they were not sent.
     pub not_run: u64,
     /// Requests of which it is unknown whether they ran.
     pub may_have_run: u64,
@@ -47,7 +47,7 @@
 pub struct SecondSample {
     /// Requests that ran and whose complete response arrived.
     pub done: u64,
-    /// Requests that were rejected or not sent, and so did not run.
+    /// Requests that did not run: their response says so, or they were not sent.
     pub not_run: u64,
     /// Requests of which it is unknown whether they ran.
     pub may_have_run: u64,
@@ -143,12 +143,12 @@
         state.record_error(format!("open: {error}"));
     }
 
-    /// Counts a flow that ended unexpectedly, and records the error. `part` is the
+    /// Counts a flow that ended unexpectedly, and records the error. `prefix` is the
     /// prefix of the error message: `flow` or `feed`.
-    pub fn record_flow_broken(&self, part: &str, error: &CallerError) {
+    pub fn record_flow_broken(&self, prefix: &str, error: &CallerError) {
         let mut state = self.lock();
         state.counts.flows_broken += 1;
-        state.record_error(format!("{part}: {error}"));
+        state.record_error(format!("{prefix}: {error}"));
     }
 
     /// Counts a request that got a response. Its latency is measured from `due` to
--- a/crates/hyssopstair/src/ops/load/workload.rs
+++ b/crates/hyssopstair/src/ops/load/workload.rs
@@ -53,7 +53,7 @@
     /// Groups of requests.
     #[serde(default)]
     pub requests: Vec<RequestLoad>,
-    /// Addresses of the backend servers from which run logs are fetched.
+    /// Addresses of the backend servers whose reports are fetched.
     #[serde(default)]
     pub backends: Vec<SocketAddr>,
 }
@@ -153,8 +153,8 @@
 ///
 /// # Errors
 ///
-/// Returns an error if the file cannot be read or is invalid; it names the line or
-/// field of the first mistake.
+/// Returns an error if the file cannot be read or is invalid. It names the line or
+/// field of the first invalid value.
 pub fn read_workload(path: &Path) -> Result<LoadWorkload, Report<CommandError>> {
     let context = || {
         CommandError::new(
@@ -168,7 +168,7 @@
         .change_context_lazy(context)
 }
 
-/// The first mistake found in a workload.
+/// The first error found in a workload file.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum WorkloadError {
     /// The text is not valid YAML, or a field is unknown, missing or of the wrong
@@ -191,7 +191,7 @@
 ///
 /// # Errors
 ///
-/// Returns an error for the first mistake, which names its line or field.
+/// Returns the first error in the text, which names its line or field.
 pub fn parse_workload(text: &str) -> Result<LoadWorkload, WorkloadError> {
     let workload: LoadWorkload =
         serde_saphyr::from_str(text).map_err(|error| WorkloadError::Syntax(error.to_string()))?;
--- a/crates/hyssopstair/src/ops/rule_file.rs
+++ b/crates/hyssopstair/src/ops/rule_file.rs
@@ -29,16 +29,16 @@
 ///
 /// # Errors
 ///
-/// Returns an error that lists all mistakes, with the line numbers of the file; the
-/// line that names the version counts.
+/// Returns an error that lists all errors in the file. Their line numbers count the
+/// line that names the version, if there is one.
 pub fn parse_rules(path: &Path, edited: &EditedRules) -> Result<RuleSet, Report<CommandError>> {
     let skipped_lines = usize::from(edited.base_version.is_some());
-    RuleSet::parse(&edited.text).map_err(|mistakes| {
-        let list: Vec<String> = mistakes
+    RuleSet::parse(&edited.text).map_err(|errors| {
+        let list: Vec<String> = errors
             .into_iter()
-            .map(|mut mistake| {
-                mistake.line += skipped_lines;
-                format!("{}: {mistake}", path.display())
+            .map(|mut error| {
+                error.line += skipped_lines;
+                format!("{}: {error}", path.display())
             })
             .collect();
         Report::new(CommandError::new(
--- a/crates/hyssopstair/src/ops/status.rs
+++ b/crates/hyssopstair/src/ops/status.rs
@@ -14,8 +14,9 @@
 /// Number of daemons that are queried at the same time.
 const MAX_CONCURRENT_QUERIES: usize = 32;
 
-/// Number of daemons that a finding lists by name; the others are counted.
-const MAX_LISTED_ITEMS: usize = 5;
+/// Maximum number of daemons that a finding lists by address; the others are only
+/// counted.
+const MAX_LISTED_DAEMONS: usize = 5;
 
 /// The state of one daemon.
 #[derive(Debug, Serialize)]
@@ -209,8 +210,8 @@
 }
 
 fn join_limited(items: &[String]) -> String {
-    let listed = items[..items.len().min(MAX_LISTED_ITEMS)].join(", ");
-    match items.len().saturating_sub(MAX_LISTED_ITEMS) {
+    let listed = items[..items.len().min(MAX_LISTED_DAEMONS)].join(", ");
+    match items.len().saturating_sub(MAX_LISTED_DAEMONS) {
         0 => listed,
         more => format!("{listed} and {more} more"),
     }
