--- a/crates/hyssopstair/src/ops/load/tally.rs
+++ b/crates/hyssopstair/src/ops/load/tally.rs
@@ -246,7 +246,7 @@
 }
 
 fn new_histogram() -> Histogram<u64> {
-    Histogram::new(LATENCY_SIGNIFICANT_DIGITS).expect("3 digits are allowed")
+    Histogram::new(LATENCY_SIGNIFICANT_DIGITS).expect("the number of significant digits is valid")
 }
 
 fn quantile_millis(histogram: &Histogram<u64>, quantile: f64) -> f64 {
--- a/crates/requests/src/ticket.rs
+++ b/crates/requests/src/ticket.rs
@@ -28,11 +28,11 @@
 /// Prefix of the text form of a ticket.
 pub const TICKET_PREFIX: &str = "hyt1-";
 
-/// Length of the authenticated fields, in bytes.
-const BODY_LENGTH: usize = 26;
+/// Length of the authenticated fields.
+const BODY_BYTES: usize = 26;
 
-/// Length of a ticket with its tag, in bytes.
-const TICKET_LENGTH: usize = 34;
+/// Length of a ticket with its tag.
+const TICKET_BYTES: usize = 34;
 
 /// The sequence number of a ticket within one incarnation of its issuer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -87,14 +87,14 @@
 
     /// Returns the text form of a ticket with its authentication tag.
     pub fn encode_ticket(&self, ticket: &RequestTicket) -> String {
-        let mut bytes = [0; TICKET_LENGTH];
+        let mut bytes = [0; TICKET_BYTES];
         bytes[0..4].copy_from_slice(&ticket.issuer.address.ip().octets());
         bytes[4..6].copy_from_slice(&ticket.issuer.address.port().to_be_bytes());
         bytes[6..10].copy_from_slice(&ticket.issuer.incarnation.0.to_be_bytes());
         bytes[10..18].copy_from_slice(&ticket.number.0.to_be_bytes());
         bytes[18..26].copy_from_slice(&ticket.expiry.0.to_be_bytes());
-        let tag = self.tag(&bytes[..BODY_LENGTH]);
-        bytes[BODY_LENGTH..].copy_from_slice(&tag);
+        let tag = self.tag(&bytes[..BODY_BYTES]);
+        bytes[BODY_BYTES..].copy_from_slice(&tag);
         encode_hex(&bytes)
     }
 
@@ -106,7 +106,7 @@
     /// match, which means that no process of this fleet issued the ticket.
     pub fn decode_ticket(&self, text: &str) -> Result<RequestTicket, TicketError> {
         let bytes = decode_hex(text).ok_or(TicketError::Malformed)?;
-        if self.tag(&bytes[..BODY_LENGTH]) != bytes[BODY_LENGTH..] {
+        if self.tag(&bytes[..BODY_BYTES]) != bytes[BODY_BYTES..] {
             return Err(TicketError::WrongTag);
         }
         let ip = Ipv4Addr::new(bytes[0], bytes[1], bytes[2], bytes[3]);
@@ -133,7 +133,7 @@
         RequestFingerprint(hasher.finish128().as_u128())
     }
 
-    fn tag(&self, body: &[u8]) -> [u8; TICKET_LENGTH - BODY_LENGTH] {
+    fn tag(&self, body: &[u8]) -> [u8; TICKET_BYTES - BODY_BYTES] {
         let mut hasher = SipHasher24::new_with_key(&self.secret);
         hasher.write(body);
         hasher.finish().to_be_bytes()
@@ -156,12 +156,12 @@
     text
 }
 
-fn decode_hex(text: &str) -> Option<[u8; TICKET_LENGTH]> {
+fn decode_hex(text: &str) -> Option<[u8; TICKET_BYTES]> {
     let digits = text.strip_prefix(TICKET_PREFIX)?.as_bytes();
-    if digits.len() != 2 * TICKET_LENGTH {
+    if digits.len() != 2 * TICKET_BYTES {
         return None;
     }
-    let mut bytes = [0; TICKET_LENGTH];
+    let mut bytes = [0; TICKET_BYTES];
     for (byte, pair) in bytes.iter_mut().zip(digits.chunks_exact(2)) {
         *byte = 16 * parse_hex_digit(pair[0])? + parse_hex_digit(pair[1])?;
     }
--- a/crates/requests/tests/tickets.rs
+++ b/crates/requests/tests/tickets.rs
@@ -22,7 +22,7 @@
 
 const START: MonotonicTime = MonotonicTime::from_millis(1_000);
 const LATER: MonotonicTime = MonotonicTime::from_millis(5_000);
-const BODY: RequestFingerprint = RequestFingerprint(1);
+const FINGERPRINT: RequestFingerprint = RequestFingerprint(1);
 
 fn process_id(incarnation: u32) -> ProcessId {
     ProcessId {
@@ -56,17 +56,23 @@
 fn second_copy_waits_and_receives_the_stored_reply() {
     let mut ledger = ledger();
     let ticket = ledger.issue(START);
-    assert_eq!(ledger.claim(&ticket, BODY, START), TicketDecision::Run);
-    assert_eq!(ledger.claim(&ticket, BODY, START), TicketDecision::Wait);
+    assert_eq!(
+        ledger.claim(&ticket, FINGERPRINT, START),
+        TicketDecision::Run
+    );
+    assert_eq!(
+        ledger.claim(&ticket, FINGERPRINT, START),
+        TicketDecision::Wait
+    );
     assert_eq!(ledger.hand_over(ticket.number, LATER, START), Ok(()));
     let reply: std::sync::Arc<[u8]> = b"enrolled".as_slice().into();
     ledger.record_outcome(ticket.number, RunOutcome::Done(Some(reply.clone())));
     assert_eq!(
-        ledger.claim(&ticket, BODY, LATER),
+        ledger.claim(&ticket, FINGERPRINT, LATER),
         TicketDecision::Replay(Some(reply.clone()))
     );
     assert_eq!(
-        ledger.settle(&ticket, BODY, LATER),
+        ledger.settle(&ticket, FINGERPRINT, LATER),
         SettleDecision::Done(Some(reply))
     );
     assert_eq!(
@@ -79,8 +85,14 @@
 fn settled_ticket_cannot_be_claimed() {
     let mut ledger = ledger();
     let ticket = ledger.issue(START);
-    assert_eq!(ledger.settle(&ticket, BODY, START), SettleDecision::NotRun);
-    assert_eq!(ledger.claim(&ticket, BODY, START), TicketDecision::NotRun);
+    assert_eq!(
+        ledger.settle(&ticket, FINGERPRINT, START),
+        SettleDecision::NotRun
+    );
+    assert_eq!(
+        ledger.claim(&ticket, FINGERPRINT, START),
+        TicketDecision::NotRun
+    );
 }
 
 #[test]
@@ -88,19 +100,22 @@
     let mut ledger = ledger();
     let ticket = ledger.issue(START);
     let deadline = LATER + TICKET_LIFETIME * 2;
-    ledger.claim(&ticket, BODY, START);
+    ledger.claim(&ticket, FINGERPRINT, START);
     assert_eq!(
         ledger.hand_over(ticket.number, deadline, START + TICKET_LIFETIME),
         Err(HandOverError::Expired)
     );
-    assert_eq!(ledger.claim(&ticket, BODY, START), TicketDecision::NotRun);
+    assert_eq!(
+        ledger.claim(&ticket, FINGERPRINT, START),
+        TicketDecision::NotRun
+    );
 }
 
 #[test]
 fn request_past_its_deadline_is_not_handed_over() {
     let mut ledger = ledger();
     let ticket = ledger.issue(START);
-    ledger.claim(&ticket, BODY, START);
+    ledger.claim(&ticket, FINGERPRINT, START);
     assert_eq!(
         ledger.hand_over(ticket.number, LATER, LATER),
         Err(HandOverError::DeadlinePassed)
@@ -115,11 +130,11 @@
         TicketLedger::new(process_id(8), LedgerLimits::default(), TicketNumber(100));
     new_ledger.issue(START);
     assert_eq!(
-        new_ledger.claim(&ticket, BODY, START),
+        new_ledger.claim(&ticket, FINGERPRINT, START),
         TicketDecision::MayHaveRun
     );
     assert_eq!(
-        new_ledger.settle(&ticket, BODY, START),
+        new_ledger.settle(&ticket, FINGERPRINT, START),
         SettleDecision::MayHaveRun
     );
 }
@@ -129,18 +144,21 @@
     let mut ledger = ledger();
     let claimed = ledger.issue(START);
     let unused = ledger.issue(START + Duration::from_secs(1));
-    ledger.claim(&claimed, BODY, START);
+    ledger.claim(&claimed, FINGERPRINT, START);
     ledger.hand_over(claimed.number, LATER, START).unwrap();
     ledger.record_outcome(claimed.number, RunOutcome::Done(None));
     let late = START + TICKET_LIFETIME * 2;
     let new_ticket = ledger.issue(late);
-    ledger.claim(&new_ticket, BODY, late);
+    ledger.claim(&new_ticket, FINGERPRINT, late);
     assert_eq!(ledger.record_count(), 1);
     assert_eq!(
-        ledger.claim(&claimed, BODY, late),
+        ledger.claim(&claimed, FINGERPRINT, late),
         TicketDecision::MayHaveRun
     );
-    assert_eq!(ledger.claim(&unused, BODY, late), TicketDecision::NotRun);
+    assert_eq!(
+        ledger.claim(&unused, FINGERPRINT, late),
+        TicketDecision::NotRun
+    );
 }
 
 #[test]
@@ -149,7 +167,7 @@
     let tickets: Vec<_> = (0..6).map(|_| ledger.issue(START)).collect();
     let decisions: Vec<_> = tickets
         .iter()
-        .map(|ticket| ledger.claim(ticket, BODY, START))
+        .map(|ticket| ledger.claim(ticket, FINGERPRINT, START))
         .collect();
     expect!["[Run, Run, Run, Run, NotRun, NotRun]"].assert_eq(&format!("{decisions:?}"));
     ledger.record_outcome(tickets[0].number, RunOutcome::MayHaveRun);
@@ -157,10 +175,16 @@
     ledger.hand_over(tickets[1].number, late, START).unwrap();
     // The record of a running request is kept after its ticket has expired.
     let new_ticket = ledger.issue(late);
-    assert_eq!(ledger.claim(&new_ticket, BODY, late), TicketDecision::Run);
-    assert_eq!(ledger.claim(&tickets[1], BODY, late), TicketDecision::Wait);
     assert_eq!(
-        ledger.claim(&tickets[5], BODY, late),
+        ledger.claim(&new_ticket, FINGERPRINT, late),
+        TicketDecision::Run
+    );
+    assert_eq!(
+        ledger.claim(&tickets[1], FINGERPRINT, late),
+        TicketDecision::Wait
+    );
+    assert_eq!(
+        ledger.claim(&tickets[5], FINGERPRINT, late),
         TicketDecision::MayHaveRun
     );
 }
--- a/crates/telemetry/examples/telemetry_cost.rs
+++ b/crates/telemetry/examples/telemetry_cost.rs
@@ -18,8 +18,8 @@
 use hyssopstair_wire::packet::TraceContext;
 use hyssopstair_wire::time::MonotonicTime;
 
-/// Number of events per thread in each measurement.
-const EVENTS: u32 = 2_000_000;
+/// Number of events that each thread runs in a measurement.
+const EVENTS_PER_THREAD: u32 = 2_000_000;
 
 fn main() {
     let attributes = ProcessAttributes {
@@ -69,9 +69,9 @@
     let start = Instant::now();
     thread::scope(|scope| {
         for _ in 0..threads {
-            scope.spawn(|| (0..EVENTS).for_each(|_| event()));
+            scope.spawn(|| (0..EVENTS_PER_THREAD).for_each(|_| event()));
         }
     });
-    let nanos = start.elapsed().as_nanos() as f64 / f64::from(EVENTS);
+    let nanos = start.elapsed().as_nanos() as f64 / f64::from(EVENTS_PER_THREAD);
     println!("{name}: {nanos:.1} ns");
 }
