--- a/crates/rules/src/edit.rs
+++ b/crates/rules/src/edit.rs
@@ -42,7 +42,7 @@
 }
 
 /// Returns the edits that turn `old` into `new`. The search for the shortest edits ends
-/// at the deadline; edits that are found by then are correct but may be longer than
+/// at the deadline; the edits are correct in any case, but may then be longer than
 /// necessary.
 pub fn diff_lines_until(old: &str, new: &str, deadline: Option<Instant>) -> Vec<LineEdit> {
     let old: Vec<&str> = old.lines().collect();
