--- a/crates/rules/src/edit.rs
+++ b/crates/rules/src/edit.rs
@@ -2,7 +2,8 @@
 //!
 //! Each line is a rule of its own, and the order of the rules has no meaning. Two
 //! edits therefore conflict only if both change the same line of their common base.
-//! If both add lines at the same position, all of these lines are kept.
+//! If both add lines at the same position, all of these lines are kept, and equal ones
+//! appear once.
 
 use std::time::Instant;
 
@@ -40,8 +41,8 @@
     diff_lines_until(old, new, None)
 }
 
-/// Returns the edits that turn `old` into `new`. If the deadline passes before the
-/// search for the shortest edits ends, they are correct but may be longer than
+/// Returns the edits that turn `old` into `new`. The search for the shortest edits ends
+/// at the deadline; the edits are correct in any case, but may then be longer than
 /// necessary.
 pub fn diff_lines_until(old: &str, new: &str, deadline: Option<Instant>) -> Vec<LineEdit> {
     let old: Vec<&str> = old.lines().collect();
