--- a/crates/soak/src/caller.rs
+++ b/crates/soak/src/caller.rs
@@ -20,15 +20,15 @@
 use tokio::time::sleep;
 use tokio::time::timeout;
 
-use crate::judge::RequestOutcome;
-use crate::judge::SoakJudge;
+use crate::checker::RequestOutcome;
+use crate::checker::SoakChecker;
 use crate::network::PACKET_PORT;
 use crate::router::SoakRouter;
 use crate::server::build_answer;
 use crate::server::request_prefix;
 
-/// Times after the first opening packet at which it is retransmitted. At the last of them
-/// the caller gives up.
+/// Times since the first opening packet at which the caller retransmits it. At the last one,
+/// the caller gives up instead.
 const OPENING_TIMEOUTS: [Duration; 3] = [
     Duration::from_millis(200),
     Duration::from_millis(600),
@@ -59,7 +59,7 @@
     address: Ipv4Addr,
     socket: UdpSocket,
     router: SoakRouter,
-    judge: Rc<RefCell<SoakJudge>>,
+    checker: Rc<RefCell<SoakChecker>>,
     targets: Vec<SocketAddrV4>,
     random: SmallRng,
     /// Port of the current flow.
@@ -94,7 +94,7 @@
     pub async fn bind(
         address: Ipv4Addr,
         router: SoakRouter,
-        judge: Rc<RefCell<SoakJudge>>,
+        checker: Rc<RefCell<SoakChecker>>,
         targets: Vec<SocketAddrV4>,
         seed: u64,
     ) -> std::io::Result<Self> {
@@ -102,7 +102,7 @@
             address,
             socket: UdpSocket::bind((address, PACKET_PORT)).await?,
             router,
-            judge,
+            checker,
             targets,
             random: SmallRng::seed_from_u64(seed),
             port: 1_024,
@@ -112,8 +112,8 @@
     /// Opens flows and sends requests until the task is aborted.
     pub async fn run(mut self) {
         loop {
-            let is_reused = self.random.random_bool(0.6);
-            let request_count = if is_reused {
+            let is_flow_reused = self.random.random_bool(0.6);
+            let request_count = if is_flow_reused {
                 self.random.random_range(2..=MAX_REQUESTS_PER_FLOW)
             } else {
                 1
@@ -123,14 +123,14 @@
                 Err(outcome) => outcome,
             };
             if let Some(outcome) = outcome {
-                self.judge.borrow_mut().count_request(outcome);
+                self.checker.borrow_mut().count_request(outcome);
                 sleep(RETRY_DELAY).await;
             }
         }
     }
 
-    /// Opens a flow. On failure, returns the outcome to count, or `None` if the failure is
-    /// no fault of the system.
+    /// Opens a flow. On failure, returns the outcome to count, or `None` if the flow may
+    /// have failed because a configuration has no route for it.
     async fn open_flow(&mut self) -> Result<CallerFlow, Option<RequestOutcome>> {
         self.port = self.port.checked_add(1).unwrap_or(1_024);
         let target = self.targets[self.random.random_range(0..self.targets.len())];
@@ -178,24 +178,24 @@
         for number in 0..request_count {
             match self.send_request(flow, number).await {
                 RequestOutcome::Answered(elapsed) => {
-                    self.judge
+                    self.checker
                         .borrow_mut()
                         .count_request(RequestOutcome::Answered(elapsed));
                 }
                 outcome => {
-                    self.judge.borrow_mut().record_flow_end(&flow.key);
+                    self.checker.borrow_mut().record_flow_end(&flow.key);
                     return Some(outcome);
                 }
             }
             let delay = self.random.random_range(1..=MAX_REQUEST_DELAY_MILLIS);
             sleep(Duration::from_millis(delay)).await;
         }
-        self.judge.borrow_mut().record_flow_end(&flow.key);
-        let last = PacketHeader {
+        self.checker.borrow_mut().record_flow_end(&flow.key);
+        let finish_header = PacketHeader {
             is_finish: true,
             ..acknowledge_header(&flow.key, flow.send_position, flow.receive_position)
         };
-        self.send_packet(&flow.key, &last, &[]);
+        self.send_packet(&flow.key, &finish_header, &[]);
         None
     }
 
@@ -233,8 +233,8 @@
                 Some(CallerReply::Reset(header, sender)) => {
                     let distance = header.sequence.wrapping_sub(flow.receive_position) as i32;
                     if distance.unsigned_abs() <= RESET_WINDOW_BYTES {
-                        let mut judge = self.judge.borrow_mut();
-                        judge.check_reset(Instant::now(), &flow.key, sender);
+                        let mut checker = self.checker.borrow_mut();
+                        checker.check_reset(Instant::now(), &flow.key, sender);
                         return RequestOutcome::Broken;
                     }
                 }
@@ -248,14 +248,16 @@
     /// Returns the outcome of a request whose flow was refused, or `None` if not all
     /// configurations have a route for the flow.
     fn refused_outcome(&self, key: &FlowKey) -> Option<RequestOutcome> {
-        let judge = self.judge.borrow();
-        judge
+        let checker = self.checker.borrow();
+        checker
             .has_permanent_route(&key.target)
             .then_some(RequestOutcome::Refused)
     }
 
     fn record_finding(&self, text: &str) {
-        self.judge.borrow_mut().record_finding(Instant::now(), text);
+        self.checker
+            .borrow_mut()
+            .record_finding(Instant::now(), text);
     }
 
     fn send_packet(&self, key: &FlowKey, packet: &PacketHeader, data: &[u8]) {
@@ -309,7 +311,8 @@
     }
 }
 
-/// Returns the header of a packet from a caller that has only the acknowledge flag.
+/// Returns the header of a packet from a caller. Of its flags, only the acknowledge flag is
+/// set.
 fn acknowledge_header(key: &FlowKey, sequence: u32, acknowledged: u32) -> PacketHeader {
     PacketHeader {
         source: key.caller,
--- a/crates/soak/src/judge.rs
+++ b/crates/soak/src/checker.rs
@@ -6,8 +6,8 @@
 //! - While the server of an open flow is running, no other process resets the flow, and
 //!   its packets reach no other server.
 //! - A server gets no new flows after its host has acknowledged that it is draining.
-//! - A new flow reaches a service to which a route sends it, by a configuration that was
-//!   in force within the time that changes may take.
+//! - A new flow reaches a service that its route names in the newest configuration, or in
+//!   an older one that was replaced within the time that changes may take.
 //! - No process exits unexpectedly, and the version of its routes never decreases.
 //! - At the end of a run, after a period without faults, requests are answered.
 //!
@@ -25,7 +25,7 @@
 /// Time after a fault or a restart of a process before its invariants are checked again.
 pub const RECOVERY_TIME: Duration = Duration::from_secs(4);
 
-/// Time after a confirmed drain within which new flows may still arrive.
+/// Time after an acknowledged drain within which new flows may still arrive.
 const MAX_DRAIN_DELAY: Duration = Duration::from_secs(3);
 
 /// Time within which a configuration takes effect.
@@ -39,12 +39,12 @@
 /// store.
 const EXTRA_CONFIGURATION_DELAY: Duration = Duration::from_secs(12);
 
-/// Number of packets of a flow at other servers that violates the invariant, if the
-/// flow's own server gets none for [`MISROUTED_TIME`].
-const MISROUTED_LIMIT: u32 = 3;
+/// Minimum number of packets of an open flow at other servers that is a violation. A packet
+/// that reaches the flow's own server resets the number.
+const MISROUTED_PACKET_LIMIT: u32 = 3;
 
-/// See [`MISROUTED_LIMIT`].
-const MISROUTED_TIME: Duration = Duration::from_secs(2);
+/// Minimum time since the first of these packets before they are a violation.
+const MIN_MISROUTED_TIME: Duration = Duration::from_secs(2);
 
 /// Time within which a system without faults answers a request. Answers that take longer
 /// count as late.
@@ -53,12 +53,13 @@
 /// Minimum share of the requests that must be answered at the end of a run.
 const MIN_ANSWERED_SHARE: f64 = 0.9;
 
-/// Maximum number of findings that are kept. Further ones of a kind add no information.
+/// Maximum number of findings that are kept. Further ones of the same kinds
+/// would add no information.
 const MAX_FINDINGS: usize = 20;
 
 /// An open flow and the server that holds it.
 #[derive(Debug)]
-struct JudgedFlow {
+struct TrackedFlow {
     key: FlowKey,
     owner: Ipv4Addr,
     misrouted_count: u32,
@@ -67,9 +68,9 @@
     misrouted_since: Option<Instant>,
 }
 
-/// The routes of a configuration.
+/// The routes of one configuration.
 #[derive(Debug)]
-struct JudgedRoutes {
+struct ConfiguredRoutes {
     written_at: Instant,
     /// Addresses with their services, sorted.
     services: Vec<(SocketAddrV4, String)>,
@@ -133,7 +134,7 @@
 
 /// Records observations and collects violations of the invariants.
 #[derive(Debug)]
-pub struct SoakJudge {
+pub struct SoakChecker {
     started_at: Instant,
     /// End of the last fault of each process.
     fault_until: AddressTimes,
@@ -142,9 +143,9 @@
     /// End of the last fault or planned restart of any process or of the store.
     any_disturbance_until: Instant,
     /// Sorted by key.
-    flows: Vec<JudgedFlow>,
+    flows: Vec<TrackedFlow>,
     /// Routes of all configurations, oldest first.
-    routes: Vec<JudgedRoutes>,
+    routes: Vec<ConfiguredRoutes>,
     /// Address, incarnation and last version of the routes of each process, sorted by
     /// address.
     versions: Vec<(Ipv4Addr, u32, u64)>,
@@ -158,8 +159,8 @@
     pub findings: Vec<String>,
 }
 
-impl SoakJudge {
-    /// Creates a judge without observations, for a run that starts at `now`.
+impl SoakChecker {
+    /// Creates a checker without observations, for a run that starts at `now`.
     pub fn new(now: Instant) -> Self {
         Self {
             started_at: now,
@@ -223,7 +224,7 @@
         mut services: Vec<(SocketAddrV4, String)>,
     ) {
         services.sort();
-        self.routes.push(JudgedRoutes {
+        self.routes.push(ConfiguredRoutes {
             written_at: now,
             services,
         });
@@ -241,7 +242,7 @@
 
     /// Checks a new flow that reached a server of `service` beside `host`.
     pub fn check_opening(&mut self, now: Instant, flow: &FlowKey, service: &str, host: Ipv4Addr) {
-        let allows = |routes: &JudgedRoutes| {
+        let allows = |routes: &ConfiguredRoutes| {
             let found = routes
                 .services
                 .binary_search_by_key(&flow.target, |(target, _)| *target);
@@ -270,14 +271,16 @@
         if !self.routes[first_applicable..].iter().any(allows) {
             self.record_finding(
                 now,
-                &format!("{flow:?} opened at {host} of {service} by outdated routes"),
+                &format!(
+                    "{flow:?} opened at {host} of {service}, which only outdated routes allow"
+                ),
             );
         }
     }
 
-    /// Checks a new flow at a server whose drain its host acknowledged at `confirmed_at`.
-    pub fn check_drain(&mut self, now: Instant, confirmed_at: Instant, host: Ipv4Addr) {
-        let is_late = now.duration_since(confirmed_at) > MAX_DRAIN_DELAY;
+    /// Checks a new flow at a server whose drain its host acknowledged at `acknowledged_at`.
+    pub fn check_drain(&mut self, now: Instant, acknowledged_at: Instant, host: Ipv4Addr) {
+        let is_late = now.duration_since(acknowledged_at) > MAX_DRAIN_DELAY;
         if is_late && self.is_undisturbed(host, now) {
             self.record_finding(
                 now,
@@ -288,7 +291,7 @@
 
     /// Records that a flow is open at the server beside `owner`.
     pub fn record_open_flow(&mut self, key: FlowKey, owner: Ipv4Addr) {
-        let flow = JudgedFlow {
+        let flow = TrackedFlow {
             key,
             owner,
             misrouted_count: 0,
@@ -332,8 +335,8 @@
         let flow = &mut self.flows[index];
         flow.misrouted_count += 1;
         let first_misrouted_at = *flow.misrouted_since.get_or_insert(now);
-        if flow.misrouted_count >= MISROUTED_LIMIT
-            && now.duration_since(first_misrouted_at) >= MISROUTED_TIME
+        if flow.misrouted_count >= MISROUTED_PACKET_LIMIT
+            && now.duration_since(first_misrouted_at) >= MIN_MISROUTED_TIME
         {
             self.record_finding(
                 now,
@@ -371,8 +374,9 @@
             Ok(index) => {
                 let (_, last_incarnation, last_version) = self.versions[index];
                 if last_incarnation == incarnation && version < last_version {
-                    let text =
-                        format!("{address} went back from routes {last_version} to {version}");
+                    let text = format!(
+                        "{address} went back from version {last_version} of the routes to {version}"
+                    );
                     self.record_finding(now, &text);
                 }
                 self.versions[index] = (address, incarnation, version);
--- a/crates/soak/src/fleet/configuration.rs
+++ b/crates/soak/src/fleet/configuration.rs
@@ -41,7 +41,7 @@
             .into_iter()
             .map(|(target, service)| (target, service.to_owned()))
             .collect();
-        self.judge
+        self.checker
             .borrow_mut()
             .record_configuration(Instant::now(), services);
     }
--- a/crates/soak/src/fleet/events.rs
+++ b/crates/soak/src/fleet/events.rs
@@ -18,8 +18,8 @@
 use crate::relay::LinkFaults;
 use crate::store::StoreFault;
 
-/// Time for which a draining server keeps serving after its host was informed. It is longer
-/// than the time for which such a server must serve.
+/// Time for which a draining server keeps serving after its host was informed. It exceeds
+/// the time for which a draining server must keep serving.
 const DRAIN_STOP_DELAY: Duration = Duration::from_millis(4_000);
 
 /// Time before an address is used again by a host of another service.
@@ -43,57 +43,57 @@
                     self.replace_crashed_server(host, duration / 4, Duration::ZERO);
                 }
             }
-            SoakEvent::Reload(index, is_invalid) => {
+            SoakEvent::ReloadSettings(index, is_invalid) => {
                 self.reload_settings(index, is_invalid, duration)
             }
             SoakEvent::CrashServer(host) => {
                 self.replace_crashed_server(host, duration, Duration::ZERO)
             }
-            SoakEvent::SetServerBack(host) => {
+            SoakEvent::SetServerClockBack(host) => {
                 self.replace_crashed_server(host, duration, CLOCK_OFFSET)
             }
             SoakEvent::ReplaceServer(host) => self.replace_server(host),
-            SoakEvent::Lossy(index) => {
+            SoakEvent::LoseDatagrams(index) => {
                 self.inject_link_fault(index, duration, |links, is_active| {
                     links.is_lossy = is_active
                 });
             }
-            SoakEvent::Delay(index) => {
+            SoakEvent::DelayDatagrams(index) => {
                 self.inject_link_fault(index, duration, |links, is_active| {
                     links.is_delayed = is_active
                 });
             }
-            SoakEvent::CutOut(index) => {
+            SoakEvent::DropOutgoing(index) => {
                 self.inject_link_fault(index, duration, |links, is_active| {
                     links.drops_outgoing = is_active
                 });
             }
-            SoakEvent::CutIn(index) => {
+            SoakEvent::DropIncoming(index) => {
                 self.inject_link_fault(index, duration, |links, is_active| {
                     links.drops_incoming = is_active
                 });
             }
-            SoakEvent::Garbage(index) => self.send_random_datagrams(index),
-            SoakEvent::StoreSilent(index) => {
+            SoakEvent::SendRandomDatagrams(index) => self.send_random_datagrams(index),
+            SoakEvent::SilenceStoreConnections(index) => {
                 self.inject_connection_fault(index, duration, ConnectionFault::Silent);
             }
-            SoakEvent::StoreReset(index) => {
+            SoakEvent::ResetStoreConnections(index) => {
                 self.inject_connection_fault(index, duration, ConnectionFault::Reset);
             }
             SoakEvent::StoreDown => self.inject_store_fault(duration, StoreFault::Down),
             SoakEvent::StoreSlow => self.inject_store_fault(duration, StoreFault::Slow),
-            SoakEvent::StoreLosesAnswers => {
-                self.inject_store_fault(duration, StoreFault::LosesAnswers)
+            SoakEvent::StoreLosesResponses => {
+                self.inject_store_fault(duration, StoreFault::LosesResponses)
             }
-            SoakEvent::StoreForgets => {
-                self.judge.borrow_mut().record_store_fault(now);
+            SoakEvent::CompactStore => {
+                self.checker.borrow_mut().record_store_fault(now);
                 self.store.compact_history();
             }
-            SoakEvent::Configure => self.write_configuration(),
+            SoakEvent::WriteConfiguration => self.write_configuration(),
         }
     }
 
-    /// Kills all processes, which start again at different times.
+    /// Kills all processes and schedules their restarts at different times.
     fn kill_all_processes(&self, now: Instant) {
         let count = self.members.borrow().len();
         for index in 0..count {
@@ -102,11 +102,11 @@
         }
     }
 
-    /// Freezes a process with SIGSTOP for `duration`. It is not resumed if it was restarted
+    /// Pauses a process with SIGSTOP for `duration`. It is not resumed if it was restarted
     /// in the meantime.
     fn pause_process(&self, index: usize, duration: Duration) {
         let (address, incarnation) = self.send_signal(index, Signal::SIGSTOP);
-        self.judge
+        self.checker
             .borrow_mut()
             .record_fault(address, Instant::now() + duration);
         let fleet = self.clone();
@@ -124,7 +124,7 @@
     fn reload_settings(&self, index: usize, is_invalid: bool, duration: Duration) {
         self.write_settings(index, is_invalid);
         let (address, _) = self.send_signal(index, Signal::SIGHUP);
-        self.judge
+        self.checker
             .borrow_mut()
             .record_fault(address, Instant::now());
         let fleet = self.clone();
@@ -143,7 +143,7 @@
             return;
         }
         if let Err(error) = member.process.write_settings(is_invalid) {
-            self.judge
+            self.checker
                 .borrow_mut()
                 .record_finding(Instant::now(), &format!("{error}"));
         }
@@ -197,25 +197,25 @@
         &self,
         index: usize,
         duration: Duration,
-        set: impl Fn(&mut LinkFaults, bool) + 'static,
+        set_link_fault: impl Fn(&mut LinkFaults, bool) + 'static,
     ) {
         let address = self.members.borrow()[index].process.address;
-        self.judge
+        self.checker
             .borrow_mut()
             .record_fault(address, Instant::now() + duration);
         self.relay
-            .update_link_faults(address, |links| set(links, true));
+            .update_link_faults(address, |links| set_link_fault(links, true));
         let relay = self.relay.clone();
         spawn_local(async move {
             sleep(duration).await;
-            relay.update_link_faults(address, |links| set(links, false));
+            relay.update_link_faults(address, |links| set_link_fault(links, false));
         });
     }
 
     /// Sets a fault of the connections of a process to the store for a while.
     fn inject_connection_fault(&self, index: usize, duration: Duration, fault: ConnectionFault) {
         let address = self.members.borrow()[index].process.address;
-        self.judge
+        self.checker
             .borrow_mut()
             .record_store_fault(Instant::now() + duration);
         self.relay.set_store_fault(address, fault);
@@ -228,7 +228,7 @@
 
     /// Sets a fault of the store for a while.
     fn inject_store_fault(&self, duration: Duration, fault: StoreFault) {
-        self.judge
+        self.checker
             .borrow_mut()
             .record_store_fault(Instant::now() + duration);
         self.store.set_fault(fault);
@@ -260,7 +260,7 @@
                 } else {
                     PACKET_PORT
                 };
-                // A lost datagram is no error, as it carries no meaning.
+                // A random datagram carries no meaning, so it may be lost.
                 let _ = socket.send_to(bytes, (address, port)).await;
             }
         });
--- a/crates/soak/src/fleet/mod.rs
+++ b/crates/soak/src/fleet/mod.rs
@@ -20,8 +20,8 @@
 use tokio::time::sleep;
 use tokio::time::sleep_until;
 
+use crate::checker::SoakChecker;
 use crate::http_call::send_http_request;
-use crate::judge::SoakJudge;
 use crate::network::METRICS_PORT;
 use crate::program::SoakProcess;
 use crate::relay::SoakRelay;
@@ -31,17 +31,17 @@
 /// Time within which a process must exit after SIGTERM.
 const STOP_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// Additional time that a process may take on a busy machine.
+/// Additional time that a process may take to exit on a busy machine.
 const STOP_TIMEOUT_SLACK: Duration = Duration::from_secs(4);
 
 /// Delay before a process that has exited starts again.
 const RESTART_DELAY: Duration = Duration::from_millis(300);
 
 /// Interval at which the states of the processes are checked.
-const WATCH_INTERVAL: Duration = Duration::from_millis(100);
+const SUPERVISION_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Interval at which the versions of the routes are checked, and timeout of each request.
-const VERSION_INTERVAL: Duration = Duration::from_millis(200);
+const VERSION_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// A process and its state.
 #[derive(Debug)]
@@ -68,7 +68,7 @@
     servers: Rc<Vec<SoakServer>>,
     relay: SoakRelay,
     store: SoakStore,
-    judge: Rc<RefCell<SoakJudge>>,
+    checker: Rc<RefCell<SoakChecker>>,
     balancer_count: usize,
     /// Number of configurations that were written.
     configuration_version: Rc<RefCell<u64>>,
@@ -84,7 +84,7 @@
         servers: Vec<SoakServer>,
         relay: SoakRelay,
         store: SoakStore,
-        judge: Rc<RefCell<SoakJudge>>,
+        checker: Rc<RefCell<SoakChecker>>,
         seed: u64,
     ) -> Self {
         let now = Instant::now();
@@ -101,7 +101,7 @@
             servers: Rc::new(servers),
             relay,
             store,
-            judge,
+            checker,
             balancer_count,
             configuration_version: Rc::new(RefCell::new(0)),
             random: Rc::new(RefCell::new(SmallRng::seed_from_u64(seed))),
@@ -116,7 +116,7 @@
             for member in self.members.borrow_mut().iter_mut() {
                 self.update_member(member, now);
             }
-            sleep(WATCH_INTERVAL).await;
+            sleep(SUPERVISION_INTERVAL).await;
         }
     }
 
@@ -131,14 +131,14 @@
                     (members[index].process.address, members[index].incarnation)
                 };
                 let endpoint = SocketAddrV4::new(address, METRICS_PORT);
-                let answer = send_http_request(
+                let request = send_http_request(
                     endpoint,
                     Method::GET,
                     "/metrics",
                     String::new(),
-                    VERSION_INTERVAL,
+                    VERSION_CHECK_INTERVAL,
                 );
-                let text = answer.await.map(|(_, body)| body).unwrap_or_default();
+                let text = request.await.map(|(_, body)| body).unwrap_or_default();
                 let text = String::from_utf8_lossy(&text);
                 let version = text.lines().find_map(|line| {
                     let value = line.strip_prefix("hyssopstair_routes_version ")?;
@@ -146,11 +146,11 @@
                 });
                 let is_current = self.members.borrow()[index].incarnation == incarnation;
                 if let Some(version) = version.filter(|_| is_current) {
-                    let mut judge = self.judge.borrow_mut();
-                    judge.check_version(Instant::now(), address, incarnation, version as u64);
+                    let mut checker = self.checker.borrow_mut();
+                    checker.check_version(Instant::now(), address, incarnation, version as u64);
                 }
             }
-            sleep(VERSION_INTERVAL).await;
+            sleep(VERSION_CHECK_INTERVAL).await;
         }
     }
 
@@ -168,10 +168,13 @@
             if have_all_exited {
                 return;
             }
-            sleep(WATCH_INTERVAL).await;
+            sleep(SUPERVISION_INTERVAL).await;
         }
-        let mut judge = self.judge.borrow_mut();
-        judge.record_finding(Instant::now(), "a process did not exit after SIGTERM");
+        let mut checker = self.checker.borrow_mut();
+        checker.record_finding(
+            Instant::now(),
+            "a process did not exit after SIGTERM at the end of the run",
+        );
     }
 
     /// Restarts a process that has exited, kills one that has not exited in time after
@@ -181,7 +184,7 @@
         if let Some(status) = member.process.take_exit_status() {
             if member.stop_requested_at.take().is_none() {
                 let text = format!("{address} exited unexpectedly: {status}");
-                self.judge.borrow_mut().record_finding(now, &text);
+                self.checker.borrow_mut().record_finding(now, &text);
             }
             member.start_at = Some(now + RESTART_DELAY);
         }
@@ -190,7 +193,7 @@
             .is_some_and(|requested_at| now >= requested_at + STOP_TIMEOUT + STOP_TIMEOUT_SLACK)
         {
             let text = format!("{address} did not exit after SIGTERM");
-            self.judge.borrow_mut().record_finding(now, &text);
+            self.checker.borrow_mut().record_finding(now, &text);
             member.process.kill();
             member.stop_requested_at = None;
             member.start_at = Some(now);
@@ -201,11 +204,13 @@
         {
             member.start_at = None;
             member.incarnation += 1;
-            self.judge.borrow_mut().record_planned_restart(address, now);
+            self.checker
+                .borrow_mut()
+                .record_planned_restart(address, now);
             if let Err(error) = member.process.start() {
-                self.judge
+                self.checker
                     .borrow_mut()
-                    .record_finding(now, &format!("{error}"));
+                    .record_finding(now, &format!("{address}: {error}"));
             }
         }
     }
@@ -216,7 +221,7 @@
         member.process.kill();
         member.stop_requested_at = None;
         member.start_at = Some(restart_at);
-        self.judge
+        self.checker
             .borrow_mut()
             .record_fault(member.process.address, restart_at);
     }
@@ -228,7 +233,7 @@
             let now = Instant::now();
             member.stop_requested_at = Some(now);
             member.process.send_signal(Signal::SIGTERM);
-            self.judge
+            self.checker
                 .borrow_mut()
                 .record_planned_restart(member.process.address, now + STOP_TIMEOUT);
         }
@@ -251,7 +256,7 @@
         member.service = service;
         if let Err(error) = member.process.set_service(service) {
             let text = format!("{error}");
-            self.judge
+            self.checker
                 .borrow_mut()
                 .record_finding(Instant::now(), &text);
         }
@@ -270,8 +275,8 @@
         }
         let service = self.members.borrow()[index].service;
         if let Err(error) = self.servers[host].start(service, clock_offset).await {
-            let text = format!("failed to start a server: {error}");
-            self.judge
+            let text = format!("failed to start the server beside host {host}: {error}");
+            self.checker
                 .borrow_mut()
                 .record_finding(Instant::now(), &text);
         }
--- a/crates/soak/src/http_call.rs
+++ b/crates/soak/src/http_call.rs
@@ -47,7 +47,7 @@
         .body(Full::new(Bytes::from(body)))
         .ok()?;
     let response = sender.send_request(request).await.ok();
-    let answer = match response {
+    let status_and_body = match response {
         Some(response) => {
             let status = response.status().as_u16();
             let body = response.into_body().collect().await.ok();
@@ -56,5 +56,5 @@
         None => None,
     };
     connection_task.abort();
-    answer
+    status_and_body
 }
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -10,58 +10,58 @@
 const WARM_UP_TIME: Duration = Duration::from_secs(4);
 
 /// Time without events at the end of a run, in which the system must recover.
-pub const RECOVERY_PERIOD: Duration = Duration::from_secs(9);
+pub const EVENT_FREE_PERIOD: Duration = Duration::from_secs(9);
 
-/// Number of processes per balancer, counting the balancer itself. There are at least two
-/// balancers.
+/// Number of processes for each balancer, including the balancer itself. A run has at
+/// least two balancers.
 const PROCESSES_PER_BALANCER: u16 = 3;
 
-/// A fault or a planned change that is applied from outside the processes. Processes and
-/// hosts are given by their numbers.
+/// A fault or a planned change that is applied from outside the processes. The
+/// numbers identify processes, or for events of servers the hosts beside them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SoakEvent {
     /// Kills a process and restarts it later.
     Kill(usize),
     /// Terminates a process and restarts it once it has exited.
     Stop(usize),
-    /// Freezes a process by a signal for a while.
+    /// Pauses a process with SIGSTOP for a while.
     Pause(usize),
     /// Kills all processes at once.
     KillAll,
     /// Kills all processes and crashes all servers at once.
     LosePower,
     /// Makes a process reload its settings, which are invalid if the flag is set.
-    Reload(usize, bool),
+    ReloadSettings(usize, bool),
     /// Crashes a server and starts a new one later.
     CrashServer(usize),
     /// Drains a server and starts a new one, possibly for the other service.
     ReplaceServer(usize),
     /// Crashes a server and starts a new one whose clock is set back.
-    SetServerBack(usize),
+    SetServerClockBack(usize),
     /// Drops some datagrams to and from a process.
-    Lossy(usize),
+    LoseDatagrams(usize),
     /// Delays datagrams to and from a process.
-    Delay(usize),
+    DelayDatagrams(usize),
     /// Drops all datagrams that a process sends to others.
-    CutOut(usize),
+    DropOutgoing(usize),
     /// Drops all datagrams that others send to a process.
-    CutIn(usize),
+    DropIncoming(usize),
     /// Sends random datagrams to a process from an address that is not a peer's.
-    Garbage(usize),
-    /// Withholds the answers of the store from a process.
-    StoreSilent(usize),
+    SendRandomDatagrams(usize),
+    /// Withholds the responses of the store from a process.
+    SilenceStoreConnections(usize),
     /// Closes the connections of a process to the store.
-    StoreReset(usize),
+    ResetStoreConnections(usize),
     /// Makes the store reject all calls.
     StoreDown,
-    /// Makes the store answer late.
+    /// Makes the store respond late.
     StoreSlow,
-    /// Makes the store execute calls without answering.
-    StoreLosesAnswers,
+    /// Makes the store execute calls without responding.
+    StoreLosesResponses,
     /// Compacts the history of the store.
-    StoreForgets,
+    CompactStore,
     /// Writes the next configuration.
-    Configure,
+    WriteConfiguration,
 }
 
 /// An event with its time and duration.
@@ -96,17 +96,19 @@
 impl SoakPlan {
     /// Creates the plan of a run that takes at least 0.3 minutes and has at least two
     /// balancers and three hosts.
-    pub fn from_seed(seed: u64, minutes: f64, processes: u16) -> Self {
+    pub fn from_seed(seed: u64, minutes: f64, process_count: u16) -> Self {
         let mut random = SmallRng::seed_from_u64(seed);
-        let balancer_count = usize::from((processes / PROCESSES_PER_BALANCER).max(2));
-        let host_count = usize::from(processes).saturating_sub(balancer_count).max(3);
+        let balancer_count = usize::from((process_count / PROCESSES_PER_BALANCER).max(2));
+        let host_count = usize::from(process_count)
+            .saturating_sub(balancer_count)
+            .max(3);
         let run_time = Duration::from_secs_f64(minutes.max(0.3) * 60.0);
         let uses_modulo_hashing = random.random_bool(0.4);
         let mut events = Vec::new();
         let mut at = WARM_UP_TIME;
         // Events are more frequent in a larger fleet.
         let max_gap_millis = (16_000 / (balancer_count + host_count) as u64).clamp(200, 2_000);
-        let end = run_time.saturating_sub(RECOVERY_PERIOD);
+        let end = run_time.saturating_sub(EVENT_FREE_PERIOD);
         while at < end {
             let event = choose_event(&mut random, balancer_count, host_count);
             let remaining_millis = (end - at).as_millis() as u64;
@@ -143,21 +145,21 @@
         28..=35 => SoakEvent::Pause(process),
         36..=37 => SoakEvent::KillAll,
         38..=39 => SoakEvent::LosePower,
-        40..=44 => SoakEvent::Reload(process, is_invalid),
+        40..=44 => SoakEvent::ReloadSettings(process, is_invalid),
         45..=51 => SoakEvent::CrashServer(host),
         52..=60 => SoakEvent::ReplaceServer(host),
-        61..=62 => SoakEvent::SetServerBack(host),
-        63..=66 => SoakEvent::Lossy(process),
-        67..=70 => SoakEvent::Delay(process),
-        71..=73 => SoakEvent::CutOut(process),
-        74..=76 => SoakEvent::CutIn(process),
-        77..=79 => SoakEvent::Garbage(process),
-        80..=82 => SoakEvent::StoreSilent(process),
-        83..=85 => SoakEvent::StoreReset(process),
+        61..=62 => SoakEvent::SetServerClockBack(host),
+        63..=66 => SoakEvent::LoseDatagrams(process),
+        67..=70 => SoakEvent::DelayDatagrams(process),
+        71..=73 => SoakEvent::DropOutgoing(process),
+        74..=76 => SoakEvent::DropIncoming(process),
+        77..=79 => SoakEvent::SendRandomDatagrams(process),
+        80..=82 => SoakEvent::SilenceStoreConnections(process),
+        83..=85 => SoakEvent::ResetStoreConnections(process),
         86..=87 => SoakEvent::StoreDown,
         88..=89 => SoakEvent::StoreSlow,
-        90..=91 => SoakEvent::StoreLosesAnswers,
-        92..=93 => SoakEvent::StoreForgets,
-        _ => SoakEvent::Configure,
+        90..=91 => SoakEvent::StoreLosesResponses,
+        92..=93 => SoakEvent::CompactStore,
+        _ => SoakEvent::WriteConfiguration,
     }
 }
--- a/crates/soak/src/program.rs
+++ b/crates/soak/src/program.rs
@@ -93,8 +93,9 @@
             ""
         };
         let text = self.settings_template.replace("{service}", self.service) + invalid_line;
-        std::fs::write(&self.settings_path, text)
-            .change_context_lazy(|| SoakError("failed to write settings".to_owned()))
+        std::fs::write(&self.settings_path, text).change_context_lazy(|| {
+            SoakError("failed to write the settings of a process".to_owned())
+        })
     }
 
     /// Sets the service of a host's backend server, and writes the settings.
--- a/crates/soak/src/relay.rs
+++ b/crates/soak/src/relay.rs
@@ -153,7 +153,7 @@
                     .poll_recv_from(context, &mut read_buffer)
                     .map_ok(|sender_address| (read_buffer.filled().len(), sender_address))
             });
-            // The receiver of an earlier datagram was not listening.
+            // An error means that an earlier datagram was sent to a port that is not bound.
             let Ok((length, sender_address)) = received.await else {
                 continue;
             };
--- a/crates/soak/src/router.rs
+++ b/crates/soak/src/router.rs
@@ -81,7 +81,7 @@
         loop {
             let address = self.balancers.borrow()[index].0;
             let endpoint = SocketAddrV4::new(address, READINESS_PORT);
-            let answer = send_http_request(
+            let response = send_http_request(
                 endpoint,
                 Method::GET,
                 "/readyz",
@@ -89,7 +89,7 @@
                 PROBE_TIMEOUT,
             )
             .await;
-            let is_ready = answer.is_some_and(|(status, _)| status == 200);
+            let is_ready = response.is_some_and(|(status, _)| status == 200);
             self.record_probe(index, is_ready);
             sleep(PROBE_INTERVAL).await;
         }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -20,13 +20,13 @@
 
 use crate::SoakError;
 use crate::caller::SoakCaller;
+use crate::checker::SoakChecker;
+use crate::checker::SoakTally;
 use crate::fleet::SoakFleet;
 use crate::fleet::configuration::initial_service;
 use crate::fleet::configuration::target_address;
-use crate::judge::SoakJudge;
-use crate::judge::SoakTally;
 use crate::network::SoakNetwork;
-use crate::plan::RECOVERY_PERIOD;
+use crate::plan::EVENT_FREE_PERIOD;
 use crate::plan::SoakPlan;
 use crate::program::ProcessRole;
 use crate::program::SoakProcess;
@@ -57,8 +57,8 @@
 #[derive(Debug)]
 pub struct SoakReport {
     seed: u64,
-    processes: usize,
-    events: usize,
+    process_count: usize,
+    event_count: usize,
     tally: SoakTally,
     /// Descriptions of the violated invariants.
     pub findings: Vec<String>,
@@ -75,7 +75,7 @@
             given_up,
         } = self.tally;
         json!({
-            "seed": self.seed, "processes": self.processes, "events": self.events,
+            "seed": self.seed, "processes": self.process_count, "events": self.event_count,
             "answered": answered, "late": late, "refused": refused, "broken": broken,
             "given_up": given_up, "findings": self.findings,
         })
@@ -112,15 +112,15 @@
 ) -> Result<SoakReport, Report<SoakError>> {
     let started_at = Instant::now();
     let network = SoakNetwork::reserve()?;
-    let judge = Rc::new(RefCell::new(SoakJudge::new(started_at)));
-    let fleet = create_fleet(plan, options, &network, &judge).await?;
-    start_callers(plan, &network, &judge).await?;
+    let checker = Rc::new(RefCell::new(SoakChecker::new(started_at)));
+    let fleet = create_fleet(plan, options, &network, &checker).await?;
+    start_callers(plan, &network, &checker).await?;
     fleet.write_configuration();
     for host in 0..plan.host_count {
         fleet.set_service(host, initial_service(host));
         fleet.start_server(host, Duration::ZERO).await;
     }
-    let watch_tasks = [
+    let background_tasks = [
         spawn_local(fleet.clone().supervise()),
         spawn_local(fleet.clone().check_versions()),
     ];
@@ -128,22 +128,22 @@
         sleep_until((started_at + timed_event.at).into()).await;
         fleet.apply_event(timed_event.event, timed_event.duration);
     }
-    sleep_until((started_at + plan.run_time - FINAL_CHECK_PERIOD.min(RECOVERY_PERIOD)).into())
+    sleep_until((started_at + plan.run_time - FINAL_CHECK_PERIOD.min(EVENT_FREE_PERIOD)).into())
         .await;
-    judge.borrow_mut().is_final_check = true;
+    checker.borrow_mut().is_final_check = true;
     sleep_until((started_at + plan.run_time).into()).await;
-    judge.borrow_mut().check_final_requests(Instant::now());
-    for task in watch_tasks {
+    checker.borrow_mut().check_final_requests(Instant::now());
+    for task in background_tasks {
         task.abort();
     }
     fleet.stop_all().await;
-    let judge = judge.borrow();
+    let checker = checker.borrow();
     Ok(SoakReport {
         seed: plan.seed,
-        processes: plan.balancer_count + plan.host_count,
-        events: plan.events.len(),
-        tally: judge.tally,
-        findings: judge.findings.clone(),
+        process_count: plan.balancer_count + plan.host_count,
+        event_count: plan.events.len(),
+        tally: checker.tally,
+        findings: checker.findings.clone(),
     })
 }
 
@@ -152,9 +152,9 @@
     plan: &SoakPlan,
     options: &SoakOptions,
     network: &SoakNetwork,
-    judge: &Rc<RefCell<SoakJudge>>,
+    checker: &Rc<RefCell<SoakChecker>>,
 ) -> Result<SoakFleet, Report<SoakError>> {
-    let context = || SoakError("failed to bind an address".to_owned());
+    let context = || SoakError("failed to bind an address of the store or of the relay".to_owned());
     let store = SoakStore::default();
     store
         .start(network.store_address())
@@ -171,7 +171,7 @@
             .change_context_lazy(context)?;
     }
     let servers = (0..plan.host_count)
-        .map(|host| SoakServer::new(network.host_address(host), Rc::clone(judge)))
+        .map(|host| SoakServer::new(network.host_address(host), Rc::clone(checker)))
         .collect();
     Ok(SoakFleet::new(
         processes,
@@ -179,7 +179,7 @@
         servers,
         relay,
         store,
-        Rc::clone(judge),
+        Rc::clone(checker),
         plan.seed,
     ))
 }
@@ -202,7 +202,7 @@
 async fn start_callers(
     plan: &SoakPlan,
     network: &SoakNetwork,
-    judge: &Rc<RefCell<SoakJudge>>,
+    checker: &Rc<RefCell<SoakChecker>>,
 ) -> Result<(), Report<SoakError>> {
     let balancers: Vec<_> = (0..plan.balancer_count)
         .map(|number| network.balancer_address(number))
@@ -213,12 +213,12 @@
         let caller = SoakCaller::bind(
             network.caller_address(number),
             router.clone(),
-            Rc::clone(judge),
+            Rc::clone(checker),
             (0..4).map(target_address).collect(),
             plan.seed.wrapping_mul(1_000) + number as u64,
         )
         .await
-        .change_context_lazy(|| SoakError("failed to bind an address".to_owned()))?;
+        .change_context_lazy(|| SoakError("failed to bind the address of a caller".to_owned()))?;
         spawn_local(async move {
             tokio::time::sleep(CALLER_START_DELAY).await;
             caller.run().await;
--- a/crates/soak/src/server.rs
+++ b/crates/soak/src/server.rs
@@ -2,7 +2,7 @@
 //!
 //! A server can crash, drain and start again as another incarnation, possibly for
 //! another service or with its clock set back. It reports violated invariants to the
-//! judge.
+//! checker.
 
 use std::cell::RefCell;
 use std::io::ErrorKind;
@@ -28,8 +28,8 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
+use crate::checker::SoakChecker;
 use crate::http_call::send_http_request;
-use crate::judge::SoakJudge;
 use crate::network::HEARTBEAT_PORT;
 use crate::network::OUTBOUND_PORT;
 use crate::network::SERVER_PORT;
@@ -40,7 +40,7 @@
 /// Timeout of a request to the host, such as a heartbeat.
 const HOST_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Requests that a server can run at the same time, as its heartbeats report.
+/// Number of requests that a server can run at the same time, which its heartbeats report.
 const CAPACITY: u64 = 2;
 
 /// Minimum time that a request takes, in milliseconds. It is multiplied by one to four,
@@ -53,8 +53,8 @@
 /// Delay between two attempts to bind an address.
 const BIND_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Offset of the flags in a packet.
-const FLAGS_OFFSET: usize = 2;
+/// Offset of the flags from the start of a packet.
+const FLAGS_OFFSET_BYTES: usize = 2;
 /// Flag of a packet that the server returns to its host because it does not hold the flow.
 const BOUNCED_FLAG: u8 = 16;
 
@@ -76,7 +76,7 @@
 #[derive(Debug)]
 struct ServerIncarnation {
     number: u64,
-    /// ID of the server, which pairs of consecutive incarnations share.
+    /// ID of the server. Incarnations 2n and 2n + 1 have the same ID.
     id: String,
     /// Start time by the server's clock, in milliseconds since the Unix epoch.
     started_at: u64,
@@ -85,7 +85,7 @@
     heartbeat_sequence: u64,
     is_draining: bool,
     /// Time at which the host acknowledged that the server is draining.
-    drain_confirmed_at: Option<Instant>,
+    drain_acknowledged_at: Option<Instant>,
     /// Sorted by key.
     flows: Vec<ServerFlow>,
     /// Number of requests that are running.
@@ -97,7 +97,7 @@
 #[derive(Debug, Clone)]
 pub struct SoakServer {
     address: Ipv4Addr,
-    judge: Rc<RefCell<SoakJudge>>,
+    checker: Rc<RefCell<SoakChecker>>,
     /// The current incarnation; `None` if the server is not running.
     incarnation: Rc<RefCell<Option<ServerIncarnation>>>,
     /// Number of incarnations so far.
@@ -106,10 +106,10 @@
 
 impl SoakServer {
     /// Creates a server that is not running.
-    pub fn new(address: Ipv4Addr, judge: Rc<RefCell<SoakJudge>>) -> Self {
+    pub fn new(address: Ipv4Addr, checker: Rc<RefCell<SoakChecker>>) -> Self {
         Self {
             address,
-            judge,
+            checker,
             incarnation: Rc::default(),
             incarnation_count: Rc::default(),
         }
@@ -143,7 +143,7 @@
             service: service.to_owned(),
             heartbeat_sequence: 0,
             is_draining: false,
-            drain_confirmed_at: None,
+            drain_acknowledged_at: None,
             flows: Vec::new(),
             running_count: 0,
             tasks: Vec::new(),
@@ -180,7 +180,7 @@
             for task in incarnation.tasks {
                 task.abort();
             }
-            self.judge.borrow_mut().record_server_end(self.address);
+            self.checker.borrow_mut().record_server_end(self.address);
         }
     }
 
@@ -218,14 +218,14 @@
             let Some((path, body, is_draining)) = self.build_heartbeat(number) else {
                 return;
             };
-            let answer = self.post_to_host(&path, body).await;
-            let is_acknowledged = answer.is_some_and(|status| status == 200);
+            let response_status = self.post_to_host(&path, body).await;
+            let is_acknowledged = response_status.is_some_and(|status| status == 200);
             if let Some(incarnation) = self.incarnation.borrow_mut().as_mut()
                 && is_acknowledged
                 && is_draining
             {
                 incarnation
-                    .drain_confirmed_at
+                    .drain_acknowledged_at
                     .get_or_insert_with(Instant::now);
             }
             sleep(HEARTBEAT_INTERVAL).await;
@@ -259,8 +259,8 @@
     /// if the request fails.
     async fn post_to_host(&self, path: &str, body: String) -> Option<u16> {
         let host = SocketAddrV4::new(self.address, HEARTBEAT_PORT);
-        let answer = send_http_request(host, Method::POST, path, body, HOST_TIMEOUT).await;
-        answer.map(|(status, _)| status)
+        let response = send_http_request(host, Method::POST, path, body, HOST_TIMEOUT).await;
+        response.map(|(status, _)| status)
     }
 
     async fn receive_packets(self, socket: Rc<UdpSocket>) {
@@ -272,7 +272,7 @@
             let bytes = &mut buffer[..length];
             let Some(header) = decode_header(bytes) else {
                 let finding = format!("server {} received a malformed packet", self.address);
-                self.judge
+                self.checker
                     .borrow_mut()
                     .record_finding(Instant::now(), &finding);
                 continue;
@@ -298,10 +298,10 @@
         };
         let key = header.caller_flow();
         let now = Instant::now();
-        let mut judge = self.judge.borrow_mut();
-        judge.check_opening(now, &key, &incarnation.service, self.address);
-        if let Some(confirmed_at) = incarnation.drain_confirmed_at {
-            judge.check_drain(now, confirmed_at, self.address);
+        let mut checker = self.checker.borrow_mut();
+        checker.check_opening(now, &key, &incarnation.service, self.address);
+        if let Some(acknowledged_at) = incarnation.drain_acknowledged_at {
+            checker.check_drain(now, acknowledged_at, self.address);
         }
         let octets = self.address.octets();
         let stream_start = (incarnation.number as u32) << 24
@@ -354,18 +354,20 @@
         });
         let now = Instant::now();
         let Some(index) = index else {
-            self.judge
+            self.checker
                 .borrow_mut()
                 .check_misrouted(now, &key, self.address);
-            bytes[FLAGS_OFFSET] |= BOUNCED_FLAG;
+            bytes[FLAGS_OFFSET_BYTES] |= BOUNCED_FLAG;
             self.send_packet(socket, bytes);
             return;
         };
         if !incarnation.flows[index].is_open {
             incarnation.flows[index].is_open = true;
-            self.judge.borrow_mut().record_open_flow(key, self.address);
+            self.checker
+                .borrow_mut()
+                .record_open_flow(key, self.address);
         }
-        self.judge.borrow_mut().record_delivery(&key);
+        self.checker.borrow_mut().record_delivery(&key);
         if header.is_finish {
             incarnation.flows.remove(index);
             let reply = PacketHeader {
@@ -385,7 +387,7 @@
                 "server {} received a request that no caller sent",
                 self.address
             );
-            self.judge.borrow_mut().record_finding(now, &finding);
+            self.checker.borrow_mut().record_finding(now, &finding);
         }
         let end = header.sequence.wrapping_add(u32::from(header.data_length));
         let flow = &mut incarnation.flows[index];
@@ -489,7 +491,7 @@
 async fn serve_health_checks(listener: TcpListener) {
     while let Ok((mut stream, _)) = listener.accept().await {
         // A host that closes the connection early repeats its health check.
-        let answer = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
-        let _ = stream.write_all(answer).await;
+        let response = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
+        let _ = stream.write_all(response).await;
     }
 }
--- a/crates/soak/src/store.rs
+++ b/crates/soak/src/store.rs
@@ -30,11 +30,11 @@
 /// Key of the configuration.
 const CONFIGURATION_KEY: &str = "op/config";
 
-/// Delay of each answer.
-const ANSWER_DELAY: Duration = Duration::from_millis(2);
+/// Delay of each response.
+const RESPONSE_DELAY: Duration = Duration::from_millis(2);
 
-/// Delay of each answer while the store is slow.
-const SLOW_ANSWER_DELAY: Duration = Duration::from_millis(400);
+/// Delay of each response while the store is slow.
+const SLOW_RESPONSE_DELAY: Duration = Duration::from_millis(400);
 
 /// A fault of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
@@ -44,10 +44,10 @@
     None,
     /// The store rejects all calls.
     Down,
-    /// The store answers late.
+    /// The store responds late.
     Slow,
-    /// The store executes calls but does not answer them.
-    LosesAnswers,
+    /// The store executes calls but does not respond.
+    LosesResponses,
 }
 
 #[derive(Debug)]
@@ -72,11 +72,11 @@
 #[derive(Debug, Clone, Default)]
 pub struct SoakStore {
     state: Rc<RefCell<StoreState>>,
-    changed: Rc<Notify>,
+    change_notify: Rc<Notify>,
 }
 
 impl SoakStore {
-    /// Starts to answer calls at an address.
+    /// Starts to serve calls at an address.
     ///
     /// # Errors
     ///
@@ -88,7 +88,7 @@
             while let Ok((stream, _)) = listener.accept().await {
                 let store = store.clone();
                 tokio::task::spawn_local(async move {
-                    let service = service_fn(|request| store.clone().answer_request(request));
+                    let service = service_fn(|request| store.clone().handle_request(request));
                     // The caller notices an error of the connection.
                     let _ = http1::Builder::new()
                         .serve_connection(TokioIo::new(stream), service)
@@ -102,7 +102,7 @@
     /// Sets the fault and wakes all watches.
     pub fn set_fault(&self, fault: StoreFault) {
         self.state.borrow_mut().fault = fault;
-        self.changed.notify_waiters();
+        self.change_notify.notify_waiters();
     }
 
     /// Compacts the history, so that watches from earlier revisions fail.
@@ -131,33 +131,33 @@
             lease,
         };
         state.items.insert(key.to_owned(), item);
-        self.changed.notify_waiters();
+        self.change_notify.notify_waiters();
         state.revision
     }
 
-    async fn answer_request(
+    async fn handle_request(
         self,
         request: Request<Incoming>,
     ) -> Result<Response<Full<Bytes>>, Infallible> {
         let fault = self.state.borrow().fault;
         match fault {
             StoreFault::Down => return Ok(respond(StatusCode::SERVICE_UNAVAILABLE, &json!({}))),
-            StoreFault::Slow => sleep(SLOW_ANSWER_DELAY).await,
-            StoreFault::None | StoreFault::LosesAnswers => sleep(ANSWER_DELAY).await,
+            StoreFault::Slow => sleep(SLOW_RESPONSE_DELAY).await,
+            StoreFault::None | StoreFault::LosesResponses => sleep(RESPONSE_DELAY).await,
         }
         let path = request.uri().path().to_owned();
         let query = request.uri().query().unwrap_or_default().to_owned();
         let body = request.into_body().collect().await;
         let body = body.map(|body| body.to_bytes()).unwrap_or_default();
         let body: Value = serde_json::from_slice(&body).unwrap_or_default();
-        let (status, answer) = self.handle_call(&path, &query, &body).await;
-        if self.state.borrow().fault == StoreFault::LosesAnswers {
+        let (status, response_body) = self.execute_call(&path, &query, &body).await;
+        if self.state.borrow().fault == StoreFault::LosesResponses {
             std::future::pending::<()>().await;
         }
-        Ok(respond(status, &answer))
+        Ok(respond(status, &response_body))
     }
 
-    async fn handle_call(&self, path: &str, query: &str, body: &Value) -> (StatusCode, Value) {
+    async fn execute_call(&self, path: &str, query: &str, body: &Value) -> (StatusCode, Value) {
         self.remove_expired_items();
         match path {
             "/kv-key" => self.get_item(query_parameter(query, "key")),
@@ -197,14 +197,14 @@
         }
     }
 
-    /// Returns the items below a prefix that were written after a revision, as the list
-    /// `list_name` of a response.
-    fn list_items(&self, prefix: &str, after: u64, list_name: &str) -> Value {
+    /// Returns the items below a prefix that were written after `after_revision`, as the
+    /// list `list_name` of a response.
+    fn list_items(&self, prefix: &str, after_revision: u64, list_name: &str) -> Value {
         let state = self.state.borrow();
         let items: Vec<Value> = state
             .items
             .iter()
-            .filter(|(key, item)| key.starts_with(prefix) && item.revision > after)
+            .filter(|(key, item)| key.starts_with(prefix) && item.revision > after_revision)
             .map(|(key, item)| item_json(key, item))
             .collect();
         json!({ list_name: items, "hasMore": false, "storeRevision": state.revision })
@@ -214,15 +214,15 @@
     /// none, waits for one up to the time in the query. Fails if the history after that
     /// revision is compacted.
     async fn watch_items(&self, query: &str) -> (StatusCode, Value) {
-        let after: u64 = query_parameter(query, "after").parse().unwrap_or(0);
+        let after_revision: u64 = query_parameter(query, "after").parse().unwrap_or(0);
         let wait_millis: u64 = query_parameter(query, "waitMs").parse().unwrap_or(0);
         let prefix = query_parameter(query, "prefix");
         let deadline = Instant::now() + Duration::from_millis(wait_millis);
         loop {
-            if after < self.state.borrow().compacted_revision {
+            if after_revision < self.state.borrow().compacted_revision {
                 return (StatusCode::GONE, json!({}));
             }
-            let found = self.list_items(prefix, after, "events");
+            let found = self.list_items(prefix, after_revision, "events");
             let remaining = deadline.saturating_duration_since(Instant::now());
             let has_events = found["events"]
                 .as_array()
@@ -231,7 +231,7 @@
                 return (StatusCode::OK, found);
             }
             // The loop checks whether the wait has timed out or items have changed.
-            let _ = timeout(remaining, self.changed.notified()).await;
+            let _ = timeout(remaining, self.change_notify.notified()).await;
             if self.state.borrow().fault == StoreFault::Down {
                 return (StatusCode::SERVICE_UNAVAILABLE, json!({}));
             }
--- a/crates/soak/tests/short.rs
+++ b/crates/soak/tests/short.rs
@@ -11,17 +11,17 @@
 const SEEDS: &str = include_str!("../seeds.txt");
 
 /// Executes the run of a seed, prints its report, and returns the violated invariants.
-fn run_seed(seed: u64, minutes: f64, processes: u16) -> Vec<String> {
+fn run_seed(seed: u64, minutes: f64, process_count: u16) -> Vec<String> {
     let directory = Path::new(env!("CARGO_TARGET_TMPDIR"));
     let options = SoakOptions {
         program: directory
             .parent()
-            .expect("the target directory")
+            .expect("the temporary directory has no parent directory")
             .join("debug/hyssopstaird"),
         directory: directory.join(format!("soak-{}-{seed}", std::process::id())),
     };
-    let plan = SoakPlan::from_seed(seed, minutes, processes);
-    let report = run_plan(&plan, &options).expect("the run can be set up");
+    let plan = SoakPlan::from_seed(seed, minutes, process_count);
+    let report = run_plan(&plan, &options).expect("failed to execute the run");
     println!("{}", report.to_json_line());
     report.findings
 }
@@ -38,15 +38,19 @@
     let mut violations = Vec::new();
     for line in SEEDS.lines().filter(|line| !line.starts_with('#')) {
         let fields: Vec<&str> = line.splitn(4, ' ').collect();
-        let [seed, minutes, processes, _] = fields[..] else {
-            panic!("malformed seed line: {line}");
+        let [seed, minutes, process_count, _] = fields[..] else {
+            panic!("line of seeds.txt does not have four fields: {line}");
         };
-        let seed = seed.parse().expect("the seed is a number");
-        let minutes = minutes.parse().expect("the minutes are a number");
+        let seed = seed.parse().expect("a seed in seeds.txt is not a number");
+        let minutes = minutes
+            .parse()
+            .expect("a run time in seeds.txt is not a number");
         violations.extend(run_seed(
             seed,
             minutes,
-            processes.parse().expect("the processes are a number"),
+            process_count
+                .parse()
+                .expect("a process count in seeds.txt is not a number"),
         ));
     }
     assert_eq!(violations, Vec::<String>::new());
@@ -65,11 +69,11 @@
         4470 ms Pause(6)
         5419 ms Stop(7)
         5863 ms CrashServer(1)
-        6734 ms StoreLosesAnswers
+        6734 ms StoreLosesResponses
         8587 ms ReplaceServer(1)
         9957 ms Stop(2)
         10091 ms Kill(3)
-        10699 ms Configure
+        10699 ms WriteConfiguration
         10988 ms LosePower"#]]
     .assert_eq(&events.join("\n"));
 }
