--- a/crates/hyssopstaird/examples/flood.rs
+++ b/crates/hyssopstaird/examples/flood.rs
@@ -24,7 +24,7 @@
 use hyssopstair_wire::token::RouteToken;
 use hyssopstaird::secret::read_secret;
 
-/// Sends packets of one flow to a balancer as fast as possible and prints the rates.
+/// Send packets of one flow to a balancer as fast as possible and print the rates.
 #[derive(FromArgs)]
 struct FloodArgs {
     /// entry address of the balancer
--- a/crates/hyssopstaird/examples/gossip_carrier.rs
+++ b/crates/hyssopstaird/examples/gossip_carrier.rs
@@ -47,13 +47,13 @@
 const ENTRY_COUNTS: [usize; 2] = [1, 10];
 
 /// Length in bytes of the IPv4 and TCP headers of a segment without options.
-const SEGMENT_OVERHEAD: u64 = 40;
+const SEGMENT_OVERHEAD_BYTES: u64 = 40;
 
 /// Number of segments that open a connection.
-const OPENING_SEGMENTS: u64 = 3;
+const OPENING_SEGMENT_COUNT: u64 = 3;
 
 /// Number of segments that close a connection.
-const CLOSING_SEGMENTS: u64 = 4;
+const CLOSING_SEGMENT_COUNT: u64 = 4;
 
 /// Number of connections that are open at once when the memory per connection is measured.
 const CONNECTION_COUNT: usize = 200;
@@ -220,10 +220,10 @@
     let per_message = |(before, after)| (after - before) as f64 / MESSAGE_COUNT as f64;
     let payload_bytes = per_message((totals_before.0, totals_after.0));
     let segments_per_message = per_message((totals_before.1, totals_after.1));
-    let header_bytes = segments_per_message * SEGMENT_OVERHEAD as f64;
+    let header_bytes = segments_per_message * SEGMENT_OVERHEAD_BYTES as f64;
     let greeting_bytes = totals_before.0 + totals_to_sender.0 - payload_bytes as u64;
     // Each side sends its greeting in one segment.
-    let setup_segments = OPENING_SEGMENTS + 2;
+    let setup_segments = OPENING_SEGMENT_COUNT + 2;
     json!({
         "payload_bytes_per_message": payload_bytes,
         "segments_per_message": segments_per_message,
@@ -231,8 +231,8 @@
         "bytes_per_message_with_acknowledgement": payload_bytes + 2.0 * header_bytes,
         "micros_per_message_through_relay": elapsed.as_micros() as f64 / MESSAGE_COUNT as f64,
         "greeting_payload_bytes": greeting_bytes,
-        "setup_bytes": greeting_bytes + setup_segments * SEGMENT_OVERHEAD,
-        "closing_bytes": CLOSING_SEGMENTS * SEGMENT_OVERHEAD,
+        "setup_bytes": greeting_bytes + setup_segments * SEGMENT_OVERHEAD_BYTES,
+        "closing_bytes": CLOSING_SEGMENT_COUNT * SEGMENT_OVERHEAD_BYTES,
     })
 }
 
--- a/crates/hyssopstaird/examples/stall.rs
+++ b/crates/hyssopstaird/examples/stall.rs
@@ -103,7 +103,7 @@
         fleet
             .wait_until_hosts_known()
             .await
-            .expect("the fleet did not settle");
+            .expect("not all daemons know all hosts after the restart of the balancer");
         let ended_count = feeds
             .iter()
             .filter(|feed| feed.lock().expect("the lock is poisoned").has_ended)
--- a/crates/hyssopstaird/tests/configuration.rs
+++ b/crates/hyssopstaird/tests/configuration.rs
@@ -22,10 +22,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_accepted_change_reaches_all_daemons_while_the_platform_is_down() {
     let mut fleet = TestFleet::start(FleetPlan::small()).await.unwrap();
-    let mut suspended_names = fleet.balancer_names();
-    suspended_names.extend(fleet.host_names());
-    let confirming_names = vec![suspended_names.remove(0)];
-    for name in &suspended_names {
+    let mut paused_names = fleet.balancer_names();
+    paused_names.extend(fleet.host_names());
+    let confirming_names = vec![paused_names.remove(0)];
+    for name in &paused_names {
         fleet.send_signal(name, Signal::SIGSTOP).unwrap();
     }
     let rules = format!("{}key 2 # test: yearly change\n", fleet.initial_rules());
@@ -35,7 +35,7 @@
         .unwrap();
     fleet.kill("platform").unwrap();
     let start = Instant::now();
-    for name in &suspended_names {
+    for name in &paused_names {
         fleet.send_signal(name, Signal::SIGCONT).unwrap();
     }
     fleet.wait_for_version(2).await.unwrap();
@@ -76,7 +76,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_suspended_platform_interrupts_no_feed_and_is_used_again_afterwards() {
+async fn a_paused_platform_interrupts_no_feed_and_is_used_again_afterwards() {
     let fleet = TestFleet::start(FleetPlan::small()).await.unwrap();
     let feeds = open_feeds(&fleet, "leerplein", 8).await;
     fleet.send_signal("platform", Signal::SIGSTOP).unwrap();
--- a/crates/hyssopstaird/tests/silence.rs
+++ b/crates/hyssopstaird/tests/silence.rs
@@ -1,4 +1,4 @@
-//! Tests with processes that stop responding: suspended by SIGSTOP, so that their sockets
+//! Tests with processes that stop responding: paused by SIGSTOP, so that their sockets
 //! stay open, or killed.
 
 mod support;
@@ -19,7 +19,7 @@
 const FLOW_COUNT: usize = 12;
 
 #[tokio::test(flavor = "multi_thread")]
-async fn feeds_continue_while_a_balancer_is_suspended() {
+async fn feeds_continue_while_a_balancer_is_paused() {
     let fleet = TestFleet::start(FleetPlan::small()).await.unwrap();
     let feeds = open_feeds(&fleet, "leerplein", FLOW_COUNT).await;
     fleet.send_signal("balancer-1", Signal::SIGSTOP).unwrap();
@@ -30,7 +30,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn new_flows_avoid_a_suspended_host() {
+async fn new_flows_avoid_a_paused_host() {
     let fleet = TestFleet::start(FleetPlan::small()).await.unwrap();
     fleet.send_signal("leerplein-1", Signal::SIGSTOP).unwrap();
     wait_until_one_host_excluded(&fleet).await;
--- a/crates/hyssopstaird/tests/support/mod.rs
+++ b/crates/hyssopstaird/tests/support/mod.rs
@@ -66,7 +66,7 @@
 async fn read_feed(flow: &CallerFlow, name: &str, state: &Mutex<FeedState>) -> String {
     let path = format!("/feed/{name}");
     let (_, mut stream) = match flow.start_request("GET", &path, "", Bytes::new()).await {
-        Ok(answer) => answer,
+        Ok(response) => response,
         Err(error) => return error.to_string(),
     };
     let mut text = String::new();
--- a/crates/hyssopstaird/tests/together.rs
+++ b/crates/hyssopstaird/tests/together.rs
@@ -73,7 +73,7 @@
     );
     fleet.apply_rules(&rules).await.unwrap();
     fleet.send_signal("leerplein-2", Signal::SIGTERM).unwrap();
-    // While the platform is suspended, the balancer restarts and another one is killed.
+    // While the platform is paused, the balancer restarts and another one is killed.
     fleet.send_signal("platform", Signal::SIGSTOP).unwrap();
     fleet.restart("balancer-1").unwrap();
     fleet.wait_for_version(2).await.unwrap();
--- a/crates/hyssopstaird/tests/updates.rs
+++ b/crates/hyssopstaird/tests/updates.rs
@@ -26,7 +26,7 @@
 /// Maximum time until a process has fetched a configuration from a peer.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Rules of version 1 of the sender.
+/// Rules of version 1 at the sender.
 const FIRST_RULES: &str = "zone utr-a id 1 # test: first\n";
 
 /// Rules of version 1 that differ from those of the sender.
