--- a/crates/soak/src/checker.rs
+++ b/crates/soak/src/checker.rs
@@ -63,8 +63,7 @@
     key: FlowKey,
     owner: Ipv4Addr,
     misrouted_count: u32,
-    /// Time of the first packet that reached another server since the last one that
-    /// reached the flow's own server.
+    /// Time of the first misrouted packet since the last packet at the flow's own server.
     misrouted_since: Option<Instant>,
 }
 
--- a/crates/soak/src/fleet/configuration.rs
+++ b/crates/soak/src/fleet/configuration.rs
@@ -47,7 +47,7 @@
     }
 }
 
-/// Returns the address to which callers send that has the given number.
+/// Returns the address with the given number to which callers send packets.
 pub fn target_address(number: u8) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::new(198, 18, 0, 1 + number), 443)
 }
--- a/crates/soak/src/router.rs
+++ b/crates/soak/src/router.rs
@@ -35,7 +35,7 @@
 }
 
 impl SoakRouter {
-    /// Creates routers to which no balancer is ready yet.
+    /// Creates routers that consider no balancer ready yet.
     pub fn new(balancers: &[Ipv4Addr], uses_modulo_hashing: bool) -> Self {
         let balancers = balancers
             .iter()
