--- a/crates/soak/src/fleet/configuration.rs
+++ b/crates/soak/src/fleet/configuration.rs
@@ -41,13 +41,13 @@
             .into_iter()
             .map(|(target, service)| (target, service.to_owned()))
             .collect();
-        self.judge
+        self.checker
             .borrow_mut()
             .record_configuration(Instant::now(), services);
     }
 }
 
-/// Returns the address to which callers send that has the given number.
+/// Returns the address with the given number to which callers send packets.
 pub fn target_address(number: u8) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::new(198, 18, 0, 1 + number), 443)
 }
