--- a/crates/wire/tests/decoding.rs
+++ b/crates/wire/tests/decoding.rs
@@ -81,7 +81,7 @@
     }
 
     #[test]
-    fn altered_token_is_refused(
+    fn altered_token_is_rejected(
         token in token(),
         index in 0..ROUTE_TOKEN_LENGTH,
         flip in 1_u8..,
@@ -92,7 +92,7 @@
     }
 
     #[test]
-    fn forged_token_is_refused(bytes in any::<[u8; ROUTE_TOKEN_LENGTH]>(), number in 1_u8..3) {
+    fn forged_token_is_rejected(bytes in any::<[u8; ROUTE_TOKEN_LENGTH]>(), number in 1_u8..3) {
         let mut bytes = bytes;
         bytes[0] = number;
         prop_assert_eq!(
@@ -102,7 +102,7 @@
     }
 
     #[test]
-    fn token_of_another_fleet_is_refused(token in token(), other in any::<[u8; 16]>()) {
+    fn token_of_another_fleet_is_rejected(token in token(), other in any::<[u8; 16]>()) {
         let key = FleetSecret::new(other).route_key(KeyNumber(1));
         prop_assert_eq!(
             RouteToken::open(&ring(&[1]), &token.seal(&key)),
@@ -111,7 +111,7 @@
     }
 
     #[test]
-    fn token_of_a_key_off_the_ring_is_refused(token in token()) {
+    fn token_of_a_key_off_the_ring_is_rejected(token in token()) {
         prop_assert_eq!(
             RouteToken::open(&ring(&[2, 3]), &seal(&token)),
             Err(TokenError::UnknownKey)
