--- a/crates/hyssopstaird/src/host/answer.rs
+++ b/crates/hyssopstaird/src/host/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to callers, each with a verdict that says whether the request ran.
+//! Responses to callers, each with a verdict that says whether the request ran.
 
 use std::time::Duration;
 
@@ -19,11 +19,11 @@
 use hyssopstair_wire::peer::BackendReply;
 use hyssopstair_wire::peer::HeaderField;
 
-use crate::host::backend::BackendAnswer;
+use crate::host::backend::BackendResponse;
 
-/// An answer that the host generates itself.
+/// A response that the host generates itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct HostAnswer {
+pub struct HostResponse {
     /// The HTTP status code.
     pub status: StatusCode,
     /// Whether the request ran, as far as the host knows.
@@ -32,8 +32,8 @@
     pub text: &'static str,
 }
 
-impl HostAnswer {
-    /// Returns an answer with status 503 for a request that did not run and may be retried
+impl HostResponse {
+    /// Returns a response with status 503 for a request that did not run and may be retried
     /// after `retry_after`.
     pub fn not_run(retry_after: Duration) -> Self {
         Self {
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Returns an answer for an invalid request, which did not run.
+    /// Returns a response for an invalid request, which did not run.
     pub fn rejected(status: StatusCode, text: &'static str) -> Self {
         let verdict = RequestVerdict::NotRun {
             retry_after: Duration::ZERO,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Returns an answer for a request of which it is unknown whether it ran.
+    /// Returns a response for a request of which it is unknown whether it ran.
     pub fn may_have_run(status: StatusCode, text: &'static str) -> Self {
         Self {
             status,
@@ -64,8 +64,8 @@
         }
     }
 
-    /// Returns an answer for a request that has already run and whose answer was not
-    /// stored.
+    /// Returns a response for a request that has already run and whose original response
+    /// was not stored.
     pub fn done_without_reply() -> Self {
         Self {
             status: StatusCode::CONFLICT,
@@ -75,34 +75,38 @@
     }
 }
 
-/// Writes the answer to a request, with the tickets that are issued to its caller.
-pub struct AnswerWriter<'a, S: BidiStream<Bytes>> {
+/// Writes the response to a request, with the tickets that are issued to its caller.
+pub struct ResponseWriter<'a, S: BidiStream<Bytes>> {
     stream: &'a mut RequestStream<S, Bytes>,
     tickets: Vec<String>,
 }
 
-impl<'a, S: BidiStream<Bytes>> AnswerWriter<'a, S> {
+impl<'a, S: BidiStream<Bytes>> ResponseWriter<'a, S> {
     /// Creates a writer for the stream of a request. `tickets` are sent in headers of the
-    /// answer.
+    /// response.
     pub fn new(stream: &'a mut RequestStream<S, Bytes>, tickets: Vec<String>) -> Self {
         Self { stream, tickets }
     }
 
-    /// Sends an answer that the host generated.
-    pub async fn send_answer(self, answer: HostAnswer) {
-        let body = format!("{}: {}\n", answer.verdict.header_value(), answer.text);
+    /// Sends a response that the host generated.
+    pub async fn send_host_response(self, host_response: HostResponse) {
+        let body = format!(
+            "{}: {}\n",
+            host_response.verdict.header_value(),
+            host_response.text
+        );
         let mut response = Response::new(());
-        *response.status_mut() = answer.status;
+        *response.status_mut() = host_response.status;
         let headers = response.headers_mut();
         headers.insert(header::CONTENT_LENGTH, body.len().into());
-        if let RequestVerdict::NotRun { retry_after } = answer.verdict {
+        if let RequestVerdict::NotRun { retry_after } = host_response.verdict {
             headers.insert(header::RETRY_AFTER, ceil_seconds(retry_after).into());
         }
-        self.send_complete(response, answer.verdict, body.into())
+        self.send_complete(response, host_response.verdict, body.into())
             .await;
     }
 
-    /// Sends a complete answer of a backend server.
+    /// Sends a complete response of a backend server.
     pub async fn send_reply(self, reply: BackendReply) {
         let status = StatusCode::from_u16(reply.status).unwrap_or(StatusCode::BAD_GATEWAY);
         let response = build_response(status, &reply.headers);
@@ -111,20 +115,23 @@
             .await;
     }
 
-    /// Sends an answer of the backend server while its body is received, and returns
-    /// whether the complete answer was sent.
-    pub async fn stream_answer(mut self, mut answer: Box<BackendAnswer>) -> bool {
-        let mut response = build_response(answer.head.status, &answer.header_fields());
-        self.add_headers(&mut response, reply_verdict(answer.head.status));
+    /// Sends a response of the backend server while its body is received, and returns
+    /// whether the complete response was sent.
+    pub async fn stream_response(mut self, mut backend_response: Box<BackendResponse>) -> bool {
+        let mut response = build_response(
+            backend_response.head.status,
+            &backend_response.header_fields(),
+        );
+        self.add_headers(&mut response, reply_verdict(backend_response.head.status));
         if self.stream.send_response(response).await.is_err() {
             return false;
         }
-        let has_detectable_end = answer.has_detectable_end();
-        let buffered = std::mem::take(&mut answer.buffered);
+        let has_detectable_end = backend_response.has_detectable_end();
+        let buffered = std::mem::take(&mut backend_response.buffered);
         if !buffered.is_empty() && self.stream.send_data(buffered.into()).await.is_err() {
             return false;
         }
-        while let Some(frame) = answer.body.frame().await {
+        while let Some(frame) = backend_response.body.frame().await {
             let Ok(frame) = frame else {
                 self.reset_stream();
                 return false;
@@ -140,14 +147,14 @@
             self.reset_stream();
             return false;
         }
-        if let Some(slot) = answer.slot {
+        if let Some(slot) = backend_response.slot {
             slot.complete();
         }
         let _ = self.stream.finish().await;
         true
     }
 
-    /// Resets the stream, so that the caller does not mistake a truncated answer for a
+    /// Resets the stream, so that the caller does not mistake a truncated response for a
     /// complete one.
     fn reset_stream(&mut self) {
         self.stream.stop_stream(Code::H3_INTERNAL_ERROR);
@@ -177,7 +184,7 @@
     }
 }
 
-/// Returns the verdict for an answer of the backend server. With a gateway error it is
+/// Returns the verdict for a response of the backend server. With a gateway error it is
 /// unknown whether the request ran behind the backend server; any other status means that
 /// the request is done.
 fn reply_verdict(status: StatusCode) -> RequestVerdict {
--- a/crates/hyssopstaird/src/host/backend.rs
+++ b/crates/hyssopstaird/src/host/backend.rs
@@ -35,7 +35,7 @@
 use crate::host::state::HostState;
 use crate::host::tickets::TicketClaim;
 
-/// Response header with which a backend server, in an answer with status 503, confirms that
+/// Response header with which a backend server, in a response with status 503, confirms that
 /// it has shed the request without running any part of it.
 const SHED_HEADER: &str = "hyssopstair-shed";
 
@@ -45,14 +45,14 @@
 /// Time after which a caller may retry a request that the backend server did not accept.
 const RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Maximum length of the body of an answer that is collected and stored, in bytes.
+/// Maximum length of the body of a response that is collected and stored, in bytes.
 const MAX_REPLY_BYTES: usize = 256 << 10;
 
 /// The result of sending a request to the backend server.
 #[derive(Debug)]
 pub enum BackendResult {
-    /// The head of the answer was received.
-    Answer(Box<BackendAnswer>),
+    /// The head of the response was received.
+    Response(Box<BackendResponse>),
     /// The request certainly did not run.
     NotRun {
         /// Time after which the request may be retried.
@@ -60,13 +60,13 @@
     },
     /// It is unknown whether the request ran.
     MayHaveRun,
-    /// No answer was received before the deadline; it is unknown whether the request ran.
+    /// No response was received before the deadline; it is unknown whether the request ran.
     TimedOut,
 }
 
-/// An answer whose body is still being received.
+/// A response whose body is still being received.
 #[derive(Debug)]
-pub struct BackendAnswer {
+pub struct BackendResponse {
     /// The status and the header fields.
     pub head: Parts,
     /// The part of the body that was already read.
@@ -77,14 +77,14 @@
     pub slot: Option<SlotGuard>,
 }
 
-/// The result of collecting an answer.
+/// The result of collecting a response.
 #[derive(Debug)]
-pub enum CollectedAnswer {
-    /// The complete answer.
+pub enum CollectedResponse {
+    /// The complete response.
     Complete(BackendReply),
-    /// The answer is too long to be collected; its body was read in part.
-    TooLong(Box<BackendAnswer>),
-    /// The answer ended before it was complete, or its end cannot be detected.
+    /// The response is too long to be collected; its body was read in part.
+    TooLong(Box<BackendResponse>),
+    /// The response ended before it was complete, or its end cannot be detected.
     Truncated,
 }
 
@@ -94,9 +94,9 @@
 /// Limits the warning that the backend server did not answer a request.
 static INTERRUPTED_LIMITER: SharedLimiter = SharedLimiter::new();
 
-/// Sends a request to the backend server and waits for the head of the answer until the
+/// Sends a request to the backend server and waits for the head of the response until the
 /// deadline. Immediately before sending, records the hand-over in `claim` if there is one.
-/// `slot` is released unless an answer is returned, which then owns it.
+/// `slot` is released unless a response is returned, which then owns it.
 pub async fn run_call(
     state: &HostState,
     call: &BackendCall,
@@ -132,7 +132,7 @@
             if let Some(held_back) = INTERRUPTED_LIMITER.record_warning(state.node.clock.now()) {
                 log::warn!(
                     error:% = error, held_back;
-                    "proxy: failed to get an answer from the backend server"
+                    "proxy: failed to get a response from the backend server"
                 );
             }
             if let Some(slot) = slot {
@@ -160,7 +160,7 @@
     }
 }
 
-/// Returns the answer, or [`BackendResult::NotRun`] if the backend server has shed the
+/// Returns the response, or [`BackendResult::NotRun`] if the backend server has shed the
 /// request.
 fn read_response(response: Response<Incoming>, slot: Option<SlotGuard>) -> BackendResult {
     let is_shed = response.status() == StatusCode::SERVICE_UNAVAILABLE
@@ -174,7 +174,7 @@
         };
     }
     let (head, body) = response.into_parts();
-    BackendResult::Answer(Box::new(BackendAnswer {
+    BackendResult::Response(Box::new(BackendResponse {
         head,
         buffered: Vec::new(),
         body,
@@ -182,7 +182,7 @@
     }))
 }
 
-/// The reason why a request has no answer.
+/// The reason why a request has no response.
 enum SendError {
     /// No part of the request was sent.
     NotSent,
@@ -229,7 +229,7 @@
     Some(request)
 }
 
-impl BackendAnswer {
+impl BackendResponse {
     /// Returns whether the end of the body can be distinguished from a lost connection,
     /// which is the case if its length is known or it is sent in chunks.
     pub fn has_detectable_end(&self) -> bool {
@@ -243,26 +243,26 @@
     }
 
     /// Reads the body to its end, unless it is longer than `MAX_REPLY_BYTES`.
-    pub async fn collect(mut self: Box<Self>) -> CollectedAnswer {
+    pub async fn collect(mut self: Box<Self>) -> CollectedResponse {
         if !self.has_detectable_end() {
-            return CollectedAnswer::Truncated;
+            return CollectedResponse::Truncated;
         }
         while let Some(frame) = self.body.frame().await {
             let Ok(frame) = frame else {
-                return CollectedAnswer::Truncated;
+                return CollectedResponse::Truncated;
             };
             if let Ok(data) = frame.into_data() {
                 self.buffered.extend_from_slice(&data);
             }
             if self.buffered.len() > MAX_REPLY_BYTES {
-                return CollectedAnswer::TooLong(self);
+                return CollectedResponse::TooLong(self);
             }
         }
         let headers = self.header_fields();
         if let Some(slot) = self.slot {
             slot.complete();
         }
-        CollectedAnswer::Complete(BackendReply {
+        CollectedResponse::Complete(BackendReply {
             status: self.head.status.as_u16(),
             headers,
             body: self.buffered,
--- a/crates/hyssopstaird/src/host/mod.rs
+++ b/crates/hyssopstaird/src/host/mod.rs
@@ -4,7 +4,7 @@
 //! connection IDs, and [`server`] serves HTTP/3. [`proxy`] handles each request: it uses
 //! [`request`] to read the request, [`tickets`] and [`settle`] to prevent it from running
 //! twice, [`slots`] to limit the load of the backend server, [`backend`] to forward the
-//! request, [`relay`] to try another host, and [`answer`] to answer the caller.
+//! request, [`relay`] to try another host, and [`answer`] to respond to the caller.
 
 pub mod answer;
 pub mod backend;
--- a/crates/hyssopstaird/src/host/proxy.rs
+++ b/crates/hyssopstaird/src/host/proxy.rs
@@ -1,10 +1,10 @@
 //! Handling of callers' requests.
 //!
 //! A request that is not idempotent needs a ticket. Its host claims the ticket, and
-//! records whether the request ran, before the caller receives an answer. A copy of the
+//! records whether the request ran, before the caller receives a response. A copy of the
 //! request that arrives later with the same ticket therefore gets the recorded outcome and
 //! does not run again. Idempotent requests need no ticket and are cancelled when their flow
-//! ends. Streams, whose answers last for hours, need neither a slot nor a deadline.
+//! ends. Streams, whose responses last for hours, need neither a slot nor a deadline.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,12 +23,12 @@
 use hyssopstair_wire::time::MonotonicTime;
 
 use crate::control::node::lock;
-use crate::host::answer::AnswerWriter;
-use crate::host::answer::HostAnswer;
+use crate::host::answer::HostResponse;
+use crate::host::answer::ResponseWriter;
 use crate::host::backend;
-use crate::host::backend::BackendAnswer;
+use crate::host::backend::BackendResponse;
 use crate::host::backend::BackendResult;
-use crate::host::backend::CollectedAnswer;
+use crate::host::backend::CollectedResponse;
 use crate::host::relay;
 use crate::host::relay::RelayResult;
 use crate::host::request;
@@ -40,17 +40,17 @@
 use crate::host::tickets::TicketClaim;
 use crate::host::tickets::TicketResult;
 
-/// The result of a request, from which the caller's answer is created.
+/// The result of a request, from which the caller's response is created.
 enum ServeResult {
-    /// An answer of the backend server whose body is still being received.
-    Streamed(Box<BackendAnswer>),
-    /// A complete answer of a backend server.
+    /// A response of the backend server whose body is still being received.
+    Streamed(Box<BackendResponse>),
+    /// A complete response of a backend server.
     Reply(BackendReply),
-    /// An answer that the host generated.
-    Host(HostAnswer),
-    /// The request needs a new ticket, which is sent with the answer.
+    /// A response that the host generated.
+    Host(HostResponse),
+    /// The request needs a new ticket, which is sent with the response.
     NeedsTicket,
-    /// The caller's flow has ended, so that no answer is sent.
+    /// The caller's flow has ended, so that no response is sent.
     CallerGone,
 }
 
@@ -62,9 +62,9 @@
     flow: &quinn::Connection,
 ) {
     let Some(service) = state.service_rule() else {
-        let answer = HostAnswer::not_run(Duration::from_secs(1));
-        AnswerWriter::new(&mut stream, Vec::new())
-            .send_answer(answer)
+        let response = HostResponse::not_run(Duration::from_secs(1));
+        ResponseWriter::new(&mut stream, Vec::new())
+            .send_host_response(response)
             .await;
         return;
     };
@@ -83,10 +83,10 @@
             return;
         }
         Err(_) => {
-            let answer =
-                HostAnswer::rejected(StatusCode::REQUEST_TIMEOUT, "the request is not whole");
-            AnswerWriter::new(&mut stream, Vec::new())
-                .send_answer(answer)
+            let response =
+                HostResponse::rejected(StatusCode::REQUEST_TIMEOUT, "the request is not whole");
+            ResponseWriter::new(&mut stream, Vec::new())
+                .send_host_response(response)
                 .await;
             return;
         }
@@ -108,23 +108,23 @@
     }
 }
 
-/// Answers a request whose body could not be read.
+/// Responds to a request whose body could not be read.
 async fn reject_body<S: BidiStream<Bytes>>(stream: &mut RequestStream<S, Bytes>, error: BodyError) {
-    let answer = match error {
+    let response = match error {
         BodyError::TooLong => {
-            HostAnswer::rejected(StatusCode::PAYLOAD_TOO_LARGE, "the request is too long")
+            HostResponse::rejected(StatusCode::PAYLOAD_TOO_LARGE, "the request is too long")
         }
-        BodyError::LengthMismatch | BodyError::Cancelled => HostAnswer::rejected(
+        BodyError::LengthMismatch | BodyError::Cancelled => HostResponse::rejected(
             StatusCode::BAD_REQUEST,
             "the request is not as long as it was announced",
         ),
     };
-    AnswerWriter::new(stream, Vec::new())
-        .send_answer(answer)
+    ResponseWriter::new(stream, Vec::new())
+        .send_host_response(response)
         .await;
 }
 
-/// Handles a request for a stream, whose answer lasts for hours. It acquires no slot and
+/// Handles a request for a stream, whose response lasts for hours. It acquires no slot and
 /// has no deadline.
 async fn serve_stream<S: BidiStream<Bytes>>(
     state: &Arc<HostState>,
@@ -133,21 +133,21 @@
     flow: &quinn::Connection,
 ) {
     if state.is_draining() {
-        let answer = HostAnswer::not_run(Duration::ZERO);
-        AnswerWriter::new(stream, Vec::new())
-            .send_answer(answer)
+        let response = HostResponse::not_run(Duration::ZERO);
+        ResponseWriter::new(stream, Vec::new())
+            .send_host_response(response)
             .await;
         return;
     }
     let call = request::build_backend_call(head, &[]);
     let serve = async {
         let result = backend::run_call(state, &call, None, None, None).await;
-        let writer = AnswerWriter::new(stream, Vec::new());
+        let writer = ResponseWriter::new(stream, Vec::new());
         match result {
-            BackendResult::Answer(answer) => {
-                writer.stream_answer(answer).await;
+            BackendResult::Response(response) => {
+                writer.stream_response(response).await;
             }
-            result => writer.send_answer(to_host_answer(&result)).await,
+            result => writer.send_host_response(to_host_response(&result)).await,
         }
     };
     tokio::select! {
@@ -156,7 +156,7 @@
     }
 }
 
-/// Sends the answer for a result, with the tickets that the caller needs.
+/// Sends the response for a result, with the tickets that the caller needs.
 async fn send_result<S: BidiStream<Bytes>>(
     state: &HostState,
     request: &CallerRequest,
@@ -164,28 +164,30 @@
     stream: &mut RequestStream<S, Bytes>,
 ) {
     let ticket_count = count_tickets(state, request, &result);
-    let writer = AnswerWriter::new(stream, tickets::issue_tickets(state, ticket_count));
+    let writer = ResponseWriter::new(stream, tickets::issue_tickets(state, ticket_count));
     match result {
-        ServeResult::Streamed(answer) => {
-            writer.stream_answer(answer).await;
+        ServeResult::Streamed(response) => {
+            writer.stream_response(response).await;
         }
         ServeResult::Reply(reply) => writer.send_reply(reply).await,
-        ServeResult::Host(answer) => writer.send_answer(answer).await,
+        ServeResult::Host(response) => writer.send_host_response(response).await,
         ServeResult::NeedsTicket if ticket_count == 0 => {
             writer
-                .send_answer(HostAnswer::not_run(Duration::ZERO))
+                .send_host_response(HostResponse::not_run(Duration::ZERO))
                 .await;
         }
         ServeResult::NeedsTicket => {
             let status = StatusCode::PRECONDITION_REQUIRED;
             let text = "the request needs the ticket that comes with this answer";
-            writer.send_answer(HostAnswer::rejected(status, text)).await;
+            writer
+                .send_host_response(HostResponse::rejected(status, text))
+                .await;
         }
         ServeResult::CallerGone => {}
     }
 }
 
-/// Returns the number of tickets that are sent with an answer. The ticket of a request that
+/// Returns the number of tickets that are sent with a response. The ticket of a request that
 /// did not run cannot be used again, so the caller needs at least one new ticket to retry.
 fn count_tickets(state: &HostState, request: &CallerRequest, result: &ServeResult) -> usize {
     if state.is_draining() {
@@ -193,8 +195,8 @@
     }
     let needs_new_ticket = match result {
         ServeResult::NeedsTicket => true,
-        ServeResult::Host(answer) => {
-            let is_not_run = matches!(answer.verdict, RequestVerdict::NotRun { .. });
+        ServeResult::Host(response) => {
+            let is_not_run = matches!(response.verdict, RequestVerdict::NotRun { .. });
             is_not_run && request.class == RequestClass::NonIdempotent
         }
         ServeResult::Streamed(_) | ServeResult::Reply(_) | ServeResult::CallerGone => false,
@@ -202,7 +204,7 @@
     request.ticket_count.max(usize::from(needs_new_ticket))
 }
 
-/// Handles an idempotent request, which is relayed to another host if it gets no answer on
+/// Handles an idempotent request, which is relayed to another host if it gets no response on
 /// this one.
 async fn serve_idempotent<S: BidiStream<Bytes>>(
     state: &Arc<HostState>,
@@ -211,24 +213,24 @@
     stream: &mut RequestStream<S, Bytes>,
 ) {
     let result = match run_locally(state, service, request, None).await {
-        BackendResult::Answer(answer) => {
+        BackendResult::Response(response) => {
             lock(&state.retry_budget).deposit();
-            ServeResult::Streamed(answer)
+            ServeResult::Streamed(response)
         }
         result => match relay::relay_request(state, service, request, None).await {
             RelayResult::Reply(reply) => ServeResult::Reply(reply),
             RelayResult::NotRun | RelayResult::MayHaveRun => {
-                ServeResult::Host(to_host_answer(&result))
+                ServeResult::Host(to_host_response(&result))
             }
         },
     };
     let timeout = remaining_time(state, request.deadline);
     let send = send_result(state, request, result, stream);
-    // An answer that is not complete at the deadline is cut off.
+    // A response that is not complete at the deadline is cut off.
     let _ = tokio::time::timeout(timeout.max(MIN_SEND_TIME), send).await;
 }
 
-/// Minimum time to send an answer that was received shortly before the deadline.
+/// Minimum time to send a response that was received shortly before the deadline.
 const MIN_SEND_TIME: Duration = Duration::from_millis(100);
 
 /// Handles a request that must not run twice.
@@ -261,9 +263,9 @@
         Err(retry_after) => BackendResult::NotRun { retry_after },
     };
     match result {
-        BackendResult::Answer(answer) => {
+        BackendResult::Response(response) => {
             lock(&state.retry_budget).deposit();
-            store_answer(state, request, claim, answer).await
+            store_response(state, request, claim, response).await
         }
         BackendResult::NotRun { retry_after } => {
             claim.undo_hand_over();
@@ -271,7 +273,7 @@
         }
         result => {
             claim.finish(RunOutcome::MayHaveRun);
-            ServeResult::Host(to_host_answer(&result))
+            ServeResult::Host(to_host_response(&result))
         }
     }
 }
@@ -292,46 +294,46 @@
         }
         RelayResult::NotRun => {
             claim.finish(RunOutcome::NotRun);
-            ServeResult::Host(HostAnswer::not_run(retry_after))
+            ServeResult::Host(HostResponse::not_run(retry_after))
         }
         RelayResult::MayHaveRun => {
             claim.finish(RunOutcome::MayHaveRun);
-            ServeResult::Host(to_host_answer(&BackendResult::MayHaveRun))
+            ServeResult::Host(to_host_response(&BackendResult::MayHaveRun))
         }
     }
 }
 
-/// Reads the complete answer before any part of it is sent to the caller, and records the
-/// outcome, which is then known even if the caller has disconnected. An answer that is too
+/// Reads the complete response before any part of it is sent to the caller, and records the
+/// outcome, which is then known even if the caller has disconnected. A response that is too
 /// long is recorded as done without its content.
-async fn store_answer(
+async fn store_response(
     state: &HostState,
     request: &CallerRequest,
     claim: TicketClaim,
-    answer: Box<BackendAnswer>,
+    response: Box<BackendResponse>,
 ) -> ServeResult {
     let timeout = remaining_time(state, request.deadline);
-    match tokio::time::timeout(timeout, answer.collect()).await {
-        Ok(CollectedAnswer::Complete(reply)) => {
+    match tokio::time::timeout(timeout, response.collect()).await {
+        Ok(CollectedResponse::Complete(reply)) => {
             claim.finish(stored_outcome(&reply));
             ServeResult::Reply(reply)
         }
-        Ok(CollectedAnswer::TooLong(answer)) => {
+        Ok(CollectedResponse::TooLong(response)) => {
             claim.finish(RunOutcome::Done(None));
-            ServeResult::Streamed(answer)
+            ServeResult::Streamed(response)
         }
-        Ok(CollectedAnswer::Truncated) => {
+        Ok(CollectedResponse::Truncated) => {
             claim.finish(RunOutcome::MayHaveRun);
-            ServeResult::Host(to_host_answer(&BackendResult::MayHaveRun))
+            ServeResult::Host(to_host_response(&BackendResult::MayHaveRun))
         }
         Err(_) => {
             claim.finish(RunOutcome::MayHaveRun);
-            ServeResult::Host(to_host_answer(&BackendResult::TimedOut))
+            ServeResult::Host(to_host_response(&BackendResult::TimedOut))
         }
     }
 }
 
-/// Returns the outcome of a request with a complete answer.
+/// Returns the outcome of a request with a complete response.
 fn stored_outcome(reply: &BackendReply) -> RunOutcome {
     RunOutcome::Done(Some(encode_reply(reply).into()))
 }
@@ -367,33 +369,33 @@
     match result {
         TicketResult::Reply(reply) => ServeResult::Reply(reply),
         TicketResult::NeedsTicket => ServeResult::NeedsTicket,
-        TicketResult::DoneWithoutReply => ServeResult::Host(HostAnswer::done_without_reply()),
+        TicketResult::DoneWithoutReply => ServeResult::Host(HostResponse::done_without_reply()),
         TicketResult::MayHaveRun | TicketResult::Claimed(_) => {
-            ServeResult::Host(HostAnswer::may_have_run(
+            ServeResult::Host(HostResponse::may_have_run(
                 StatusCode::GATEWAY_TIMEOUT,
                 "the host that issued the ticket does not know or does not answer",
             ))
         }
-        TicketResult::StillRunning => ServeResult::Host(HostAnswer::may_have_run(
+        TicketResult::StillRunning => ServeResult::Host(HostResponse::may_have_run(
             StatusCode::CONFLICT,
             "another copy of the request is still running",
         )),
-        TicketResult::OtherRequest => ServeResult::Host(HostAnswer::rejected(
+        TicketResult::OtherRequest => ServeResult::Host(HostResponse::rejected(
             StatusCode::CONFLICT,
             "the ticket was used for another request",
         )),
     }
 }
 
-/// Returns the answer for a request that got no answer of the backend server.
-fn to_host_answer(result: &BackendResult) -> HostAnswer {
+/// Returns the host's own response to a request that the backend server did not answer.
+fn to_host_response(result: &BackendResult) -> HostResponse {
     match result {
-        BackendResult::NotRun { retry_after } => HostAnswer::not_run(*retry_after),
-        BackendResult::Answer(_) | BackendResult::MayHaveRun => HostAnswer::may_have_run(
+        BackendResult::NotRun { retry_after } => HostResponse::not_run(*retry_after),
+        BackendResult::Response(_) | BackendResult::MayHaveRun => HostResponse::may_have_run(
             StatusCode::BAD_GATEWAY,
             "the backend server broke off; the request may have run",
         ),
-        BackendResult::TimedOut => HostAnswer::may_have_run(
+        BackendResult::TimedOut => HostResponse::may_have_run(
             StatusCode::GATEWAY_TIMEOUT,
             "no answer came in time; the request may have run",
         ),
--- a/crates/hyssopstaird/src/host/relay.rs
+++ b/crates/hyssopstaird/src/host/relay.rs
@@ -31,7 +31,7 @@
 use crate::control::node::lock;
 use crate::host::backend;
 use crate::host::backend::BackendResult;
-use crate::host::backend::CollectedAnswer;
+use crate::host::backend::CollectedResponse;
 use crate::host::request::CallerRequest;
 use crate::host::slots;
 use crate::host::state::HostState;
@@ -47,7 +47,7 @@
 /// The result of relaying a request.
 #[derive(Debug)]
 pub enum RelayResult {
-    /// The request ran and has this answer.
+    /// The request ran and has this response.
     Reply(BackendReply),
     /// The request did not run.
     NotRun,
@@ -227,9 +227,11 @@
         Err(retry_after) => return not_run_outcome(retry_after),
     };
     match backend::run_call(state, &request.call, Some(slot), Some(deadline), None).await {
-        BackendResult::Answer(answer) => match answer.collect().await {
-            CollectedAnswer::Complete(reply) => RelayOutcome::Done(reply),
-            CollectedAnswer::TooLong(_) | CollectedAnswer::Truncated => RelayOutcome::MayHaveRun,
+        BackendResult::Response(response) => match response.collect().await {
+            CollectedResponse::Complete(reply) => RelayOutcome::Done(reply),
+            CollectedResponse::TooLong(_) | CollectedResponse::Truncated => {
+                RelayOutcome::MayHaveRun
+            }
         },
         BackendResult::NotRun { retry_after } => not_run_outcome(retry_after),
         BackendResult::MayHaveRun | BackendResult::TimedOut => RelayOutcome::MayHaveRun,
--- a/crates/hyssopstaird/src/host/request.rs
+++ b/crates/hyssopstaird/src/host/request.rs
@@ -18,18 +18,18 @@
 /// Request header that contains a ticket.
 pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 
-/// Request header with the time that the caller waits for the answer, in milliseconds.
+/// Request header with the time that the caller waits for the response, in milliseconds.
 /// Requests to backend servers contain the remaining time in the same header.
 pub const DEADLINE_HEADER: &str = "hyssopstair-deadline";
 
-/// Request header with the time that the caller waits for the answer, in the format of
+/// Request header with the time that the caller waits for the response, in the format of
 /// gRPC.
 const GRPC_TIMEOUT_HEADER: &str = "grpc-timeout";
 
 /// Request header with the number of tickets that the caller requests.
 const TICKETS_HEADER: &str = "hyssopstair-tickets";
 
-/// Maximum number of tickets that one answer contains.
+/// Maximum number of tickets that one response contains.
 const MAX_TICKETS: usize = 32;
 
 /// Maximum length of a request body, in bytes.
@@ -44,9 +44,9 @@
     pub key: String,
     /// Whether the request may run more than once.
     pub class: RequestClass,
-    /// The time at which the caller stops waiting for the answer.
+    /// The time at which the caller stops waiting for the response.
     pub deadline: MonotonicTime,
-    /// Number of tickets that the caller requests with the answer.
+    /// Number of tickets that the caller requests with the response.
     pub ticket_count: usize,
 }
 
@@ -82,7 +82,7 @@
     }
 }
 
-/// Returns the time that the caller waits for the answer, limited by the deadline of the
+/// Returns the time that the caller waits for the response, limited by the deadline of the
 /// service.
 pub fn request_timeout(headers: &HeaderMap, service: &ServiceRule) -> Duration {
     let max_timeout = Duration::from_millis(u64::from(service.deadline_millis));
@@ -117,7 +117,7 @@
     }
 }
 
-/// Returns the header fields of a request or answer that are forwarded.
+/// Returns the header fields of a request or response that are forwarded.
 pub fn forwarded_header_fields(headers: &HeaderMap) -> Vec<HeaderField> {
     headers
         .iter()
--- a/crates/hyssopstaird/src/host/server.rs
+++ b/crates/hyssopstaird/src/host/server.rs
@@ -41,7 +41,7 @@
 const MAX_STREAMS_PER_FLOW: u32 = 256;
 
 /// Time for which an idle flow stays open after a GOAWAY frame was sent. Requests that the
-/// caller sent before it received the frame still arrive in this time and are refused as
+/// caller sent before it received the frame still arrive in this time and are rejected as
 /// not run; on a closed connection they would be lost, and their outcome unknown.
 const GOAWAY_GRACE: Duration = Duration::from_secs(5);
 
--- a/crates/hyssopstaird/src/host/slots.rs
+++ b/crates/hyssopstaird/src/host/slots.rs
@@ -25,7 +25,7 @@
 use crate::host::state::HostState;
 
 /// Minimum time between two advances of the queue by a waiting request.
-const MIN_WAIT: Duration = Duration::from_millis(1);
+const MIN_ADVANCE_INTERVAL: Duration = Duration::from_millis(1);
 
 /// A waiting request and the channel over which it receives its decision.
 #[derive(Debug)]
@@ -108,13 +108,13 @@
         }
     }
 
-    /// Releases the slot after a complete answer.
+    /// Releases the slot after a complete response.
     pub fn complete(self) {
         let elapsed = self.elapsed();
         self.release(SlotOutcome::Completed(elapsed));
     }
 
-    /// Releases the slot after the deadline has passed without an answer.
+    /// Releases the slot after the deadline has passed without a response.
     pub fn time_out(self) {
         let elapsed = self.elapsed();
         self.release(SlotOutcome::TimedOut(elapsed));
@@ -234,7 +234,7 @@
             scheduler.send_decisions(&decisions, guard.rules, now);
             scheduler.admission.next_advance_at(now).unwrap_or(now)
         };
-        let timeout = next_advance_at.since(now).max(MIN_WAIT);
+        let timeout = next_advance_at.since(now).max(MIN_ADVANCE_INTERVAL);
         if let Ok(decision) = tokio::time::timeout(timeout, &mut guard.receiver).await {
             return decision.unwrap_or(SlotDecision::Wait);
         }
--- a/crates/hyssopstaird/src/host/tickets.rs
+++ b/crates/hyssopstaird/src/host/tickets.rs
@@ -24,9 +24,9 @@
 pub enum TicketResult {
     /// The ticket is claimed and the request may run.
     Claimed(TicketClaim),
-    /// The request has already run, with this answer.
+    /// The request has already run, with this response.
     Reply(BackendReply),
-    /// The request has already run, but its answer was not stored.
+    /// The request has already run, but its response was not stored.
     DoneWithoutReply,
     /// The request did not run and needs a new ticket.
     NeedsTicket,
@@ -162,7 +162,7 @@
     request.deadline.since(state.node.clock.now())
 }
 
-/// Decodes the stored answer of a request that has already run.
+/// Decodes the stored response of a request that has already run.
 fn to_ticket_result(reply: Option<&StoredReply>) -> TicketResult {
     match reply.and_then(|bytes| decode_reply(bytes)) {
         Some(reply) => TicketResult::Reply(reply),
