--- a/crates/hyssopstaird/src/carry/http.rs
+++ b/crates/hyssopstaird/src/carry/http.rs
@@ -30,7 +30,7 @@
 use crate::carry::metrics::CarryMetrics;
 use crate::error::DaemonError;
 
-/// Maximum size of a request body, in bytes; that of a heartbeat has about 300 bytes.
+/// Maximum size of a request body, in bytes; a heartbeat has about 300.
 const MAX_BODY_BYTES: usize = 16 * 1024;
 
 /// Time after which a connection is closed, so that idle connections do not use up
--- a/crates/hyssopstaird/src/carry/part.rs
+++ b/crates/hyssopstaird/src/carry/part.rs
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Prepares the process to stop, and tells the peers.
+    /// Prepares the process to stop, and notifies the peers.
     pub fn stop(&mut self, now: MonotonicTime, outbox: &mut FlowOutbox) {
         match self {
             Self::Balancer(balancer) => balancer.stop(now, outbox),
--- a/crates/hyssopstaird/src/carry/process.rs
+++ b/crates/hyssopstaird/src/carry/process.rs
@@ -53,7 +53,7 @@
 
 /// Maximum number of datagrams that are read from one socket before the other socket is
 /// read.
-const MAX_READ_BATCH: usize = 64;
+const MAX_BATCH_DATAGRAMS: usize = 64;
 
 /// Time for which a balancer keeps running after the signal to stop: routers need two
 /// readiness probes, half a second apart, to see that it is not ready.
@@ -209,7 +209,7 @@
 
     fn read_peer_messages(&mut self) {
         let mut buffer = [0; RECEIVE_BUFFER_BYTES];
-        for _ in 0..MAX_READ_BATCH {
+        for _ in 0..MAX_BATCH_DATAGRAMS {
             let Some((length, from)) = self.peer_socket.try_receive(&mut buffer) else {
                 break;
             };
@@ -236,7 +236,7 @@
 
     fn read_packets(&mut self) {
         let mut buffer = [0; RECEIVE_BUFFER_BYTES];
-        for _ in 0..MAX_READ_BATCH {
+        for _ in 0..MAX_BATCH_DATAGRAMS {
             let Some((length, _)) = self.packet_socket.try_receive(&mut buffer) else {
                 break;
             };
@@ -355,8 +355,8 @@
         self.flush_outbox(now);
     }
 
-    /// Starts to drain: the process is no longer ready, and the peers are told. Ignores
-    /// further signals to stop.
+    /// Starts to drain: the process is no longer ready, and the peers are notified.
+    /// Ignores further signals to stop.
     fn begin_stop(&mut self) {
         if self.stop_requested_at.is_some() {
             return;
--- a/crates/hyssopstaird/src/control/node.rs
+++ b/crates/hyssopstaird/src/control/node.rs
@@ -312,7 +312,8 @@
         let previous = self.incarnation.swap(incarnation.0, Ordering::AcqRel);
         if previous != incarnation.0 {
             log::warn!(
-                "gossip: took incarnation {incarnation}, as one above {previous} was known here"
+                "gossip: raised the incarnation from {previous} to {incarnation}, because a member \
+                 knew an equal or higher one at this address"
             );
         }
     }
--- a/crates/hyssopstaird/src/lib.rs
+++ b/crates/hyssopstaird/src/lib.rs
@@ -3,7 +3,7 @@
 //! A balancer forwards datagrams from callers to hosts. A host runs beside a
 //! backend server, terminates the callers' QUIC connections and forwards their
 //! requests to the backend server over HTTP. Both roles run the tasks of
-//! [`control`], which maintain the member list and the configuration. The crates
+//! [`control`], which maintain the roster and the configuration. The crates
 //! `routing`, `roster` and `requests` make the decisions; the modules of this crate
 //! connect them to sockets and clocks.
 //!
