--- a/crates/flows/examples/carry_cost.rs
+++ b/crates/flows/examples/carry_cost.rs
@@ -28,7 +28,7 @@
 use hyssopstair_wire::time::MonotonicTime;
 
 /// Number of flows that are opened and then used.
-const FLOWS: u32 = 20_000;
+const FLOW_COUNT: u32 = 20_000;
 
 /// Returns the address that callers connect to.
 fn target_address() -> SocketAddrV4 {
@@ -115,12 +115,12 @@
 }
 
 fn main() {
-    println!("hosts  opening  established  search  hello  (ns, {FLOWS} flows)");
+    println!("hosts  opening  established  search  hello  (ns, {FLOW_COUNT} flows)");
     for hosts in [7, 45, 300] {
         let mut outbox = FlowOutbox::default();
         let mut balancer = new_balancer(hosts, &mut outbox);
         let now = MonotonicTime::from_millis(1_000);
-        let opening = measure_nanos(FLOWS, |flow| {
+        let opening = measure_nanos(FLOW_COUNT, |flow| {
             let header = packet_header(flow, true);
             let bytes = [0; 36];
             let raw = RawPacket {
@@ -143,7 +143,7 @@
             );
             outbox.clear();
         });
-        let established = measure_nanos(FLOWS, |flow| {
+        let established = measure_nanos(FLOW_COUNT, |flow| {
             let bytes = [0; 1_236];
             let raw = RawPacket {
                 header: packet_header(flow, false),
@@ -155,7 +155,7 @@
         // 400 searches are pending at once, and every host denies every flow.
         let searches = 400;
         let search = measure_nanos(searches, |flow| {
-            let header = packet_header(FLOWS + flow, false);
+            let header = packet_header(FLOW_COUNT + flow, false);
             let bytes = [0; 36];
             let raw = RawPacket {
                 header,
@@ -182,7 +182,7 @@
             }
             outbox.clear();
         });
-        let hello_time = measure_nanos(FLOWS, |number| {
+        let hello_time = measure_nanos(FLOW_COUNT, |number| {
             let message = host_hello(number + 2);
             balancer.receive_peer_message(
                 host_address(number % hosts),
--- a/crates/flows/tests/fuzz.rs
+++ b/crates/flows/tests/fuzz.rs
@@ -17,7 +17,7 @@
 use crate::model::world::World;
 use crate::model::world::WorldPlan;
 
-/// Number of seeds, counted from 0, if no variable sets them.
+/// Number of seeds, starting at 0, if no environment variable selects them.
 const DEFAULT_CASES: u64 = 60;
 
 /// Draws a fault of a process or server that the plan has.
--- a/crates/flows/tests/heavy.rs
+++ b/crates/flows/tests/heavy.rs
@@ -23,7 +23,7 @@
 ];
 
 /// Number of seeds over which each result is summed, to reduce the influence of chance.
-const SEEDS: u64 = 6;
+const SEED_COUNT: u64 = 6;
 
 /// Outcome of the requests of all seeds, in thousandths.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
@@ -66,7 +66,7 @@
     let (mut in_time, mut answered, mut unserved) = (0, 0, 0);
     let (mut feeds, mut feeds_in_time) = (0, 0);
     let mut worst_second = u32::MAX;
-    for seed in 0..SEEDS {
+    for seed in 0..SEED_COUNT {
         let mut world = World::new(plan.clone(), seed);
         world.run();
         let tally = world.tally;
--- a/crates/flows/tests/model/caller.rs
+++ b/crates/flows/tests/model/caller.rs
@@ -8,13 +8,13 @@
 use crate::fixture;
 use crate::model::packet::ModelPacket;
 
-/// Length of a request in bytes.
-pub const REQUEST_LENGTH: u16 = 80;
+/// Length of a request.
+pub const REQUEST_BYTES: u16 = 80;
 
 /// Time after which a caller abandons a request, in milliseconds.
 pub const REQUEST_TIMEOUT_MILLIS: u64 = 1_500;
 
-/// Attempts of a request after the first.
+/// Maximum number of attempts of a request after the first.
 pub const MAX_RETRIES: u8 = 2;
 
 /// Progress of an attempt to send requests on a flow.
@@ -35,9 +35,9 @@
     pub answered: u32,
     /// Answered within the target time.
     pub in_time: u32,
-    /// Answered to callers that send many requests on a flow.
+    /// Answered requests of callers that send many requests on a flow.
     pub feed_answered: u32,
-    /// Answered within the target time to callers that send many requests on a flow.
+    /// Answered within the target time, of callers that send many requests on a flow.
     pub feed_in_time: u32,
     /// Refused or failed in all attempts.
     pub refused: u32,
@@ -98,8 +98,8 @@
         }
     }
 
-    /// Starts a new flow from another port for a number of requests. The first of them
-    /// may be a retry of a refused or failed one.
+    /// Starts a new flow from another port for a number of requests, at `now` in
+    /// milliseconds. The first request may be a retry of a refused or failed one.
     pub fn start_flow(&mut self, requests: u32, now: u64) {
         self.port = if self.port >= 60_000 {
             1_000
@@ -134,7 +134,7 @@
             has_ack: true,
             sequence: self.stream_position,
             acknowledged: self.server_stream_start + 1,
-            data_length: REQUEST_LENGTH,
+            data_length: REQUEST_BYTES,
             ..ModelPacket::new(flow.caller, flow.target)
         }
     }
--- a/crates/flows/tests/model/oracle.rs
+++ b/crates/flows/tests/model/oracle.rs
@@ -8,14 +8,15 @@
 
 use hyssopstair_wire::carried::FlowKey;
 
-/// Packets of a flow that may reach other servers while its own server gets none.
-const MAX_MISROUTED: usize = 2;
+/// Maximum number of packets of a flow that may reach other servers while its own server
+/// gets none.
+const MAX_MISROUTED_PACKETS: usize = 2;
 
 /// Time without a packet at the flow's own server after which misrouted packets count as
 /// a violation, in milliseconds.
 const MISROUTED_PERIOD_MILLIS: u64 = 2_000;
 
-/// Time after a fault of a process before which violations that involve the process are
+/// Time after a fault of a process for which violations that involve the process are
 /// ignored, in milliseconds.
 pub const RECOVERY_MILLIS: u64 = 4_000;
 
@@ -32,14 +33,15 @@
 }
 
 impl FlowDeliveries {
-    /// Returns whether the flow's own server got no packet for the whole period before
-    /// `now`, while other servers got more than may be misrouted within such a period.
+    /// Returns whether the flow's own server has got no packet for
+    /// [`MISROUTED_PERIOD_MILLIS`] and other servers got more than
+    /// [`MAX_MISROUTED_PACKETS`] within such a period.
     fn is_violation(&self, now: u64) -> bool {
         let is_starved = now >= self.last_owner_packet_at + MISROUTED_PERIOD_MILLIS;
         let is_frequent = self
             .misrouted_at
-            .windows(MAX_MISROUTED + 1)
-            .any(|window| window[MAX_MISROUTED] - window[0] <= MISROUTED_PERIOD_MILLIS);
+            .windows(MAX_MISROUTED_PACKETS + 1)
+            .any(|window| window[MAX_MISROUTED_PACKETS] - window[0] <= MISROUTED_PERIOD_MILLIS);
         is_starved && is_frequent
     }
 }
--- a/crates/flows/tests/model/world/mod.rs
+++ b/crates/flows/tests/model/world/mod.rs
@@ -60,8 +60,9 @@
 /// The second service, which the route is moved to and from.
 const ARCHIVE_SERVICE: &str = "archive";
 
-/// Time within which new routes are in force everywhere and opening packets that were
-/// forwarded by the previous routes have arrived, in milliseconds.
+/// Maximum time from a change of the routes until the new ones are in force everywhere
+/// and all opening packets that were forwarded by the old ones have arrived, in
+/// milliseconds.
 const MAX_ROUTE_DELAY_MILLIS: u64 = 3_000 + 2_000;
 
 /// Minimum time between two ticks of a process, in microseconds.
@@ -273,8 +274,8 @@
     pub oracle: RuleOracle,
     /// Number of requests by outcome.
     pub tally: CallerTally,
-    /// Number of requests answered in time and of all completed ones, by the second of
-    /// their first attempt.
+    /// For each second, the number of requests first attempted in it that were answered in
+    /// time, and the number of those that were answered or failed.
     pub results_by_second: Vec<(u32, u32)>,
     /// Address and port of the caller whose flow is traced.
     pub traced_caller: Option<String>,
--- a/crates/flows/tests/model/world/servers.rs
+++ b/crates/flows/tests/model/world/servers.rs
@@ -182,9 +182,9 @@
             self.schedule(until, Event::ReceiveFromServer { address, packet });
             return;
         }
-        let mut unmarked = *packet;
-        unmarked.is_bounced = false;
-        let bytes = unmarked.encode();
+        let mut restored_packet = *packet;
+        restored_packet.is_bounced = false;
+        let bytes = restored_packet.encode();
         let raw = RawPacket {
             header: packet.header(),
             bytes: &bytes,
