--- a/crates/roster/src/presence.rs
+++ b/crates/roster/src/presence.rs
@@ -91,7 +91,8 @@
     }
 
     /// Records that the process must be confirmed again. `first_ping` is the number
-    /// of the next ping: answers to earlier ones do not count.
+    /// of the next ping: answers to earlier ones do not count. A starting process
+    /// is not yet confirmed and stays in its phase.
     pub fn require_reconfirmation(&mut self, first_ping: u32) {
         if !self.is_starting() {
             self.phase = PresencePhase::Reconfirming { first_ping };
--- a/crates/roster/src/state.rs
+++ b/crates/roster/src/state.rs
@@ -238,7 +238,8 @@
     }
 
     /// Raises the incarnation above one that another process used at this
-    /// address. The process must then be confirmed by another member again.
+    /// address. Unless the process is still starting, it must then be confirmed by
+    /// another member again.
     pub(crate) fn raise_incarnation(&mut self, above: HostIncarnation, now: MonotonicTime) {
         self.own_entry.process.incarnation = HostIncarnation(above.0.saturating_add(1));
         self.own_entry.counter = 0;
--- a/crates/roster/tests/fleet/mod.rs
+++ b/crates/roster/tests/fleet/mod.rs
@@ -36,7 +36,8 @@
 pub const SERVICES: u16 = 2;
 
 const TICK_MILLIS: u64 = 50;
-/// Time in which a configuration change must reach every reachable process.
+/// Time in which a configuration change must reach every reachable process, and in
+/// which a balancer that missed the announcement of a drain must learn of it.
 const PROPAGATION_LIMIT: Duration = Duration::from_secs(16);
 /// Time in which a balancer must learn that a reachable host drains.
 const DRAIN_LIMIT: Duration = Duration::from_secs(3);
@@ -75,7 +76,7 @@
     /// Partitions the processes whose bit is set from the others.
     Partition(u32),
     Heal,
-    /// Percentage of messages that are lost.
+    /// Percentage of messages that are lost, taken modulo 10.
     SetLoss(u8),
     /// Sets whether the platform answers.
     SetPlatform(bool),
--- a/crates/routing/src/host.rs
+++ b/crates/routing/src/host.rs
@@ -1,9 +1,9 @@
 //! Routing of packets that a host receives from balancers and other hosts.
 //!
 //! The host accepts a packet of an open flow if its route names the current
-//! incarnation of the host. Based on its current load, the host either accepts a
-//! packet that opens a flow, or hands the flow over to the second host named in
-//! the header.
+//! incarnation of the host. Based on its current load, the host accepts a packet
+//! that opens a flow, hands the flow over to the second host named in the header,
+//! or drops the packet if neither host accepts new flows.
 
 use std::sync::Mutex;
 use std::time::Duration;
--- a/crates/routing/src/pending.rs
+++ b/crates/routing/src/pending.rs
@@ -1,7 +1,7 @@
 //! Counts the flows of a host whose handshake is in progress.
 //!
-//! Handshakes are counted in time slots, so those that never complete expire
-//! without a record for each flow.
+//! Handshakes are counted in time slots. Those that never complete are no longer
+//! counted once their slot has expired.
 
 use std::time::Duration;
 
--- a/crates/routing/src/placement.rs
+++ b/crates/routing/src/placement.rs
@@ -3,7 +3,7 @@
 //! All balancers with the same candidates choose the same host for a flow without
 //! any coordination. The algorithm is the logarithmic method of Schindelhauer and
 //! Schomaker: the score of a host is `-weight / ln(hash)`, where the hash is
-//! mapped to the open interval from 0 to 1.
+//! mapped to a number between 0 and 1.
 
 use std::hash::Hasher;
 
@@ -99,9 +99,9 @@
         })
     }
 
-    /// Returns whether `candidate` is certain to have a lower score, because
-    /// neither its hash nor its weight is higher. This saves most of the
-    /// logarithms, since most hosts of a service have the same weight.
+    /// Returns whether `candidate` cannot have a higher score, because its hash is
+    /// lower and its weight is not higher. This saves most of the logarithms,
+    /// since most hosts of a service have the same weight.
     fn certainly_ranks_above(&self, candidate: &PlacementCandidate, hash: u64) -> bool {
         hash < self.hash && candidate.weight <= self.candidate.weight
     }
@@ -115,8 +115,9 @@
     number ^ (number >> 31)
 }
 
-/// Maps a hash to the open interval from 0 to 1, so that its logarithm is finite
-/// and negative.
+/// Maps a hash to a number above 0 and below 1, so that its logarithm is finite
+/// and negative. The only exception is a hash whose upper 53 bits are all set,
+/// which is rounded to 1.
 fn unit_interval(hash: u64) -> f64 {
     const MANTISSA_BITS: u32 = 53;
     let mantissa = (hash >> (u64::BITS - MANTISSA_BITS)) as f64;
--- a/crates/routing/src/view.rs
+++ b/crates/routing/src/view.rs
@@ -1,7 +1,8 @@
 //! A snapshot of rules, keys and members, indexed for routing decisions.
 //!
-//! A [`RoutingView`] is immutable. A process builds a new one whenever the
-//! configuration or the roster changes.
+//! A [`RoutingView`] is immutable. A process builds a new one after the
+//! configuration or the roster has changed. Roster changes in quick succession
+//! share a build, see [`crate::pace`].
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
--- a/crates/wire/src/address.rs
+++ b/crates/wire/src/address.rs
@@ -21,8 +21,9 @@
 
 /// The start time of a process, in sixteenths of a second since 2026-01-01 UTC.
 ///
-/// A process that restarts at the same address has a higher incarnation, unless
-/// its clock was set back in between.
+/// A process that restarts at the same address has a higher incarnation. If its
+/// clock was set back in between, or if it restarts within a sixteenth of a second,
+/// it raises its incarnation on learning of the earlier process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct HostIncarnation(pub u32);
 
--- a/crates/wire/src/control.rs
+++ b/crates/wire/src/control.rs
@@ -33,12 +33,12 @@
 /// incarnation and counter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum MemberState {
-    /// The member accepts new flows.
+    /// The member accepts new work. For a host, this means new flows.
     Alive,
-    /// The member accepts no new flows and keeps its open ones.
+    /// The member accepts no new work. A host keeps its open flows.
     Draining,
-    /// The member did not answer the probes of other members. It gets no new
-    /// flows; packets of its open flows are still sent to it.
+    /// The member did not answer the probes of other members. A suspect host gets
+    /// no new flows; packets of its open flows are still sent to it.
     Suspect,
     /// The member has left or has failed.
     Gone,
--- a/crates/wire/src/token.rs
+++ b/crates/wire/src/token.rs
@@ -51,8 +51,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct KeyNumber(pub u8);
 
-/// The secret that operators configure on every process. All other secrets and
-/// keys are derived from it. Its `Debug` output omits the bytes.
+/// The secret that operators configure on every process. The route keys and the
+/// secrets for tickets, placement and stateless resets are derived from it. Its
+/// `Debug` output omits the bytes.
 #[derive(Clone)]
 pub struct FleetSecret([u8; SECRET_LENGTH]);
 
