--- a/crates/platform/src/record.rs
+++ b/crates/platform/src/record.rs
@@ -22,7 +22,8 @@
 /// Number of past configurations that are stored.
 pub const HISTORY_SLOTS: u64 = 32;
 
-/// Prefix of the keys of the entry addresses, which processes contact to join the fleet.
+/// Prefix of the keys of the entry addresses, which processes contact to find members of
+/// the fleet.
 pub const ENTRY_PREFIX: &str = "/hyssopstair/entry/";
 
 /// Maximum number of stored entry addresses.
--- a/crates/requests/src/admission.rs
+++ b/crates/requests/src/admission.rs
@@ -283,7 +283,7 @@
     ///
     /// Without probes, such an estimate would never be updated and the host would
     /// refuse all requests forever. Non-idempotent requests are never used as
-    /// probes.
+    /// probes: a probe may time out, and then it is unknown whether it ran.
     fn needs_probe(&self, request: &SlotRequest, now: MonotonicTime) -> bool {
         let is_idle = self.running_count == 0 && self.queue.is_empty() && now >= self.backoff_until;
         let is_estimate_stale = now.since(self.last_sample_at) >= PROBE_INTERVAL;
@@ -373,7 +373,7 @@
     }
 
     /// Refuses the last idempotent request in the queue to make space for a
-    /// non-idempotent `request`. Returns whether there is space now.
+    /// non-idempotent `request`. Returns whether a request was refused.
     fn evict_idempotent(
         &mut self,
         request: &SlotRequest,
--- a/crates/requests/src/limit.rs
+++ b/crates/requests/src/limit.rs
@@ -2,7 +2,8 @@
 
 use crate::admission::AdmissionRules;
 
-/// Limit after a start, a shed response or a long idle period.
+/// Limit in slots at the start and after each reset, such as after a shed, failed or
+/// timed-out request or a long idle period.
 const INITIAL_LIMIT: f64 = 1.0;
 
 /// A limit on the slots in use that grows with completed requests.
--- a/crates/requests/tests/admission.rs
+++ b/crates/requests/tests/admission.rs
@@ -320,8 +320,8 @@
     for number in 5..1_000 {
         log.record_relay(process_id(2), process_id(1), number, time_at(1));
     }
-    let evicted = log.record_relay(process_id(2), process_id(1), 4, time_at(1));
-    expect!["Repeated"].assert_eq(&format!("{evicted:?}"));
+    let below_floor = log.record_relay(process_id(2), process_id(1), 4, time_at(1));
+    expect!["Repeated"].assert_eq(&format!("{below_floor:?}"));
 }
 
 #[test]
--- a/crates/requests/tests/curve/host.rs
+++ b/crates/requests/tests/curve/host.rs
@@ -35,8 +35,8 @@
 }
 
 impl SimulatedHost {
-    /// Creates a host with all slots available. With [`PolicyStep::Ramp`], a cold
-    /// host starts with one slot instead.
+    /// Creates a host with all slots available. From [`PolicyStep::Ramp`] on, a
+    /// cold host starts with one slot instead.
     pub fn new(kind: HostKind, index: usize, setting: &CurveSetting) -> Self {
         let mut admission = AdmissionController::default();
         let starts_cold = kind == HostKind::Cold && setting.step >= PolicyStep::Ramp;
--- a/crates/requests/tests/model/mod.rs
+++ b/crates/requests/tests/model/mod.rs
@@ -415,8 +415,8 @@
             outcome
         };
         if outcome == RunOutcome::NotRun {
-            // The receiver has recorded the number of the message, so that no other copy
-            // can run.
+            // No other copy of the message can run: its receiver has recorded its number
+            // or is another incarnation than its target.
             let number = self.tickets[message.ticket].ticket.number;
             let host = self.requests[pending].host;
             if self.hosts[host].self_id == message.sender {
--- a/crates/rules/src/carry_settings.rs
+++ b/crates/rules/src/carry_settings.rs
@@ -39,9 +39,9 @@
     pub metrics: Option<SocketAddrV4>,
     /// First and last port for messages between processes.
     pub inner_ports: (u16, u16),
-    /// Port on which this process receives messages from other processes. Needed only
-    /// if a relay forwards them from the first port of `inner_ports`, which is the
-    /// default.
+    /// Port on which this process receives messages from other processes; if missing,
+    /// the first port of `inner_ports`. Needed only if something between the processes
+    /// forwards messages from that first port to another one.
     #[serde(default)]
     pub inner_bind: Option<u16>,
     /// Addresses of some balancers, which may be outdated.
--- a/crates/telemetry/src/counts.rs
+++ b/crates/telemetry/src/counts.rs
@@ -153,7 +153,8 @@
     pub platform_calls: EventCounter,
     /// Calls to the platform that write. All other calls read.
     pub platform_writes: EventCounter,
-    /// Calls to the platform that received no response.
+    /// Calls to the platform that received no response, an error status or an invalid
+    /// response.
     pub platform_errors: EventCounter,
     /// Spans that could not be exported.
     pub spans_lost: EventCounter,
--- a/crates/telemetry/src/requests.rs
+++ b/crates/telemetry/src/requests.rs
@@ -149,7 +149,7 @@
 }
 
 /// Runs `future`, which serves a request that another host has relayed, in a new
-/// span. `header` is the trace context header of the request.
+/// span. Its parent is the span in `header`, the trace context header of the request.
 pub async fn serve_relayed_request<F: Future>(header: Option<&str>, future: F) -> F::Output {
     let mut headers = HeaderMap::new();
     if let Some(value) = header.and_then(|text| text.parse().ok()) {
