--- a/crates/requests/src/admission.rs
+++ b/crates/requests/src/admission.rs
@@ -23,8 +23,8 @@
 /// host is reset.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Age of the service time estimate from which an idle host no longer refuses a
-/// request because of the estimate alone, but admits it as a probe.
+/// Age of the service time estimate from which an idle host no longer refuses an
+/// idempotent request because of the estimate alone, but admits it as a probe.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A load report is ignored if a request has completed within this time before
