--- a/crates/flows/examples/carry_cost.rs
+++ b/crates/flows/examples/carry_cost.rs
@@ -152,7 +152,7 @@
             balancer.receive_caller_packet(&raw, now, &mut outbox);
             outbox.clear();
         });
-        // 400 searches are pending at once, and every host denies every flow.
+        // 400 searches at once: the balancer asks all hosts, and each denies every flow.
         let searches = 400;
         let search = measure_nanos(searches, |flow| {
             let header = packet_header(FLOW_COUNT + flow, false);
--- a/crates/flows/tests/heavy.rs
+++ b/crates/flows/tests/heavy.rs
@@ -94,8 +94,9 @@
     }
 }
 
-/// Runs a plan with all policies, and checks that no other policy answers more requests
-/// in time than the crate's, over all or in the worst second.
+/// Runs a plan with all policies, and checks the crate's policy against the others: none of
+/// them may answer a larger share of the requests in time, or more requests in time in the
+/// worst second.
 fn compare_policies(plan: WorldPlan, expected: Expect) {
     let results = POLICIES.map(|policy| {
         let plan = WorldPlan {
--- a/crates/flows/tests/model/oracle.rs
+++ b/crates/flows/tests/model/oracle.rs
@@ -16,8 +16,8 @@
 /// a violation, in milliseconds.
 const MISROUTED_PERIOD_MILLIS: u64 = 2_000;
 
-/// Time after a fault of a process for which violations that involve the process are
-/// ignored, in milliseconds.
+/// Time after a fault of a process before all invariants are checked for it again, in
+/// milliseconds. New flows at a draining server are violations even within this time.
 pub const RECOVERY_MILLIS: u64 = 4_000;
 
 /// Time after a confirmed drain within which new flows may still arrive, in milliseconds.
@@ -104,14 +104,14 @@
     pub fn record_reset(&mut self, flow: FlowKey, is_counted: bool, now: u64) {
         if is_counted {
             self.violations.push(format!(
-                "{now} ms: the living flow {} was reset",
+                "{now} ms: {} was reset although its server holds the flow",
                 flow.caller
             ));
         }
     }
 
-    /// Records that a server got an opening packet although no current route leads to its
-    /// service.
+    /// Records that a server got an opening packet although neither the newest routes nor
+    /// recently replaced ones lead to its service.
     pub fn record_wrong_service(&mut self, flow: FlowKey, service: &str, now: u64) {
         self.violations.push(format!(
             "{now} ms: {} opened at a server of {service}",
@@ -120,7 +120,8 @@
     }
 
     /// Records that a server that has been draining since `confirmed_at` got an opening
-    /// packet at `received_at`, both in milliseconds.
+    /// packet at `received_at`, both in milliseconds. It is a violation only after
+    /// [`MAX_DRAIN_DELAY_MILLIS`].
     pub fn record_late_opening(&mut self, flow: FlowKey, confirmed_at: u64, received_at: u64) {
         if received_at > confirmed_at + MAX_DRAIN_DELAY_MILLIS {
             self.violations.push(format!(
--- a/crates/hyssopstaird/tests/traces.rs
+++ b/crates/hyssopstaird/tests/traces.rs
@@ -12,7 +12,7 @@
 /// Trace ID of the caller.
 const TRACE_ID: &str = "0af7651916cd43dd8448eb211c80319c";
 
-/// ID of the span of the caller, which is the parent of the exported spans.
+/// ID of the caller's span, below which the exported spans form a tree.
 const CALLER_SPAN_ID: &str = "b7ad6b7169203331";
 
 /// Opens a flow to a service.
--- a/crates/soak/src/checker.rs
+++ b/crates/soak/src/checker.rs
@@ -35,15 +35,15 @@
 /// the time that it is held back.
 const MAX_OPENING_TIME: Duration = Duration::from_millis(2_000);
 
-/// Additional time that a configuration may take after faults of processes or of the
-/// store.
+/// Additional time that a configuration may take while a process or the store has a fault
+/// or a process is restarted as planned, and for [`RECOVERY_TIME`] afterwards.
 const EXTRA_CONFIGURATION_DELAY: Duration = Duration::from_secs(12);
 
-/// Minimum number of packets of an open flow at other servers that is a violation. A packet
-/// that reaches the flow's own server resets the number.
+/// Number of packets of an open flow that must have reached other servers before they are a
+/// violation. A packet that reaches the flow's own server resets the count.
 const MISROUTED_PACKET_LIMIT: u32 = 3;
 
-/// Minimum time since the first of these packets before they are a violation.
+/// Time that must have passed since the first of these packets before they are a violation.
 const MIN_MISROUTED_TIME: Duration = Duration::from_secs(2);
 
 /// Time within which a system without faults answers a request. Answers that take longer
@@ -53,8 +53,8 @@
 /// Minimum share of the requests that must be answered at the end of a run.
 const MIN_ANSWERED_SHARE: f64 = 0.9;
 
-/// Maximum number of findings that are kept. Further ones of the same kinds
-/// would add no information.
+/// Maximum number of findings that are kept, because repeated ones of the same kind add no
+/// information.
 const MAX_FINDINGS: usize = 20;
 
 /// An open flow and the server that holds it.
