--- a/crates/flows/src/balancer/search.rs
+++ b/crates/flows/src/balancer/search.rs
@@ -293,7 +293,8 @@
         }
     }
 
-    /// Times out rounds and searches, and queries hosts once more that have not answered.
+    /// Times out rounds and searches, and repeats the queries to hosts that have not
+    /// answered.
     pub(super) fn advance_searches(&mut self, now: MonotonicTime, outbox: &mut FlowOutbox) {
         for index in (0..self.searches.len()).rev() {
             let search = &mut self.searches[index];
--- a/crates/flows/src/event.rs
+++ b/crates/flows/src/event.rs
@@ -256,7 +256,7 @@
 pub enum RefusalReason {
     /// No route matches the target address.
     NoRoute,
-    /// No host runs the service.
+    /// The service has no host that the flow may be offered to.
     NoHost,
     /// All hosts that were asked are at capacity or draining.
     NoCapacity,
@@ -267,7 +267,8 @@
 pub enum BreakReason {
     /// The server that held the flow has ended.
     ServerEnded,
-    /// The server returned a packet of the flow, which it no longer holds.
+    /// No server holds the flow any more: its server returned a packet of it, or every host
+    /// that was asked in a search denied it.
     ServerForgot,
 }
 
--- a/crates/flows/src/heartbeat.rs
+++ b/crates/flows/src/heartbeat.rs
@@ -37,7 +37,8 @@
 pub enum HeartbeatVerdict {
     /// The heartbeat was newer than all others and has been applied.
     Accepted,
-    /// The heartbeat was ignored: it is out of order or from an earlier incarnation.
+    /// The heartbeat was ignored: it is a duplicate, out of order or from an earlier
+    /// incarnation.
     Stale,
 }
 
@@ -59,7 +60,7 @@
     InSequence,
     /// The first heartbeat of a new incarnation.
     NewIncarnation,
-    /// Out of order, or from an earlier incarnation.
+    /// A duplicate, out of order, or from an earlier incarnation.
     Stale,
 }
 
--- a/crates/flows/src/host/mod.rs
+++ b/crates/flows/src/host/mod.rs
@@ -152,7 +152,7 @@
     }
 
     /// Sets the service that the server runs. If it differs from the current one, all
-    /// flows are reset.
+    /// open flows are reset.
     pub fn set_service(&mut self, service: &str, now: MonotonicTime, outbox: &mut FlowOutbox) {
         if self.identity.service == service {
             return;
--- a/crates/flows/src/host/opening.rs
+++ b/crates/flows/src/host/opening.rs
@@ -37,7 +37,7 @@
     Accept,
     /// All slots are taken; the value is the number of requests in progress.
     Queue(u16),
-    /// The server must get no new flows.
+    /// The server must not get the flow.
     Reject,
 }
 
--- a/crates/flows/src/host/records.rs
+++ b/crates/flows/src/host/records.rs
@@ -23,8 +23,8 @@
 /// longest interval between two retransmissions is 1.6 s.
 const CLOSED_RETENTION: Duration = Duration::from_secs(4);
 
-/// Time for which a flow is kept whose opening packet the server has not answered;
-/// callers give up after 1.4 s.
+/// Time for which an offered flow is kept, within which the server has to answer the
+/// opening packet; callers give up after 1.4 s.
 const OFFER_RETENTION: Duration = Duration::from_secs(2);
 
 /// Time for which broken flows and flows that the server does not hold are kept.
@@ -139,7 +139,7 @@
 
     /// Returns whether a caller that acknowledged `position` is reading this server's
     /// stream, and not that of another server. If the caller has acknowledged nothing
-    /// before, `position` must be the start of the stream.
+    /// before, `position` must acknowledge the start of the stream and no data.
     pub(super) fn continues_stream(&self, position: Option<u32>) -> bool {
         let (Some(position), last_position) = (position, self.acknowledged) else {
             return false;
--- a/crates/flows/src/host/server.rs
+++ b/crates/flows/src/host/server.rs
@@ -2,8 +2,8 @@
 //!
 //! The state of the server is derived from its heartbeats, its packets and the results
 //! of checks: a health check while the state is unknown, and a connection attempt when
-//! the server stops answering or has deregistered. Only a refused connection shows that
-//! the server has ended; silence alone does not.
+//! the server stops answering or has deregistered. Only a refused connection or
+//! a heartbeat of a new incarnation shows that the server has ended; silence alone does not.
 
 use std::time::Duration;
 
@@ -66,7 +66,8 @@
     last_check_at: Option<MonotonicTime>,
     /// Whether the server has deregistered because it is about to end.
     is_ending: bool,
-    /// When the server started; `None` if it started before the host did.
+    /// When the first heartbeat of the server arrived; `None` if the host has not observed
+    /// the start of the server.
     started_at: Option<MonotonicTime>,
 }
 
--- a/crates/flows/src/lib.rs
+++ b/crates/flows/src/lib.rs
@@ -2,10 +2,10 @@
 //! them.
 //!
 //! The endpoints of such a flow are the caller and the backend server, and its
-//! packets are forwarded unmodified. The host beside a backend server is
+//! packets must be forwarded unmodified. The host beside a backend server is
 //! authoritative for the flows that the server holds. The flow tables of
-//! balancers are only hints: when a balancer has no entry for a packet, the hosts
-//! are asked until the one whose server holds the flow accepts it.
+//! balancers are only hints: when a balancer has no entry for a packet, or a wrong
+//! one, the hosts are asked until the one whose server holds the flow accepts it.
 //!
 //! The crate opens no sockets and reads no clock; callers pass in packets and the
 //! current time. [`balancer`] decides about the packets of callers, [`host`] about
--- a/crates/flows/src/outbox.rs
+++ b/crates/flows/src/outbox.rs
@@ -23,13 +23,13 @@
     Peer(Ipv4Addr),
 }
 
-/// A reset that the system sends to a caller on behalf of a backend server.
+/// A reset that the system itself sends to a caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FlowReset {
     /// The flow.
     pub flow: FlowKey,
     /// Position in the server's stream that the caller acknowledged last, at which it
-    /// accepts the reset; 0 for a flow that has not opened.
+    /// accepts the reset; 0 if the flow has not opened or the position is not known.
     pub sequence: u32,
 }
 
--- a/crates/flows/src/packet.rs
+++ b/crates/flows/src/packet.rs
@@ -1,7 +1,7 @@
 //! The packet fields on which forwarding decisions depend.
 //!
 //! The wire format is decoded elsewhere; packets are forwarded as the bytes that
-//! were received.
+//! their senders wrote.
 
 use std::net::SocketAddrV4;
 
@@ -62,11 +62,12 @@
     }
 }
 
-/// A packet together with its bytes as received.
+/// A packet together with the bytes that its sender wrote.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RawPacket<'a> {
-    /// The decoded header.
+    /// The decoded header, as received.
     pub header: PacketHeader,
-    /// The whole datagram, header included.
+    /// The whole datagram, header included. The bounced flag is cleared in a packet that the
+    /// backend server returned.
     pub bytes: &'a [u8],
 }
--- a/crates/hyssopstaird/src/carry/process.rs
+++ b/crates/hyssopstaird/src/carry/process.rs
@@ -403,7 +403,7 @@
     }
 
     /// Returns whether the process was asked to stop and has drained, or has used up its
-    /// grace period.
+    /// maximum drain time or its grace period less [`EXIT_RESERVE`].
     fn may_exit(&self) -> bool {
         let Some(stop_requested_at) = self.stop_requested_at else {
             return false;
