--- a/crates/hyssopstaird/src/balancer/mod.rs
+++ b/crates/hyssopstaird/src/balancer/mod.rs
@@ -43,7 +43,7 @@
 /// so that the fabric can switch to other balancers.
 const DRAIN_TIME: Duration = Duration::from_secs(2);
 
-/// Waits until the fabric sends datagrams only to other balancers.
+/// Waits for [`DRAIN_TIME`], in which the fabric switches to other balancers.
 pub async fn wait_for_drain() {
     log::info!("balancer: draining");
     tokio::time::sleep(DRAIN_TIME).await;
--- a/crates/hyssopstaird/src/control/configuration.rs
+++ b/crates/hyssopstaird/src/control/configuration.rs
@@ -101,8 +101,9 @@
     Ok(())
 }
 
-/// Records that the peer at `from` has the given version. Called for each received packet
-/// that names a version.
+/// Records that the peer at `from` has the given version, if it is newer than the one in
+/// force. Called for received control messages and, on a host, for each datagram that a
+/// balancer or another host forwards.
 pub fn record_peer_version(node: &ControlNode, from: SocketAddrV4, version: u64) {
     if version <= node.view().version {
         return;
--- a/crates/hyssopstaird/src/control/node.rs
+++ b/crates/hyssopstaird/src/control/node.rs
@@ -273,8 +273,9 @@
         }
     }
 
-    /// Announces the service, zone and weight of a host as the configuration defines them.
-    /// Has no effect on a balancer or if the configuration does not name the service.
+    /// Announces the service and zone of a host as the configuration defines them, with
+    /// weight 1. Has no effect on a balancer or if the configuration does not name the
+    /// service.
     fn update_role(&self) {
         let Some(name) = &self.service_name else {
             return;
--- a/crates/hyssopstaird/src/host/proxy.rs
+++ b/crates/hyssopstaird/src/host/proxy.rs
@@ -245,8 +245,8 @@
         result => return to_serve_result(result),
     };
     let acquire = slots::acquire_slot(state, service, request.class, request.deadline);
-    // The end of the flow cancels the request until it is sent to the backend server.
-    // After that it runs to its end, and its outcome is stored for a later copy.
+    // While the request waits for a slot, the end of the flow cancels it. After that it
+    // runs to its end, and its outcome is stored for a later copy.
     let slot = if state.is_draining() {
         Err(Duration::ZERO)
     } else {
--- a/crates/hyssopstaird/src/host/request.rs
+++ b/crates/hyssopstaird/src/host/request.rs
@@ -129,8 +129,8 @@
         .collect()
 }
 
-/// Returns whether the host strips a header field, which either applies only to a single
-/// connection or is set by the host.
+/// Returns whether the host strips a header field, because the field applies only to a
+/// single connection, is addressed to the host itself, or is set anew by the host.
 fn is_stripped(name: &str) -> bool {
     let names = [
         header::CONNECTION.as_str(),
--- a/crates/hyssopstaird/src/host/slots.rs
+++ b/crates/hyssopstaird/src/host/slots.rs
@@ -245,8 +245,8 @@
 ///
 /// # Errors
 ///
-/// If no slot is free or the request is not expected to meet its deadline, returns the time
-/// after which the other host may retry it.
+/// If no slot is free, other requests are waiting or the request is not expected to meet its
+/// deadline, returns the time after which the other host may retry it.
 pub fn try_acquire_slot(
     state: &Arc<HostState>,
     service: &ServiceRule,
@@ -272,7 +272,7 @@
 }
 
 /// Returns the running and waiting requests of the host, in percent of the requests that
-/// can run concurrently.
+/// can run concurrently, or `u16::MAX` while the host backs off.
 pub fn load_percent(state: &HostState, service: &ServiceRule) -> u16 {
     let now = state.node.clock.now();
     lock(&state.scheduler)
--- a/crates/hyssopstaird/src/host/state.rs
+++ b/crates/hyssopstaird/src/host/state.rs
@@ -146,7 +146,7 @@
     }
 
     /// Returns whether the host accepts no new flows and requests, either because the
-    /// process is stopping or because the rules drain it.
+    /// process is stopping or because the rules drain the host or withdraw its service.
     pub fn is_draining(&self) -> bool {
         let accepts_new_flows = self
             .node
