--- a/crates/hyssopstair/src/commands/history.rs
+++ b/crates/hyssopstair/src/commands/history.rs
@@ -33,7 +33,7 @@
     for (index, record) in records.iter().take(args.count).enumerate() {
         shell.print_line(format!("version {}", record.version));
         let Some(previous) = records.get(index + 1) else {
-            shell.print_line("  the previous version is no longer stored");
+            shell.print_line("  the previous version is not stored");
             continue;
         };
         for line in diff_text(&previous.text, &record.text) {
--- a/crates/hyssopstair/src/commands/show.rs
+++ b/crates/hyssopstair/src/commands/show.rs
@@ -27,8 +27,7 @@
 ///
 /// # Errors
 ///
-/// Returns an error if the platform does not answer or no longer stores the
-/// version.
+/// Returns an error if the platform does not answer or does not store the version.
 pub fn exec(args: &ShowArgs, shell: &mut ConsoleShell) -> Result<(), Report<CommandError>> {
     let record = match args.version {
         Some(version) => Some(block_on(read_version(&args.platform, version))??),
--- a/crates/hyssopstair/src/ops/change.rs
+++ b/crates/hyssopstair/src/ops/change.rs
@@ -97,9 +97,9 @@
     )))
 }
 
-/// Executes the steps of a change until its outcome is decided. The version of the
-/// change will be higher than `highest_version`, the highest that any daemon has,
-/// even if the platform lost its own.
+/// Executes the steps of a change until its outcome is decided. A new version is higher
+/// than `highest_version`, the highest among the daemons that must confirm it, even if
+/// the platform has lost its configuration.
 async fn write_change(
     client: &PlatformClient,
     intent: ChangeIntent,
--- a/crates/hyssopstair/src/ops/daemon.rs
+++ b/crates/hyssopstair/src/ops/daemon.rs
@@ -22,7 +22,7 @@
     pub version: u64,
     /// The members that the daemon knows.
     pub members: Vec<MemberEntry>,
-    /// All other figures that the daemon reports, by name.
+    /// All other values that the daemon reports, such as flows and load, by name.
     #[serde(flatten)]
     pub more: Map<String, Value>,
 }
--- a/crates/hyssopstair/src/ops/load/backends.rs
+++ b/crates/hyssopstair/src/ops/load/backends.rs
@@ -118,9 +118,9 @@
         }
     }
 
-    /// Returns the part of this report that is newer than the report `before`. A
-    /// backend server that was restarted in between reports fewer runs than before;
-    /// its whole report is new.
+    /// Returns the part of this report that is newer than the report `before`. If this
+    /// report has fewer runs, the backend server was restarted in between and has lost
+    /// its earlier runs, so all runs in the report are new.
     pub fn since(&self, before: &Self) -> Self {
         let was_restarted = self.runs.len() < before.runs.len();
         let known_runs = if was_restarted { 0 } else { before.runs.len() };
--- a/crates/hyssopstair/src/ops/load/feeds.rs
+++ b/crates/hyssopstair/src/ops/load/feeds.rs
@@ -12,7 +12,8 @@
 use crate::ops::load::workload::FeedLoad;
 use crate::ops::load::workload::ServiceLoad;
 
-/// Keeps a feed open until the load ends. A feed that ends earlier is counted as
+/// Keeps a feed open until the load ends. The feed is closed and reopened whenever it
+/// reaches the age that the workload sets. A feed that ends before that is counted as
 /// broken and reopened.
 pub async fn keep_feed_open(
     context: LoadContext,
--- a/crates/hyssopstair/src/ops/load/requests.rs
+++ b/crates/hyssopstair/src/ops/load/requests.rs
@@ -36,7 +36,7 @@
 /// the deadline still arrives.
 const DEADLINE_GRACE: Duration = Duration::from_millis(500);
 
-/// Maximum number of times that a request is sent.
+/// Maximum number of times that a non-idempotent request is sent.
 const MAX_ATTEMPTS: usize = 4;
 
 /// A flow and the unused tickets that arrived on it.
--- a/crates/hyssopstair/src/ops/load/workload.rs
+++ b/crates/hyssopstair/src/ops/load/workload.rs
@@ -85,7 +85,8 @@
     /// Whether a request may run more than once. By default, only a `GET` may.
     #[serde(default)]
     pub idempotent: Option<bool>,
-    /// Deadline that is sent with each request, in milliseconds after it is sent.
+    /// Deadline that is sent with each request, in milliseconds; the caller stops waiting
+    /// 500 ms after it. By default, none is sent and the caller waits without limit.
     #[serde(default)]
     pub deadline_millis: Option<u64>,
     /// Time after which a flow is replaced by a new one, in seconds. By default,
