--- a/crates/hyssopstair/src/commands/apply.rs
+++ b/crates/hyssopstair/src/commands/apply.rs
@@ -7,14 +7,14 @@
 use error_stack::Report;
 
 use crate::error::CommandError;
+use crate::ops::apply::build_intent;
 use crate::ops::apply::split_version_line;
-use crate::ops::apply::text_intent;
 use crate::ops::change::ChangePlan;
-use crate::ops::change::make_change;
-use crate::ops::rule_file::check_text;
-use crate::ops::rule_file::read_text;
+use crate::ops::change::apply_change;
+use crate::ops::rule_file::parse_rules;
+use crate::ops::rule_file::read_rule_file;
 use crate::ops::runtime::block_on;
-use crate::shell::PersonShell;
+use crate::shell::ConsoleShell;
 
 /// Puts a rule file in force on the whole fleet.
 #[derive(Debug, FromArgs)]
@@ -54,19 +54,19 @@
 ///
 /// Returns an error when the file has mistakes, another operator changed the
 /// same lines, the platform does not take it, or it is not confirmed in time.
-pub fn exec(args: &ApplyArgs, shell: &mut PersonShell) -> Result<(), Report<CommandError>> {
+pub fn exec(args: &ApplyArgs, shell: &mut ConsoleShell) -> Result<(), Report<CommandError>> {
     let plan = ChangePlan {
         platform: args.platform.clone(),
         confirm: args.confirm.clone(),
         daemons: args.daemon.clone(),
         wait: Duration::from_secs(args.wait),
     };
-    let edited = split_version_line(&read_text(&args.file)?);
-    check_text(&args.file, &edited)?;
+    let edited = split_version_line(&read_rule_file(&args.file)?);
+    parse_rules(&args.file, &edited)?;
     let accepted = block_on(async {
-        let intent = text_intent(&plan.platform, edited, args.base).await?;
-        make_change(&plan, intent).await
+        let intent = build_intent(&plan.platform, edited, args.base).await?;
+        apply_change(&plan, intent).await
     })??;
-    shell.accepted(&accepted);
+    shell.print_accepted(&accepted);
     Ok(())
 }
--- a/crates/hyssopstair/src/commands/check.rs
+++ b/crates/hyssopstair/src/commands/check.rs
@@ -7,9 +7,9 @@
 
 use crate::error::CommandError;
 use crate::ops::apply::split_version_line;
-use crate::ops::rule_file::check_text;
-use crate::ops::rule_file::read_text;
-use crate::shell::PersonShell;
+use crate::ops::rule_file::parse_rules;
+use crate::ops::rule_file::read_rule_file;
+use crate::shell::ConsoleShell;
 
 /// Checks a rule file and names every mistake.
 #[derive(Debug, FromArgs)]
@@ -25,10 +25,10 @@
 /// # Errors
 ///
 /// Returns an error when the file cannot be read or has mistakes.
-pub fn exec(args: &CheckArgs, shell: &mut PersonShell) -> Result<(), Report<CommandError>> {
-    let edited = split_version_line(&read_text(&args.file)?);
-    let rules = check_text(&args.file, &edited)?;
-    shell.line(format!(
+pub fn exec(args: &CheckArgs, shell: &mut ConsoleShell) -> Result<(), Report<CommandError>> {
+    let edited = split_version_line(&read_rule_file(&args.file)?);
+    let rules = parse_rules(&args.file, &edited)?;
+    shell.print_line(format!(
         "{}: {} services, {} drained hosts, {} keys",
         args.file.display(),
         rules.services.len(),
--- a/crates/hyssopstair/src/commands/diff.rs
+++ b/crates/hyssopstair/src/commands/diff.rs
@@ -8,11 +8,11 @@
 use crate::error::CommandError;
 use crate::ops::apply::split_version_line;
 use crate::ops::diff::diff_text;
-use crate::ops::record::read_record;
-use crate::ops::rule_file::check_text;
-use crate::ops::rule_file::read_text;
+use crate::ops::record::read_configuration;
+use crate::ops::rule_file::parse_rules;
+use crate::ops::rule_file::read_rule_file;
 use crate::ops::runtime::block_on;
-use crate::shell::PersonShell;
+use crate::shell::ConsoleShell;
 
 /// Compares a rule file with the rules that the platform keeps.
 #[derive(Debug, FromArgs)]
@@ -32,20 +32,20 @@
 /// # Errors
 ///
 /// Returns an error when the file has mistakes or the platform does not answer.
-pub fn exec(args: &DiffArgs, shell: &mut PersonShell) -> Result<(), Report<CommandError>> {
-    let edited = split_version_line(&read_text(&args.file)?);
-    check_text(&args.file, &edited)?;
-    let found = block_on(read_record(&args.platform))??;
+pub fn exec(args: &DiffArgs, shell: &mut ConsoleShell) -> Result<(), Report<CommandError>> {
+    let edited = split_version_line(&read_rule_file(&args.file)?);
+    parse_rules(&args.file, &edited)?;
+    let found = block_on(read_configuration(&args.platform))??;
     let (version, old) = match found {
         Some(found) => (found.record.version, found.record.text),
         None => (0, String::new()),
     };
     let lines = diff_text(&old, &edited.text);
     if lines.is_empty() {
-        shell.progress(format!("no difference to version {version}"));
+        shell.print_progress(format!("no difference to version {version}"));
     }
     for line in lines {
-        shell.line(line);
+        shell.print_line(line);
     }
     Ok(())
 }
--- a/crates/hyssopstair/src/commands/drain.rs
+++ b/crates/hyssopstair/src/commands/drain.rs
@@ -9,11 +9,11 @@
 
 use crate::error::CommandError;
 use crate::ops::change::ChangePlan;
-use crate::ops::change::make_change;
-use crate::ops::drain::asked_by;
-use crate::ops::drain::knows_host;
+use crate::ops::change::apply_change;
+use crate::ops::drain::is_host_known;
+use crate::ops::drain::parse_requester;
 use crate::ops::runtime::block_on;
-use crate::shell::PersonShell;
+use crate::shell::ConsoleShell;
 
 /// Adds a drain rule for a host: it takes nothing new and keeps what it has.
 #[derive(Debug, FromArgs)]
@@ -52,7 +52,7 @@
 ///
 /// Returns an error when the platform does not take it, or it is not confirmed
 /// in time.
-pub fn exec(args: &DrainArgs, shell: &mut PersonShell) -> Result<(), Report<CommandError>> {
+pub fn exec(args: &DrainArgs, shell: &mut ConsoleShell) -> Result<(), Report<CommandError>> {
     let plan = ChangePlan {
         platform: args.platform.clone(),
         confirm: args.confirm.clone(),
@@ -61,20 +61,20 @@
     };
     let intent = ChangeIntent::Drain {
         host: args.host,
-        asked_by: asked_by(&args.asked_by)?,
+        asked_by: parse_requester(&args.asked_by)?,
     };
-    let accepted = block_on(make_change(&plan, intent))??;
+    let accepted = block_on(apply_change(&plan, intent))??;
     if accepted.unchanged {
-        shell.progress(format!("{} was drained already", args.host));
+        shell.print_progress(format!("{} was drained already", args.host));
     }
     if let Some(daemon) = args.daemon.first()
-        && !block_on(knows_host(daemon, args.host))?
+        && !block_on(is_host_known(daemon, args.host))?
     {
-        shell.progress(format!(
+        shell.print_progress(format!(
             "note: the daemon at {daemon} knows no host {}; the rule holds for one that comes",
             args.host
         ));
     }
-    shell.accepted(&accepted);
+    shell.print_accepted(&accepted);
     Ok(())
 }
--- a/crates/hyssopstair/src/commands/explain.rs
+++ b/crates/hyssopstair/src/commands/explain.rs
@@ -6,9 +6,9 @@
 use error_stack::Report;
 
 use crate::error::CommandError;
-use crate::ops::explain::explain;
+use crate::ops::explain::fetch_explanation;
 use crate::ops::runtime::block_on;
-use crate::shell::PersonShell;
+use crate::shell::ConsoleShell;
 
 /// Says where a new flow to a service's address would go, and why: the hosts
 /// with their weights and states, and the rules that bear on them.
@@ -30,9 +30,9 @@
 ///
 /// Returns an error when the daemon does not answer, or no service has the
 /// address.
-pub fn exec(args: &ExplainArgs, shell: &mut PersonShell) -> Result<(), Report<CommandError>> {
-    for line in block_on(explain(&args.daemon, args.address))?? {
-        shell.line(line);
+pub fn exec(args: &ExplainArgs, shell: &mut ConsoleShell) -> Result<(), Report<CommandError>> {
+    for line in block_on(fetch_explanation(&args.daemon, args.address))?? {
+        shell.print_line(line);
     }
     Ok(())
 }
--- a/crates/hyssopstair/src/commands/history.rs
+++ b/crates/hyssopstair/src/commands/history.rs
@@ -7,7 +7,7 @@
 use crate::ops::diff::diff_text;
 use crate::ops::record::read_history;
 use crate::ops::runtime::block_on;
-use crate::shell::PersonShell;
+use crate::shell::ConsoleShell;
 
 /// Lists past versions, the newest first, each with the lines that it changed;
 /// the comment of a line names who asked.
@@ -28,16 +28,16 @@
 /// # Errors
 ///
 /// Returns an error when the platform does not answer.
-pub fn exec(args: &HistoryArgs, shell: &mut PersonShell) -> Result<(), Report<CommandError>> {
+pub fn exec(args: &HistoryArgs, shell: &mut ConsoleShell) -> Result<(), Report<CommandError>> {
     let records = block_on(read_history(&args.platform))??;
     for (index, record) in records.iter().take(args.count).enumerate() {
-        shell.line(format!("version {}", record.version));
+        shell.print_line(format!("version {}", record.version));
         let Some(before) = records.get(index + 1) else {
-            shell.line("  the version before it is not kept");
+            shell.print_line("  the version before it is not kept");
             continue;
         };
         for line in diff_text(&before.text, &record.text) {
-            shell.line(format!("  {line}"));
+            shell.print_line(format!("  {line}"));
         }
     }
     Ok(())
--- a/crates/hyssopstair/src/commands/keygen.rs
+++ b/crates/hyssopstair/src/commands/keygen.rs
@@ -7,7 +7,7 @@
 
 use crate::error::CommandError;
 use crate::ops::keygen::generate_keys;
-use crate::shell::PersonShell;
+use crate::shell::ConsoleShell;
 
 /// Makes a fleet secret and a self-signed certificate for the named services.
 #[derive(Debug, FromArgs)]
@@ -27,8 +27,8 @@
 /// # Errors
 ///
 /// Returns an error when a file cannot be written.
-pub fn exec(args: &KeygenArgs, shell: &mut PersonShell) -> Result<(), Report<CommandError>> {
+pub fn exec(args: &KeygenArgs, shell: &mut ConsoleShell) -> Result<(), Report<CommandError>> {
     generate_keys(&args.directory, &args.names)?;
-    shell.line(format!("wrote keys to {}", args.directory.display()));
+    shell.print_line(format!("wrote keys to {}", args.directory.display()));
     Ok(())
 }
--- a/crates/hyssopstair/src/commands/load.rs
+++ b/crates/hyssopstair/src/commands/load.rs
@@ -16,7 +16,7 @@
 use crate::ops::load::run_load;
 use crate::ops::load::workload::read_workload;
 use crate::ops::runtime::block_on;
-use crate::shell::PersonShell;
+use crate::shell::ConsoleShell;
 
 /// Runs a workload of feeds, requests and faults, or compares two reports.
 #[derive(Debug, FromArgs)]
@@ -45,43 +45,47 @@
 ///
 /// Returns an error when the workload is wrong, or when a flow broke, a request
 /// ran twice or reached a wrong service.
-pub fn exec(args: &LoadArgs, shell: &mut PersonShell) -> Result<(), Report<CommandError>> {
+pub fn exec(args: &LoadArgs, shell: &mut ConsoleShell) -> Result<(), Report<CommandError>> {
     match (args.compare, args.files.as_slice()) {
-        (true, [before, after]) => compare(before, after, shell),
-        (false, [workload]) => run(args, workload, shell),
-        (true, _) => Err(wrong_usage("--compare needs two reports")),
-        (false, _) => Err(wrong_usage("one workload file is needed")),
+        (true, [before, after]) => print_comparison(before, after, shell),
+        (false, [workload]) => run_workload(args, workload, shell),
+        (true, _) => Err(usage_error("--compare needs two reports")),
+        (false, _) => Err(usage_error("one workload file is needed")),
     }
 }
 
-fn wrong_usage(text: &str) -> Report<CommandError> {
-    Report::new(CommandError::new(FailureKind::Input, text))
+fn usage_error(text: &str) -> Report<CommandError> {
+    Report::new(CommandError::new(FailureKind::InvalidInput, text))
 }
 
-fn compare(
+fn print_comparison(
     before: &Path,
     after: &Path,
-    shell: &mut PersonShell,
+    shell: &mut ConsoleShell,
 ) -> Result<(), Report<CommandError>> {
     let lines = compare_reports(&read_report(before)?, &read_report(after)?);
     for line in lines {
-        shell.line(line);
+        shell.print_line(line);
     }
     Ok(())
 }
 
-fn run(args: &LoadArgs, path: &Path, shell: &mut PersonShell) -> Result<(), Report<CommandError>> {
+fn run_workload(
+    args: &LoadArgs,
+    path: &Path,
+    shell: &mut ConsoleShell,
+) -> Result<(), Report<CommandError>> {
     let workload = read_workload(path)?;
-    let progress = |line| PersonShell::new().progress(line);
+    let progress = |line| ConsoleShell::new().print_progress(line);
     let report = block_on(run_load(&workload, progress))??;
     for line in report.table() {
-        shell.line(line);
+        shell.print_line(line);
     }
-    shell.line(report.json());
+    shell.print_line(report.json());
     if let Some(path) = &args.json {
         fs::write(path, report.json()).change_context_lazy(|| {
             CommandError::new(
-                FailureKind::Input,
+                FailureKind::InvalidInput,
                 format!("failed to write report {}", path.display()),
             )
         })?;
--- a/crates/hyssopstair/src/commands/mod.rs
+++ b/crates/hyssopstair/src/commands/mod.rs
@@ -16,7 +16,7 @@
 use error_stack::Report;
 
 use crate::error::CommandError;
-use crate::shell::PersonShell;
+use crate::shell::ConsoleShell;
 
 /// Runs hyssopstair's fleet: rules, state and load.
 #[derive(Debug, FromArgs)]
@@ -46,7 +46,7 @@
 /// # Errors
 ///
 /// Returns the error of the command.
-pub fn exec(args: &TopArgs, shell: &mut PersonShell) -> Result<(), Report<CommandError>> {
+pub fn exec(args: &TopArgs, shell: &mut ConsoleShell) -> Result<(), Report<CommandError>> {
     match &args.command {
         Command::Apply(args) => apply::exec(args, shell),
         Command::Check(args) => check::exec(args, shell),
--- a/crates/hyssopstair/src/commands/show.rs
+++ b/crates/hyssopstair/src/commands/show.rs
@@ -4,11 +4,11 @@
 use error_stack::Report;
 
 use crate::error::CommandError;
-use crate::ops::apply::version_line;
-use crate::ops::record::read_record;
+use crate::ops::apply::format_version_line;
+use crate::ops::record::read_configuration;
 use crate::ops::record::read_version;
 use crate::ops::runtime::block_on;
-use crate::shell::PersonShell;
+use crate::shell::ConsoleShell;
 
 /// Prints the rule file that the platform keeps, below a line that names its
 /// version.
@@ -30,17 +30,17 @@
 ///
 /// Returns an error when the platform does not answer or does not keep the
 /// version.
-pub fn exec(args: &ShowArgs, shell: &mut PersonShell) -> Result<(), Report<CommandError>> {
+pub fn exec(args: &ShowArgs, shell: &mut ConsoleShell) -> Result<(), Report<CommandError>> {
     let record = match args.version {
         Some(version) => Some(block_on(read_version(&args.platform, version))??),
-        None => block_on(read_record(&args.platform))??.map(|found| found.record),
+        None => block_on(read_configuration(&args.platform))??.map(|found| found.record),
     };
     match record {
         Some(record) => {
-            shell.line(version_line(record.version));
-            shell.line(record.text.trim_end());
+            shell.print_line(format_version_line(record.version));
+            shell.print_line(record.text.trim_end());
         }
-        None => shell.progress("there is no configuration yet"),
+        None => shell.print_progress("there is no configuration yet"),
     }
     Ok(())
 }
--- a/crates/hyssopstair/src/commands/status.rs
+++ b/crates/hyssopstair/src/commands/status.rs
@@ -7,8 +7,8 @@
 use crate::error::CommandError;
 use crate::error::FailureKind;
 use crate::ops::runtime::block_on;
-use crate::ops::status::ask_status;
-use crate::shell::PersonShell;
+use crate::ops::status::fetch_fleet_status;
+use crate::shell::ConsoleShell;
 
 /// Shows what daemons see: version, members by state, flows and load; and in
 /// what they disagree.
@@ -29,22 +29,25 @@
 /// # Errors
 ///
 /// Returns an error when a daemon does not answer or two disagree.
-pub fn exec(args: &StatusArgs, shell: &mut PersonShell) -> Result<(), Report<CommandError>> {
+pub fn exec(args: &StatusArgs, shell: &mut ConsoleShell) -> Result<(), Report<CommandError>> {
     if args.daemons.is_empty() {
         return Err(Report::new(CommandError::new(
-            FailureKind::Input,
+            FailureKind::InvalidInput,
             "no daemon is named; give the admin addresses of some",
         )));
     }
-    let status = block_on(ask_status(&args.daemons))?;
+    let status = block_on(fetch_fleet_status(&args.daemons))?;
     if args.json {
         let text = serde_json::to_string(&status).change_context_lazy(|| {
-            CommandError::new(FailureKind::Service, "failed to write the status as JSON")
+            CommandError::new(
+                FailureKind::Unavailable,
+                "failed to write the status as JSON",
+            )
         })?;
-        shell.line(text);
+        shell.print_line(text);
     } else {
         for line in status.table() {
-            shell.line(line);
+            shell.print_line(line);
         }
     }
     if status.findings.is_empty() {
--- a/crates/hyssopstair/src/commands/undrain.rs
+++ b/crates/hyssopstair/src/commands/undrain.rs
@@ -9,9 +9,9 @@
 
 use crate::error::CommandError;
 use crate::ops::change::ChangePlan;
-use crate::ops::change::make_change;
+use crate::ops::change::apply_change;
 use crate::ops::runtime::block_on;
-use crate::shell::PersonShell;
+use crate::shell::ConsoleShell;
 
 /// Removes the drain rules of a host.
 #[derive(Debug, FromArgs)]
@@ -46,7 +46,7 @@
 ///
 /// Returns an error when the platform does not take it, or it is not confirmed
 /// in time.
-pub fn exec(args: &UndrainArgs, shell: &mut PersonShell) -> Result<(), Report<CommandError>> {
+pub fn exec(args: &UndrainArgs, shell: &mut ConsoleShell) -> Result<(), Report<CommandError>> {
     let plan = ChangePlan {
         platform: args.platform.clone(),
         confirm: args.confirm.clone(),
@@ -54,10 +54,10 @@
         wait: Duration::from_secs(args.wait),
     };
     let intent = ChangeIntent::Undrain { host: args.host };
-    let accepted = block_on(make_change(&plan, intent))??;
+    let accepted = block_on(apply_change(&plan, intent))??;
     if accepted.unchanged {
-        shell.progress(format!("no rule drained {}", args.host));
+        shell.print_progress(format!("no rule drained {}", args.host));
     }
-    shell.accepted(&accepted);
+    shell.print_accepted(&accepted);
     Ok(())
 }
--- a/crates/hyssopstair/src/error.rs
+++ b/crates/hyssopstair/src/error.rs
@@ -8,14 +8,14 @@
     /// The command ran, and what it found is not good; exit code 1.
     Finding,
     /// What the operator gave is wrong; exit code 2.
-    Input,
+    InvalidInput,
     /// Something that was asked gave no or a bad answer, and nothing was
     /// changed; exit code 3.
-    Service,
+    Unavailable,
     /// A change is written, but not confirmed by all that must; exit code 4.
     Unconfirmed,
     /// A change may have been written; exit code 5.
-    Unknown,
+    UnknownOutcome,
 }
 
 /// A failed step of a command; the report carries the causes.
@@ -40,10 +40,10 @@
     pub fn exit_code(&self) -> ExitCode {
         match self.kind {
             FailureKind::Finding => ExitCode::from(1),
-            FailureKind::Input => ExitCode::from(2),
-            FailureKind::Service => ExitCode::from(3),
+            FailureKind::InvalidInput => ExitCode::from(2),
+            FailureKind::Unavailable => ExitCode::from(3),
             FailureKind::Unconfirmed => ExitCode::from(4),
-            FailureKind::Unknown => ExitCode::from(5),
+            FailureKind::UnknownOutcome => ExitCode::from(5),
         }
     }
 }
--- a/crates/hyssopstair/src/lib.rs
+++ b/crates/hyssopstair/src/lib.rs
@@ -14,11 +14,11 @@
 /// Runs the command line and returns the exit code of the process.
 pub fn main() -> ExitCode {
     let args: commands::TopArgs = argh::from_env();
-    let mut shell = shell::PersonShell::new();
+    let mut shell = shell::ConsoleShell::new();
     match commands::exec(&args, &mut shell) {
         Ok(()) => ExitCode::SUCCESS,
         Err(report) => {
-            shell.error(&report);
+            shell.print_error(&report);
             report.current_context().exit_code()
         }
     }
--- a/crates/hyssopstair/src/ops/apply.rs
+++ b/crates/hyssopstair/src/ops/apply.rs
@@ -6,39 +6,39 @@
 
 use crate::error::CommandError;
 use crate::error::FailureKind;
-use crate::ops::record::read_record;
+use crate::ops::record::read_configuration;
 use crate::ops::record::read_version;
 
 /// Start of the line that says which version a file was edited from.
-const VERSION_LINE: &str = "# version ";
+const VERSION_LINE_PREFIX: &str = "# version ";
 
 /// Returns the line that `show` prints before the rules.
-pub fn version_line(version: u64) -> String {
-    format!("{VERSION_LINE}{version}")
+pub fn format_version_line(version: u64) -> String {
+    format!("{VERSION_LINE_PREFIX}{version}")
 }
 
 /// A rule file and the version that it was edited from, if it says so.
 #[derive(Debug, PartialEq, Eq)]
-pub struct EditedText {
+pub struct EditedRules {
     /// The version.
-    pub base: Option<u64>,
+    pub base_version: Option<u64>,
     /// The rules, without the line that names the version.
     pub text: String,
 }
 
 /// Takes the first line off if it names a version.
-pub fn split_version_line(text: &str) -> EditedText {
+pub fn split_version_line(text: &str) -> EditedRules {
     let (first, rest) = text.split_once('\n').unwrap_or((text, ""));
-    let base = first
-        .strip_prefix(VERSION_LINE)
+    let base_version = first
+        .strip_prefix(VERSION_LINE_PREFIX)
         .and_then(|word| word.trim().parse().ok());
-    match base {
-        Some(_) => EditedText {
-            base,
+    match base_version {
+        Some(_) => EditedRules {
+            base_version,
             text: rest.to_owned(),
         },
-        None => EditedText {
-            base,
+        None => EditedRules {
+            base_version,
             text: text.to_owned(),
         },
     }
@@ -51,27 +51,30 @@
 ///
 /// Returns an error when the version that the edit started from is not known or
 /// no longer kept.
-pub async fn text_intent(
+pub async fn build_intent(
     platform: &[String],
-    edited: EditedText,
-    base: Option<u64>,
+    edited: EditedRules,
+    base_version: Option<u64>,
 ) -> Result<ChangeIntent, Report<CommandError>> {
     let text = normalize(&edited.text);
-    let base = match base.or(edited.base) {
+    let base = match base_version.or(edited.base_version) {
         Some(0) => String::new(),
         Some(version) => read_version(platform, version).await?.text,
-        None => base_of_unmarked(platform, &text).await?,
+        None => find_unversioned_base(platform, &text).await?,
     };
     Ok(ChangeIntent::Text { base, text })
 }
 
 /// A file that names no version can only be the first, or what is in force.
-async fn base_of_unmarked(platform: &[String], text: &str) -> Result<String, Report<CommandError>> {
-    match read_record(platform).await? {
+async fn find_unversioned_base(
+    platform: &[String],
+    text: &str,
+) -> Result<String, Report<CommandError>> {
+    match read_configuration(platform).await? {
         None => Ok(String::new()),
         Some(found) if normalize(&found.record.text) == text => Ok(text.to_owned()),
         Some(found) => Err(Report::new(CommandError::new(
-            FailureKind::Input,
+            FailureKind::InvalidInput,
             format!(
                 "nothing is written: the file does not say which version it was edited from; \
                  edit what \"hyssopstair show\" prints, which is version {}, or give \
--- a/crates/hyssopstair/src/ops/change.rs
+++ b/crates/hyssopstair/src/ops/change.rs
@@ -24,8 +24,8 @@
 use crate::error::CommandError;
 use crate::error::FailureKind;
 use crate::ops::change_report::describe_outcome;
-use crate::ops::confirm::ConfirmPlan;
-use crate::ops::record::read_found;
+use crate::ops::confirm::ConfirmationPlan;
+use crate::ops::record::decode_record;
 
 /// What is to be changed, where, and who must confirm it.
 #[derive(Debug)]
@@ -49,7 +49,7 @@
     /// Whether it was in the platform already.
     pub unchanged: bool,
     /// The number of daemons that confirmed it.
-    pub confirmed: usize,
+    pub confirmed_count: usize,
 }
 
 /// Makes a change.
@@ -58,24 +58,24 @@
 ///
 /// Returns an error that says what is known about the change when it is not
 /// written, may be written, or is not confirmed in time.
-pub async fn make_change(
+pub async fn apply_change(
     plan: &ChangePlan,
     intent: ChangeIntent,
 ) -> Result<AcceptedChange, Report<CommandError>> {
-    let confirm = ConfirmPlan::settle(&plan.confirm, &plan.daemons).await?;
+    let confirm = ConfirmationPlan::resolve(&plan.confirm, &plan.daemons).await?;
     let client = PlatformClient::new(&plan.platform);
-    let outcome = write_change(&client, intent, confirm.highest, plan.wait).await?;
+    let outcome = write_change(&client, intent, confirm.highest_version, plan.wait).await?;
     let (version, unchanged) = match outcome {
         ChangeOutcome::Written { version } => (version, false),
         ChangeOutcome::Unchanged { version } => (version, true),
         other => return Err(Report::new(describe_outcome(&other))),
     };
-    let missing = confirm.wait_for(version, plan.wait).await;
+    let missing = confirm.wait_until_confirmed(version, plan.wait).await;
     if missing.is_empty() {
         return Ok(AcceptedChange {
             version,
             unchanged,
-            confirmed: confirm.size(),
+            confirmed_count: confirm.expected_count(),
         });
     }
     Err(Report::new(CommandError::new(
@@ -84,7 +84,7 @@
             "written as version {version}, but {} of {} have not confirmed it: {}; it stays \
              written and will be in force there as soon as they hear of it",
             missing.len(),
-            confirm.size(),
+            confirm.expected_count(),
             missing.join(", ")
         ),
     )))
@@ -106,10 +106,10 @@
         let event = match step {
             ChangeStep::Read { after } => {
                 tokio::time::sleep(after).await;
-                read_event(client).await?
+                execute_read(client).await?
             }
             ChangeStep::Write { revision, record } => {
-                write_event(client, revision, &record).await?
+                execute_write(client, revision, &record).await?
             }
             ChangeStep::Done(outcome) => return Ok(outcome),
         };
@@ -117,23 +117,23 @@
     }
 }
 
-async fn read_event(client: &PlatformClient) -> Result<ChangeEvent, Report<CommandError>> {
+async fn execute_read(client: &PlatformClient) -> Result<ChangeEvent, Report<CommandError>> {
     let Ok(stored) = client.get(CONFIGURATION_KEY).await else {
         return Ok(ChangeEvent::ReadLost);
     };
-    let found = read_found(stored)?;
+    let found = decode_record(stored)?;
     Ok(ChangeEvent::Read(found.unwrap_or(FoundRecord {
         record: ConfigurationRecord::empty(),
         revision: 0,
     })))
 }
 
-async fn write_event(
+async fn execute_write(
     client: &PlatformClient,
     revision: u64,
     record: &ConfigurationRecord,
 ) -> Result<ChangeEvent, Report<CommandError>> {
-    let value = encode(record)?;
+    let value = encode_record(record)?;
     let version = record.version.to_string();
     let history = history_key(record.version);
     let writes = [
@@ -160,15 +160,15 @@
     })
 }
 
-fn encode(record: &ConfigurationRecord) -> Result<Vec<u8>, Report<CommandError>> {
+fn encode_record(record: &ConfigurationRecord) -> Result<Vec<u8>, Report<CommandError>> {
     let value = record.encode().change_context_lazy(|| {
-        CommandError::new(FailureKind::Input, "failed to pack the rule file")
+        CommandError::new(FailureKind::InvalidInput, "failed to pack the rule file")
     })?;
     if value.len() <= MAX_VALUE_BYTES {
         return Ok(value);
     }
     Err(Report::new(CommandError::new(
-        FailureKind::Input,
+        FailureKind::InvalidInput,
         format!(
             "the rule file takes {} bytes packed, and the platform takes {MAX_VALUE_BYTES}; \
              shorten comments or remove rules",
--- a/crates/hyssopstair/src/ops/change_report.rs
+++ b/crates/hyssopstair/src/ops/change_report.rs
@@ -15,7 +15,7 @@
             format!(
                 "nothing is written: version {version} changes the same lines; edit what \
                  \"hyssopstair show\" prints and apply that\n{}",
-                conflict_diff(lines)
+                format_conflicts(lines)
             ),
         ),
         ChangeOutcome::Invalid {
@@ -26,16 +26,16 @@
             FailureKind::Finding,
             format!(
                 "nothing is written: merged with version {version}, the rules have mistakes\n{}",
-                mistake_list(text, mistakes)
+                format_mistakes(text, mistakes)
             ),
         ),
         ChangeOutcome::NotWritten => CommandError::new(
-            FailureKind::Service,
+            FailureKind::Unavailable,
             "nothing is written: the platform does not answer; check --platform, or try again \
              when it does",
         ),
         ChangeOutcome::MayBeWritten { version } => CommandError::new(
-            FailureKind::Unknown,
+            FailureKind::UnknownOutcome,
             format!(
                 "version {version} may have been written: the platform gives no answer; apply \
                  the same again when it does, which does nothing if it was"
@@ -50,25 +50,25 @@
     }
 }
 
-fn conflict_diff(conflicts: &[LineConflict]) -> String {
+fn format_conflicts(conflicts: &[LineConflict]) -> String {
     let mut lines = Vec::new();
     for conflict in conflicts {
         lines.push(format!("line {}:", conflict.line));
         lines.push(format!("  before: {}", conflict.base));
-        lines.push(format!("  yours:  {}", side(&conflict.ours)));
-        lines.push(format!("  theirs: {}", side(&conflict.theirs)));
+        lines.push(format!("  yours:  {}", format_side(&conflict.ours)));
+        lines.push(format!("  theirs: {}", format_side(&conflict.theirs)));
     }
     lines.join("\n")
 }
 
-fn side(lines: &[String]) -> String {
+fn format_side(lines: &[String]) -> String {
     if lines.is_empty() {
         return "(removed)".to_owned();
     }
     lines.join("\n          ")
 }
 
-fn mistake_list(text: &str, mistakes: &[RuleError]) -> String {
+fn format_mistakes(text: &str, mistakes: &[RuleError]) -> String {
     let describe = |mistake: &RuleError| {
         let line = text.lines().nth(mistake.line - 1).unwrap_or_default();
         format!("{mistake}\n  {line}")
--- a/crates/hyssopstair/src/ops/confirm.rs
+++ b/crates/hyssopstair/src/ops/confirm.rs
@@ -14,20 +14,20 @@
 use crate::ops::daemon::DaemonClient;
 
 /// Time between two questions to those that have not confirmed.
-const CONFIRM_INTERVAL: Duration = Duration::from_millis(100);
+const CONFIRM_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Daemons that are asked at once.
-const QUESTIONS: usize = 32;
+const MAX_CONCURRENT_QUERIES: usize = 32;
 
 /// Who must confirm a version.
 #[derive(Debug)]
-pub enum ConfirmSet {
+pub enum ConfirmTargets {
     /// Daemons, by their admin addresses.
-    Named(Vec<String>),
+    Daemons(Vec<String>),
     /// Balancers, by their inner addresses, asked through other daemons.
-    Listed {
+    Balancers {
         /// Admin addresses of the daemons that ask for us.
-        through: Vec<String>,
+        sources: Vec<String>,
         /// The balancers.
         balancers: Vec<SocketAddrV4>,
     },
@@ -35,101 +35,101 @@
 
 /// A set and the highest version that any of it has.
 #[derive(Debug)]
-pub struct ConfirmPlan {
+pub struct ConfirmationPlan {
     /// Who must confirm.
-    pub set: ConfirmSet,
+    pub targets: ConfirmTargets,
     /// The highest version in force now.
-    pub highest: u64,
+    pub highest_version: u64,
 }
 
-impl ConfirmPlan {
+impl ConfirmationPlan {
     /// Settles who must confirm: the named daemons, or else all balancers that
-    /// one of the daemons in `through` knows.
+    /// one of the daemons in `sources` knows.
     ///
     /// # Errors
     ///
     /// Returns an error when the set is empty or no daemon answers.
-    pub async fn settle(
-        named: &[String],
-        through: &[String],
+    pub async fn resolve(
+        daemons: &[String],
+        sources: &[String],
     ) -> Result<Self, Report<CommandError>> {
-        if !named.is_empty() {
-            let known = ask_named(named).await;
+        if !daemons.is_empty() {
+            let known = query_daemons(daemons).await;
             return Ok(Self {
-                set: ConfirmSet::Named(named.to_vec()),
-                highest: highest(&known),
+                targets: ConfirmTargets::Daemons(daemons.to_vec()),
+                highest_version: highest_version(&known),
             });
         }
-        if through.is_empty() {
+        if sources.is_empty() {
             return Err(Report::new(CommandError::new(
-                FailureKind::Input,
+                FailureKind::InvalidInput,
                 "no balancer is named that must confirm; give --confirm ADDRESS for each, \
                  or --daemon ADDRESS for all balancers that this daemon knows",
             )));
         }
-        let Some(known) = ask_through(through).await else {
+        let Some(known) = query_balancers(sources).await else {
             return Err(Report::new(CommandError::new(
-                FailureKind::Service,
+                FailureKind::Unavailable,
                 format!(
                     "nothing is written: no daemon at {} answers; give another --daemon",
-                    through.join(", ")
+                    sources.join(", ")
                 ),
             )));
         };
         if known.is_empty() {
             return Err(Report::new(CommandError::new(
-                FailureKind::Service,
+                FailureKind::Unavailable,
                 "nothing is written: the daemon knows no balancer that could confirm",
             )));
         }
         let balancers = known.iter().map(|item| item.address).collect();
         Ok(Self {
-            highest: known
+            highest_version: known
                 .iter()
                 .filter_map(|item| item.version)
                 .max()
                 .unwrap_or(0),
-            set: ConfirmSet::Listed {
-                through: through.to_vec(),
+            targets: ConfirmTargets::Balancers {
+                sources: sources.to_vec(),
                 balancers,
             },
         })
     }
 
     /// Returns how many must confirm.
-    pub fn size(&self) -> usize {
-        match &self.set {
-            ConfirmSet::Named(addresses) => addresses.len(),
-            ConfirmSet::Listed { balancers, .. } => balancers.len(),
+    pub fn expected_count(&self) -> usize {
+        match &self.targets {
+            ConfirmTargets::Daemons(addresses) => addresses.len(),
+            ConfirmTargets::Balancers { balancers, .. } => balancers.len(),
         }
     }
 
     /// Waits until all have `version` or a higher one, and returns those that
     /// do not have it after `wait`.
-    pub async fn wait_for(&self, version: u64, wait: Duration) -> Vec<String> {
+    pub async fn wait_until_confirmed(&self, version: u64, wait: Duration) -> Vec<String> {
         let deadline = Instant::now() + wait;
         loop {
             let missing = self.missing(version).await;
             if missing.is_empty() || Instant::now() >= deadline {
                 return missing;
             }
-            tokio::time::sleep(CONFIRM_INTERVAL).await;
+            tokio::time::sleep(CONFIRM_POLL_INTERVAL).await;
         }
     }
 
     async fn missing(&self, version: u64) -> Vec<String> {
-        match &self.set {
-            ConfirmSet::Named(addresses) => ask_named(addresses)
+        match &self.targets {
+            ConfirmTargets::Daemons(addresses) => query_daemons(addresses)
                 .await
                 .into_iter()
                 .filter(|item| item.version.is_none_or(|found| found < version))
-                .map(|item| describe(&item.address, item.version))
+                .map(|item| describe_version(&item.address, item.version))
                 .collect(),
-            ConfirmSet::Listed { through, balancers } => {
-                let known = ask_through(through).await.unwrap_or_default();
+            ConfirmTargets::Balancers { sources, balancers } => {
+                let known = query_balancers(sources).await.unwrap_or_default();
                 balancers
                     .iter()
-                    .filter_map(|address| missing_balancer(*address, &known, version))
+                    .filter_map(|address| describe_unconfirmed_balancer(*address, &known, version))
                     .collect()
             }
         }
@@ -138,38 +138,38 @@
 
 /// The version in force on a daemon that was named.
 #[derive(Debug)]
-struct NamedVersion {
+struct DaemonVersion {
     address: String,
     version: Option<u64>,
 }
 
-async fn ask_named(addresses: &[String]) -> Vec<NamedVersion> {
+async fn query_daemons(addresses: &[String]) -> Vec<DaemonVersion> {
     let client = DaemonClient::new();
     stream::iter(addresses.to_vec())
         .map(|address| {
             let client = client.clone();
             async move {
-                let status = client.status(&address).await;
+                let status = client.fetch_status(&address).await;
                 let version = status.ok().map(|status| status.version);
-                NamedVersion { address, version }
+                DaemonVersion { address, version }
             }
         })
-        .buffered(QUESTIONS)
+        .buffered(MAX_CONCURRENT_QUERIES)
         .collect()
         .await
 }
 
-async fn ask_through(through: &[String]) -> Option<Vec<BalancerVersion>> {
+async fn query_balancers(sources: &[String]) -> Option<Vec<BalancerVersion>> {
     let client = DaemonClient::new();
-    for address in through {
-        if let Ok(versions) = client.versions(address).await {
+    for address in sources {
+        if let Ok(versions) = client.fetch_versions(address).await {
             return Some(versions);
         }
     }
     None
 }
 
-fn highest(known: &[NamedVersion]) -> u64 {
+fn highest_version(known: &[DaemonVersion]) -> u64 {
     known
         .iter()
         .filter_map(|item| item.version)
@@ -177,7 +177,7 @@
         .unwrap_or(0)
 }
 
-fn missing_balancer(
+fn describe_unconfirmed_balancer(
     address: SocketAddrV4,
     known: &[BalancerVersion],
     version: u64,
@@ -188,11 +188,11 @@
         .and_then(|item| item.version);
     match found {
         Some(found) if found >= version => None,
-        _ => Some(describe(&address.to_string(), found)),
+        _ => Some(describe_version(&address.to_string(), found)),
     }
 }
 
-fn describe(address: &str, version: Option<u64>) -> String {
+fn describe_version(address: &str, version: Option<u64>) -> String {
     match version {
         Some(version) => format!("{address} (has version {version})"),
         None => format!("{address} (no answer)"),
--- a/crates/hyssopstair/src/ops/daemon.rs
+++ b/crates/hyssopstair/src/ops/daemon.rs
@@ -11,7 +11,7 @@
 use serde_json::Value;
 
 /// Longest wait for one daemon.
-const ASK_TIMEOUT: Duration = Duration::from_secs(2);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// What a daemon reports about itself.
 #[derive(Debug, Clone, Deserialize, Serialize)]
@@ -46,7 +46,7 @@
     /// Creates a client.
     pub fn new() -> Self {
         let http = reqwest::Client::builder()
-            .timeout(ASK_TIMEOUT)
+            .timeout(REQUEST_TIMEOUT)
             .build()
             .unwrap_or_default();
         Self { http }
@@ -57,8 +57,8 @@
     /// # Errors
     ///
     /// Returns an error when the daemon does not answer as expected.
-    pub async fn status(&self, address: &str) -> Result<DaemonStatus, reqwest::Error> {
-        self.ask(address, "status").await
+    pub async fn fetch_status(&self, address: &str) -> Result<DaemonStatus, reqwest::Error> {
+        self.fetch_json(address, "status").await
     }
 
     /// Asks a daemon for the versions of all balancers that it knows.
@@ -66,8 +66,11 @@
     /// # Errors
     ///
     /// Returns an error when the daemon does not answer as expected.
-    pub async fn versions(&self, address: &str) -> Result<Vec<BalancerVersion>, reqwest::Error> {
-        self.ask(address, "versions").await
+    pub async fn fetch_versions(
+        &self,
+        address: &str,
+    ) -> Result<Vec<BalancerVersion>, reqwest::Error> {
+        self.fetch_json(address, "versions").await
     }
 
     /// Asks a daemon for the rule file in force.
@@ -75,12 +78,12 @@
     /// # Errors
     ///
     /// Returns an error when the daemon does not answer as expected.
-    pub async fn rules(&self, address: &str) -> Result<String, reqwest::Error> {
-        let answer = self.get(address, "rules").await?;
-        answer.text().await
+    pub async fn fetch_rules(&self, address: &str) -> Result<String, reqwest::Error> {
+        let response = self.get(address, "rules").await?;
+        response.text().await
     }
 
-    async fn ask<A: DeserializeOwned>(
+    async fn fetch_json<A: DeserializeOwned>(
         &self,
         address: &str,
         path: &str,
@@ -89,8 +92,8 @@
     }
 
     async fn get(&self, address: &str, path: &str) -> Result<reqwest::Response, reqwest::Error> {
-        let answer = self.http.get(format!("http://{address}/{path}"));
-        answer.send().await?.error_for_status()
+        let response = self.http.get(format!("http://{address}/{path}"));
+        response.send().await?.error_for_status()
     }
 }
 
--- a/crates/hyssopstair/src/ops/diff.rs
+++ b/crates/hyssopstair/src/ops/diff.rs
@@ -8,14 +8,17 @@
     let old_lines: Vec<&str> = old.lines().collect();
     diff_lines(old, new)
         .iter()
-        .flat_map(|edit| describe_edit(edit, &old_lines))
+        .flat_map(|edit| format_edit(edit, &old_lines))
         .collect()
 }
 
-fn describe_edit(edit: &LineEdit, old: &[&str]) -> Vec<String> {
+fn format_edit(edit: &LineEdit, old: &[&str]) -> Vec<String> {
     let removed = &old[edit.start..edit.start + edit.removed];
-    let head = format!("line {}:", edit.start + 1);
+    let header = format!("line {}:", edit.start + 1);
     let removed = removed.iter().map(|line| format!("- {line}"));
     let added = edit.added.iter().map(|line| format!("+ {line}"));
-    std::iter::once(head).chain(removed).chain(added).collect()
+    std::iter::once(header)
+        .chain(removed)
+        .chain(added)
+        .collect()
 }
--- a/crates/hyssopstair/src/ops/drain.rs
+++ b/crates/hyssopstair/src/ops/drain.rs
@@ -13,11 +13,11 @@
 /// # Errors
 ///
 /// Returns an error when it is empty or has a line break.
-pub fn asked_by(name: &str) -> Result<String, Report<CommandError>> {
+pub fn parse_requester(name: &str) -> Result<String, Report<CommandError>> {
     let name = name.trim();
     if name.is_empty() || name.contains(['\n', '\r']) {
         return Err(Report::new(CommandError::new(
-            FailureKind::Input,
+            FailureKind::InvalidInput,
             "--asked-by names nobody; give a name in one line",
         )));
     }
@@ -26,8 +26,8 @@
 
 /// Returns whether a daemon knows a process at an inner address, or does not
 /// answer.
-pub async fn knows_host(daemon: &str, host: SocketAddrV4) -> bool {
-    match DaemonClient::new().status(daemon).await {
+pub async fn is_host_known(daemon: &str, host: SocketAddrV4) -> bool {
+    match DaemonClient::new().fetch_status(daemon).await {
         Ok(status) => {
             let members = &status.members;
             members.iter().any(|entry| entry.process.address == host)
--- a/crates/hyssopstair/src/ops/explain.rs
+++ b/crates/hyssopstair/src/ops/explain.rs
@@ -20,21 +20,34 @@
 ///
 /// Returns an error when the daemon does not answer, or no service has the
 /// address.
-pub async fn explain(
+pub async fn fetch_explanation(
     daemon: &str,
     address: SocketAddrV4,
 ) -> Result<Vec<String>, Report<CommandError>> {
     let context = || {
         CommandError::new(
-            FailureKind::Service,
+            FailureKind::Unavailable,
             format!("failed to ask the daemon at {daemon}; check --daemon"),
         )
     };
     let client = DaemonClient::new();
-    let status = client.status(daemon).await.change_context_lazy(context)?;
-    let text = client.rules(daemon).await.change_context_lazy(context)?;
-    let rules = RuleSet::parse(&text).map_err(|_| Report::new(context()))?;
-    explain_flow(&rules, &text, &status.members, status.version, address).map_err(Report::new)
+    let status = client
+        .fetch_status(daemon)
+        .await
+        .change_context_lazy(context)?;
+    let rules_text = client
+        .fetch_rules(daemon)
+        .await
+        .change_context_lazy(context)?;
+    let rules = RuleSet::parse(&rules_text).map_err(|_| Report::new(context()))?;
+    explain_flow(
+        &rules,
+        &rules_text,
+        &status.members,
+        status.version,
+        address,
+    )
+    .map_err(Report::new)
 }
 
 /// Explains where a process with these rules and members sends a new flow.
@@ -44,7 +57,7 @@
 /// Returns an error when no service has the address.
 pub fn explain_flow(
     rules: &RuleSet,
-    text: &str,
+    rules_text: &str,
     members: &[MemberEntry],
     version: u64,
     address: SocketAddrV4,
@@ -56,40 +69,40 @@
             .map(|service| format!("{} ({})", service.address, service.name))
             .collect();
         return Err(CommandError::new(
-            FailureKind::Input,
+            FailureKind::InvalidInput,
             format!(
                 "no service has the address {address}; known are {}",
                 known.join(", ")
             ),
         ));
     };
-    let hosts: Vec<HostView> = members
+    let hosts: Vec<HostPlacement> = members
         .iter()
-        .filter_map(|entry| HostView::of(rules, service, entry))
+        .filter_map(|entry| HostPlacement::from_member(rules, service, entry))
         .collect();
-    let total: u32 = hosts.iter().map(|host| u32::from(host.weight)).sum();
+    let total_weight: u32 = hosts.iter().map(|host| u32::from(host.weight)).sum();
     let mut lines = vec![format!(
         "{address} is service {} (number {}) in version {version}",
         service.name, service.id
     )];
-    lines.extend(hosts.iter().map(|host| host.describe(total)));
-    lines.extend(asked_lines(text, &service.name, &hosts));
-    lines.push(conclusion(total, hosts.len()));
+    lines.extend(hosts.iter().map(|host| host.describe(total_weight)));
+    lines.extend(format_related_rules(rules_text, &service.name, &hosts));
+    lines.push(describe_selection(total_weight, hosts.len()));
     Ok(lines)
 }
 
 /// A host of the service and its part in the placement of new flows.
 #[derive(Debug)]
-struct HostView {
+struct HostPlacement {
     address: SocketAddrV4,
     state: MemberState,
     weight: u16,
     zone: String,
-    reason: Option<&'static str>,
+    exclusion_reason: Option<&'static str>,
 }
 
-impl HostView {
-    fn of(rules: &RuleSet, service: &ServiceRule, entry: &MemberEntry) -> Option<Self> {
+impl HostPlacement {
+    fn from_member(rules: &RuleSet, service: &ServiceRule, entry: &MemberEntry) -> Option<Self> {
         let MemberRole::Host {
             service: id,
             zone,
@@ -102,8 +115,8 @@
             return None;
         }
         let zone_weight = service.weight(zone);
-        let reason = exclusion(rules, service, entry, zone_weight);
-        let weight = match reason {
+        let exclusion_reason = find_exclusion_reason(rules, service, entry, zone_weight);
+        let weight = match exclusion_reason {
             Some(_) => 0,
             None => zone_weight.saturating_mul(weight.max(1)),
         };
@@ -111,18 +124,20 @@
             address: entry.process.address,
             state: entry.state,
             weight,
-            zone: zone_name(rules, zone),
-            reason,
+            zone: format_zone(rules, zone),
+            exclusion_reason,
         })
     }
 
-    fn describe(&self, total: u32) -> String {
+    fn describe(&self, total_weight: u32) -> String {
         let place = format!("{} in {}", self.address, self.zone);
         let state = format!("{:?}", self.state).to_lowercase();
-        match self.reason {
-            Some(reason) => format!("  {place}: {state}, takes nothing new: {reason}"),
+        match self.exclusion_reason {
+            Some(reason) => {
+                format!("  {place}: {state}, takes nothing new: {reason}")
+            }
             None => {
-                let share = 100.0 * f64::from(self.weight) / f64::from(total.max(1));
+                let share = 100.0 * f64::from(self.weight) / f64::from(total_weight.max(1));
                 let weight = self.weight;
                 format!("  {place}: {state}, weight {weight}, {share:.1} % of new flows")
             }
@@ -130,7 +145,7 @@
     }
 }
 
-fn exclusion(
+fn find_exclusion_reason(
     rules: &RuleSet,
     service: &ServiceRule,
     entry: &MemberEntry,
@@ -151,14 +166,14 @@
     (zone_weight == 0).then_some("its zone has weight 0")
 }
 
-fn zone_name(rules: &RuleSet, id: u8) -> String {
+fn format_zone(rules: &RuleSet, id: u8) -> String {
     let zone = rules.zones.iter().find(|zone| zone.id == id);
     zone.map_or_else(|| format!("zone {id}"), |zone| zone.name.clone())
 }
 
 /// Returns the rules that bear on the placement, each with who asked for it.
-fn asked_lines(text: &str, service: &str, hosts: &[HostView]) -> Vec<String> {
-    let bears = |line: &&str| {
+fn format_related_rules(rules_text: &str, service: &str, hosts: &[HostPlacement]) -> Vec<String> {
+    let is_related = |line: &&str| {
         let mut words = line.split_whitespace();
         match (words.next(), words.next()) {
             (Some("weight" | "withdraw" | "limit"), Some(name)) => name == service,
@@ -168,15 +183,15 @@
             _ => false,
         }
     };
-    let lines = text.lines().filter(bears);
+    let lines = rules_text.lines().filter(is_related);
     lines.map(|line| format!("  rule: {line}")).collect()
 }
 
-fn conclusion(total: u32, hosts: usize) -> String {
+fn describe_selection(total_weight: u32, hosts: usize) -> String {
     if hosts == 0 {
         return "no host has announced itself for the service: new flows are dropped".to_owned();
     }
-    if total == 0 {
+    if total_weight == 0 {
         return "no host may take a new flow: new flows are dropped".to_owned();
     }
     "the flow's first packet chooses among these by rendezvous hashing, alike on all balancers; \
--- a/crates/hyssopstair/src/ops/keygen.rs
+++ b/crates/hyssopstair/src/ops/keygen.rs
@@ -17,7 +17,7 @@
 pub fn generate_keys(directory: &Path, names: &[String]) -> Result<(), Report<CommandError>> {
     let context = || {
         CommandError::new(
-            FailureKind::Input,
+            FailureKind::InvalidInput,
             format!("failed to write keys to {}", directory.display()),
         )
     };
--- a/crates/hyssopstair/src/ops/load/arrivals.rs
+++ b/crates/hyssopstair/src/ops/load/arrivals.rs
@@ -12,10 +12,10 @@
 /// Draws the times of the requests of one group.
 #[derive(Debug)]
 pub struct ArrivalProcess {
-    random: StdRng,
+    rng: StdRng,
     rate: f64,
-    ramp: f64,
-    last: f64,
+    ramp_seconds: f64,
+    elapsed_seconds: f64,
 }
 
 impl ArrivalProcess {
@@ -23,26 +23,26 @@
     /// `ramp_seconds`.
     pub fn new(seed: u64, rate: f64, ramp_seconds: f64) -> Self {
         Self {
-            random: StdRng::seed_from_u64(seed),
+            rng: StdRng::seed_from_u64(seed),
             rate,
-            ramp: ramp_seconds,
-            last: 0.0,
+            ramp_seconds,
+            elapsed_seconds: 0.0,
         }
     }
 
     /// Returns the time of the next arrival after the start.
-    pub fn draw(&mut self) -> Duration {
+    pub fn next_arrival(&mut self) -> Duration {
         loop {
-            let uniform: f64 = self.random.random_range(0.0..1.0);
-            self.last += -(1.0 - uniform).ln() / self.rate;
+            let uniform: f64 = self.rng.random_range(0.0..1.0);
+            self.elapsed_seconds += -(1.0 - uniform).ln() / self.rate;
             // Thinning: early arrivals are kept with the share of the ramp.
-            let share = if self.ramp > 0.0 {
-                self.last / self.ramp
+            let share = if self.ramp_seconds > 0.0 {
+                self.elapsed_seconds / self.ramp_seconds
             } else {
                 1.0
             };
-            if share >= 1.0 || self.random.random_range(0.0..1.0) < share {
-                return Duration::from_secs_f64(self.last);
+            if share >= 1.0 || self.rng.random_range(0.0..1.0) < share {
+                return Duration::from_secs_f64(self.elapsed_seconds);
             }
         }
     }
--- a/crates/hyssopstair/src/ops/load/backends.rs
+++ b/crates/hyssopstair/src/ops/load/backends.rs
@@ -16,7 +16,7 @@
 const REPORT_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Weight of a request that may run once only.
-const ONCE_WEIGHT: u64 = 2;
+const NON_IDEMPOTENT_WORK: u64 = 2;
 
 /// One run of a request.
 #[derive(Debug, Clone, Deserialize)]
@@ -59,21 +59,23 @@
 }
 
 /// Asks the backend servers what they have seen. One that does not answer has
-/// an empty report when `is_lenient`.
+/// an empty report when `allow_missing_reports`.
 ///
 /// # Errors
 ///
 /// Returns an error when one does not answer.
-pub async fn collect_backends(
+pub async fn fetch_reports(
     services: &[ServiceLoad],
-    is_lenient: bool,
+    allow_missing_reports: bool,
 ) -> Result<Vec<BackendReport>, Report<CommandError>> {
     let mut reports = Vec::new();
     for service in services {
         for address in &service.backends {
-            match collect_one(*address).await {
+            match fetch_report(*address).await {
                 Ok(report) => reports.push(report),
-                Err(_) if is_lenient => reports.push(BackendReport::empty(&service.name)),
+                Err(_) if allow_missing_reports => {
+                    reports.push(BackendReport::empty(&service.name))
+                }
                 Err(error) => return Err(error),
             }
         }
@@ -81,10 +83,10 @@
     Ok(reports)
 }
 
-async fn collect_one(address: SocketAddr) -> Result<BackendReport, Report<CommandError>> {
+async fn fetch_report(address: SocketAddr) -> Result<BackendReport, Report<CommandError>> {
     let context = || {
         CommandError::new(
-            FailureKind::Service,
+            FailureKind::Unavailable,
             format!("backend server {address} does not report"),
         )
     };
@@ -113,38 +115,47 @@
     /// that was started again in between has forgotten what it saw before.
     pub fn since(&self, before: &Self) -> Self {
         let was_restarted = self.runs.len() < before.runs.len();
-        let known = if was_restarted { 0 } else { before.runs.len() };
+        let known_runs = if was_restarted { 0 } else { before.runs.len() };
         Self {
             service: self.service.clone(),
-            runs: self.runs[known..].to_vec(),
+            runs: self.runs[known_runs..].to_vec(),
             misdelivered: self.misdelivered.saturating_sub(before.misdelivered),
             feeds: self.feeds.saturating_sub(before.feeds),
         }
     }
 }
 
-/// Returns how often requests ran again that may run once only. `is_once` tells
+/// Returns how often requests ran again that may run once only. `is_non_idempotent` tells
 /// by method and path.
-pub fn count_doubled(backends: &[BackendReport], is_once: impl Fn(&str) -> bool) -> u64 {
-    let mut requests: Vec<&str> = runs(backends).filter(|request| is_once(request)).collect();
+pub fn count_repeated_runs(
+    backends: &[BackendReport],
+    is_non_idempotent: impl Fn(&str) -> bool,
+) -> u64 {
+    let mut requests: Vec<&str> = requests_of(backends)
+        .filter(|request| is_non_idempotent(request))
+        .collect();
     requests.sort_unstable();
     let pairs = requests.windows(2);
     pairs.filter(|pair| pair[0] == pair[1]).count() as u64
 }
 
 /// Returns the work of all runs; a request that may run once only counts twice.
-pub fn sum_work(backends: &[BackendReport], is_once: impl Fn(&str) -> bool) -> u64 {
-    runs(backends)
-        .map(|request| work_of(is_once(request)))
+pub fn sum_work(backends: &[BackendReport], is_non_idempotent: impl Fn(&str) -> bool) -> u64 {
+    requests_of(backends)
+        .map(|request| request_work(is_non_idempotent(request)))
         .sum()
 }
 
 /// Returns the work of one run.
-pub fn work_of(is_once: bool) -> u64 {
-    if is_once { ONCE_WEIGHT } else { 1 }
+pub fn request_work(is_non_idempotent: bool) -> u64 {
+    if is_non_idempotent {
+        NON_IDEMPOTENT_WORK
+    } else {
+        1
+    }
 }
 
-fn runs(backends: &[BackendReport]) -> impl Iterator<Item = &str> {
+fn requests_of(backends: &[BackendReport]) -> impl Iterator<Item = &str> {
     let runs = backends.iter().flat_map(|backend| &backend.runs);
     runs.map(|run| run.request.as_str())
 }
@@ -160,15 +171,17 @@
     names
         .into_iter()
         .map(|name| {
-            let of_service = || backends.iter().filter(|backend| backend.service == name);
-            let requests: Vec<f64> = of_service()
+            let service_reports = || backends.iter().filter(|backend| backend.service == name);
+            let requests: Vec<f64> = service_reports()
                 .map(|backend| backend.runs.len() as f64)
                 .collect();
-            let feeds: Vec<f64> = of_service().map(|backend| backend.feeds as f64).collect();
+            let feeds: Vec<f64> = service_reports()
+                .map(|backend| backend.feeds as f64)
+                .collect();
             ServiceImbalance {
                 service: name.to_owned(),
-                requests: SpreadMeasure::of(&requests),
-                feeds: SpreadMeasure::of(&feeds),
+                requests: SpreadMeasure::from_loads(&requests),
+                feeds: SpreadMeasure::from_loads(&feeds),
             }
         })
         .collect()
@@ -176,7 +189,7 @@
 
 impl SpreadMeasure {
     /// Measures how evenly `loads` are spread.
-    pub fn of(loads: &[f64]) -> Self {
+    pub fn from_loads(loads: &[f64]) -> Self {
         let count = loads.len() as f64;
         let mean = loads.iter().sum::<f64>() / count;
         if loads.is_empty() || mean == 0.0 {
--- a/crates/hyssopstair/src/ops/load/caller.rs
+++ b/crates/hyssopstair/src/ops/load/caller.rs
@@ -31,7 +31,7 @@
 use crate::error::FailureKind;
 
 /// Time between two heartbeats of a flow.
-const KEEP_ALIVE: Duration = Duration::from_secs(2);
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Longest wait for a flow to open.
 const OPEN_TIMEOUT: Duration = Duration::from_secs(5);
@@ -50,7 +50,7 @@
     Unsent(String),
     /// The request was sent, in part at least, or the flow has failed.
     #[error("{0}")]
-    Lost(String),
+    Failed(String),
 }
 
 /// The stream of a request whose body is sent.
@@ -62,7 +62,7 @@
     sender: SendRequest<OpenStreams, Bytes>,
     service: String,
     connection: quinn::Connection,
-    leaving: Arc<AtomicBool>,
+    draining: Arc<AtomicBool>,
     _endpoint: Endpoint,
 }
 
@@ -84,7 +84,7 @@
     pub fn with_root_certificate(certificate: &Path) -> Result<Self, Report<CommandError>> {
         let context = || {
             CommandError::new(
-                FailureKind::Input,
+                FailureKind::InvalidInput,
                 format!("failed to use certificate {}", certificate.display()),
             )
         };
@@ -105,7 +105,7 @@
         let crypto = QuicClientConfig::try_from(tls).change_context_lazy(context)?;
         let mut config = ClientConfig::new(Arc::new(crypto));
         let mut transport = TransportConfig::default();
-        transport.keep_alive_interval(Some(KEEP_ALIVE));
+        transport.keep_alive_interval(Some(KEEP_ALIVE_INTERVAL));
         transport.mtu_discovery_config(None);
         config.transport_config(Arc::new(transport));
         Ok(Self { config })
@@ -121,19 +121,19 @@
         service: &str,
         address: SocketAddr,
     ) -> Result<CallerFlow, CallerError> {
-        let failed = |error: &dyn std::fmt::Display| CallerError::Lost(error.to_string());
+        let to_error = |error: &dyn std::fmt::Display| CallerError::Failed(error.to_string());
         let endpoint = Endpoint::client(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)))
-            .map_err(|error| failed(&error))?;
+            .map_err(|error| to_error(&error))?;
         let connecting = endpoint
             .connect_with(self.config.clone(), address, service)
-            .map_err(|error| failed(&error))?;
+            .map_err(|error| to_error(&error))?;
         let connection = tokio::time::timeout(OPEN_TIMEOUT, connecting)
             .await
-            .map_err(|error| failed(&error))?
-            .map_err(|error| failed(&error))?;
+            .map_err(|error| to_error(&error))?
+            .map_err(|error| to_error(&error))?;
         let (mut driver, sender) = h3::client::new(h3_quinn::Connection::new(connection.clone()))
             .await
-            .map_err(|error| failed(&error))?;
+            .map_err(|error| to_error(&error))?;
         tokio::spawn(async move {
             let _ = futures::future::poll_fn(|context| driver.poll_close(context)).await;
         });
@@ -141,7 +141,7 @@
             sender,
             service: service.to_owned(),
             connection,
-            leaving: Arc::default(),
+            draining: Arc::default(),
             _endpoint: endpoint,
         })
     }
@@ -163,25 +163,25 @@
         let request = self
             .request(method, path, key)
             .body(())
-            .map_err(|error| CallerError::Lost(error.to_string()))?;
+            .map_err(|error| CallerError::Failed(error.to_string()))?;
         self.send(request, body).await
     }
 
     /// Returns why the flow has broken, if it has. An end that the service
     /// announced, with no request in progress, is no break.
-    pub fn end_reason(&self) -> Option<CallerError> {
+    pub fn failure_reason(&self) -> Option<CallerError> {
         let reason = self.connection.close_reason()?;
-        if is_announced(&reason) {
+        if is_graceful_close(&reason) {
             return None;
         }
-        Some(CallerError::Lost(reason.to_string()))
+        Some(CallerError::Failed(reason.to_string()))
     }
 
     /// Returns whether the service has told the caller to go elsewhere; the
     /// request that was refused for it was not sent.
-    pub fn is_leaving(&self) -> bool {
+    pub fn is_draining(&self) -> bool {
         let reason = self.connection.close_reason();
-        self.leaving.load(Ordering::Relaxed) || reason.as_ref().is_some_and(is_announced)
+        self.draining.load(Ordering::Relaxed) || reason.as_ref().is_some_and(is_graceful_close)
     }
 
     /// Begins a request to the service; headers may be added.
@@ -206,7 +206,7 @@
         let mut sender = self.sender.clone();
         let mut stream = sender.send_request(request).await.map_err(|error| {
             if self.connection.close_reason().is_none() {
-                self.leaving.store(true, Ordering::Relaxed);
+                self.draining.store(true, Ordering::Relaxed);
             }
             CallerError::Unsent(error.to_string())
         })?;
@@ -214,16 +214,16 @@
             stream
                 .send_data(body)
                 .await
-                .map_err(|error| CallerError::Lost(error.to_string()))?;
+                .map_err(|error| CallerError::Failed(error.to_string()))?;
         }
         stream
             .finish()
             .await
-            .map_err(|error| CallerError::Lost(error.to_string()))?;
+            .map_err(|error| CallerError::Failed(error.to_string()))?;
         let head = stream
             .recv_response()
             .await
-            .map_err(|error| CallerError::Lost(error.to_string()))?;
+            .map_err(|error| CallerError::Failed(error.to_string()))?;
         Ok((head, stream))
     }
 
@@ -246,7 +246,7 @@
 
 /// Returns whether a service has closed a flow after it told the caller to go
 /// elsewhere.
-fn is_announced(reason: &ConnectionError) -> bool {
+fn is_graceful_close(reason: &ConnectionError) -> bool {
     const H3_NO_ERROR: u64 = 0x100;
     match reason {
         ConnectionError::ApplicationClosed(close) => close.error_code.into_inner() == H3_NO_ERROR,
@@ -279,6 +279,6 @@
     let chunk = stream
         .recv_data()
         .await
-        .map_err(|error| CallerError::Lost(error.to_string()))?;
+        .map_err(|error| CallerError::Failed(error.to_string()))?;
     Ok(chunk.map(|mut chunk| chunk.copy_to_bytes(chunk.remaining())))
 }
--- a/crates/hyssopstair/src/ops/load/compare.rs
+++ b/crates/hyssopstair/src/ops/load/compare.rs
@@ -26,7 +26,7 @@
 pub fn read_report(path: &Path) -> Result<Value, Report<CommandError>> {
     let context = || {
         CommandError::new(
-            FailureKind::Input,
+            FailureKind::InvalidInput,
             format!("failed to read report {}", path.display()),
         )
     };
@@ -37,35 +37,35 @@
 /// Returns lines for people with each number of both reports and its change.
 pub fn compare_reports(before: &Value, after: &Value) -> Vec<String> {
     let mut numbers = Vec::new();
-    collect("", before, &mut numbers, |number| &mut number.before);
-    collect("", after, &mut numbers, |number| &mut number.after);
+    collect_numbers("", before, &mut numbers, |number| &mut number.before);
+    collect_numbers("", after, &mut numbers, |number| &mut number.after);
     let mut lines = vec![format!(
         "{:<42}{:>12}{:>12}{:>10}",
         "", "before", "after", "change"
     )];
-    lines.extend(numbers.iter().map(compared_row));
+    lines.extend(numbers.iter().map(format_row));
     lines
 }
 
-fn collect(
+fn collect_numbers(
     name: &str,
     value: &Value,
     numbers: &mut Vec<ComparedNumber>,
-    side: fn(&mut ComparedNumber) -> &mut Option<f64>,
+    column: fn(&mut ComparedNumber) -> &mut Option<f64>,
 ) {
     match value {
-        Value::Number(number) => set(name, number.as_f64(), numbers, side),
+        Value::Number(number) => set_number(name, number.as_f64(), numbers, column),
         Value::Object(fields) => {
             // The samples of each second are for the plot.
             for (field, value) in fields.iter().filter(|(field, _)| *field != "seconds") {
-                collect(&join(name, field), value, numbers, side);
+                collect_numbers(&join_name(name, field), value, numbers, column);
             }
         }
         Value::Array(items) => {
             for item in items {
                 let service = item["service"].as_str().unwrap_or_default();
                 if !service.is_empty() {
-                    collect(&join(name, service), item, numbers, side);
+                    collect_numbers(&join_name(name, service), item, numbers, column);
                 }
             }
         }
@@ -73,11 +73,11 @@
     }
 }
 
-fn set(
+fn set_number(
     name: &str,
     value: Option<f64>,
     numbers: &mut Vec<ComparedNumber>,
-    side: fn(&mut ComparedNumber) -> &mut Option<f64>,
+    column: fn(&mut ComparedNumber) -> &mut Option<f64>,
 ) {
     let index = match numbers.binary_search_by(|number| number.name.as_str().cmp(name)) {
         Ok(index) => index,
@@ -91,17 +91,17 @@
             index
         }
     };
-    *side(&mut numbers[index]) = value;
+    *column(&mut numbers[index]) = value;
 }
 
-fn join(name: &str, field: &str) -> String {
+fn join_name(name: &str, field: &str) -> String {
     if name.is_empty() {
         return field.to_owned();
     }
     format!("{name} {field}")
 }
 
-fn compared_row(number: &ComparedNumber) -> String {
+fn format_row(number: &ComparedNumber) -> String {
     let change = match (number.before, number.after) {
         (Some(before), Some(after)) if before != 0.0 => {
             format!("{:+.1} %", (after / before - 1.0) * 100.0)
@@ -109,12 +109,13 @@
         (Some(before), Some(after)) if before == after => "same".to_owned(),
         _ => "-".to_owned(),
     };
-    let show = |value: Option<f64>| value.map_or("-".to_owned(), |value| format!("{value:.3}"));
+    let format_value =
+        |value: Option<f64>| value.map_or("-".to_owned(), |value| format!("{value:.3}"));
     format!(
         "{:<42}{:>12}{:>12}{:>10}",
         number.name,
-        show(number.before),
-        show(number.after),
+        format_value(number.before),
+        format_value(number.after),
         change
     )
 }
--- a/crates/hyssopstair/src/ops/load/faults.rs
+++ b/crates/hyssopstair/src/ops/load/faults.rs
@@ -18,16 +18,16 @@
 /// # Errors
 ///
 /// Returns a sentence for people when the fault could not be done.
-pub async fn run_fault(fault: &FaultPlan, start: Instant) -> Result<(), String> {
+pub async fn inject_fault(fault: &FaultPlan, start: Instant) -> Result<(), String> {
     let due = start + Duration::from_secs_f64(fault.at);
     tokio::time::sleep_until(due.into()).await;
     match &fault.action {
-        FaultAction::Post { url, body } => post(url, body).await,
+        FaultAction::Post { url, body } => send_post(url, body).await,
         FaultAction::Signal { kind, pid_file } => send_signal(*kind, pid_file),
     }
 }
 
-async fn post(url: &str, body: &str) -> Result<(), String> {
+async fn send_post(url: &str, body: &str) -> Result<(), String> {
     reqwest::Client::new()
         .post(url)
         .header("content-type", "application/json")
@@ -50,10 +50,10 @@
     if pid <= 1 {
         return Err(format!("{} holds no id of one process", pid_file.display()));
     }
-    kill(Pid::from_raw(pid), signal(kind)).map_err(|error| error.to_string())
+    kill(Pid::from_raw(pid), unix_signal(kind)).map_err(|error| error.to_string())
 }
 
-fn signal(kind: SignalKind) -> Signal {
+fn unix_signal(kind: SignalKind) -> Signal {
     match kind {
         SignalKind::Kill => Signal::SIGKILL,
         SignalKind::Terminate => Signal::SIGTERM,
--- a/crates/hyssopstair/src/ops/load/groups.rs
+++ b/crates/hyssopstair/src/ops/load/groups.rs
@@ -14,17 +14,17 @@
 use crate::ops::load::caller::CallerConnector;
 use crate::ops::load::requests::RequestPlan;
 use crate::ops::load::requests::TicketFlow;
-use crate::ops::load::requests::ask_one;
+use crate::ops::load::requests::run_request;
 use crate::ops::load::tally::LoadTally;
 use crate::ops::load::workload::RequestLoad;
 use crate::ops::load::workload::ServiceLoad;
 
 /// Time between two looks at whether a flow has ended.
-const FLOW_LOOK: Duration = Duration::from_millis(100);
+const FLOW_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// What all groups of a load share.
 #[derive(Debug, Clone)]
-pub struct LoadRun {
+pub struct LoadContext {
     /// Opens flows.
     pub connector: CallerConnector,
     /// Counts what comes of it.
@@ -32,120 +32,135 @@
     /// When the load starts.
     pub start: Instant,
     /// How long it lasts.
-    pub time: Duration,
+    pub duration: Duration,
     /// Time until the full rates are reached, in seconds.
     pub ramp_seconds: f64,
     /// Share of the requests that carry a sampled trace context.
     pub traced: f64,
     /// Tells the requests of this load from those of an earlier one.
-    pub name: String,
+    pub run_id: String,
 }
 
 /// A place for a flow, which is opened again when it ends.
-type FlowPlace = Arc<Mutex<Option<TicketFlow>>>;
+type FlowSlot = Arc<Mutex<Option<TicketFlow>>>;
 
 /// Sends the requests of one group.
-pub async fn run_group(run: LoadRun, service: ServiceLoad, group: RequestLoad, seed: u64) {
-    let places: Vec<FlowPlace> = (0..group.flows).map(|_| FlowPlace::default()).collect();
-    let openings = places
+pub async fn run_group(context: LoadContext, service: ServiceLoad, group: RequestLoad, seed: u64) {
+    let slots: Vec<FlowSlot> = (0..group.flows).map(|_| FlowSlot::default()).collect();
+    let pending_flows = slots
         .iter()
-        .map(|place| open_flow(&run, &service, place.clone()));
-    futures::future::join_all(openings).await;
-    let keepers: Vec<_> = places
+        .map(|slot| open_flow(&context, &service, slot.clone()));
+    futures::future::join_all(pending_flows).await;
+    let maintainers: Vec<_> = slots
         .iter()
-        .map(|place| {
-            tokio::spawn(keep_flow(
-                run.clone(),
+        .map(|slot| {
+            tokio::spawn(maintain_flow(
+                context.clone(),
                 service.clone(),
                 group.clone(),
-                place.clone(),
+                slot.clone(),
             ))
         })
         .collect();
-    let tasks = send_requests(&run, &group, &places, seed).await;
+    let tasks = send_requests(&context, &group, &slots, seed).await;
     for task in tasks {
         let _ = task.await;
     }
-    for keeper in keepers {
-        keeper.abort();
+    for maintainer in maintainers {
+        maintainer.abort();
     }
 }
 
 async fn send_requests(
-    run: &LoadRun,
+    context: &LoadContext,
     group: &RequestLoad,
-    places: &[FlowPlace],
+    slots: &[FlowSlot],
     seed: u64,
 ) -> Vec<tokio::task::JoinHandle<()>> {
-    let mut process = ArrivalProcess::new(seed, group.rate, run.ramp_seconds);
-    let mut random = StdRng::seed_from_u64(seed.wrapping_add(1));
+    let mut process = ArrivalProcess::new(seed, group.rate, context.ramp_seconds);
+    let mut rng = StdRng::seed_from_u64(seed.wrapping_add(1));
     let mut tasks = Vec::new();
     for number in 0.. {
-        let arrival = process.draw();
-        if arrival >= run.time {
+        let arrival = process.next_arrival();
+        if arrival >= context.duration {
             break;
         }
-        let due = run.start + arrival;
+        let due = context.start + arrival;
         tokio::time::sleep_until(due.into()).await;
-        let is_traced = random.random_bool(run.traced);
-        let trace = is_traced.then(|| trace_header(&mut random));
+        let is_traced = rng.random_bool(context.traced);
+        let trace = is_traced.then(|| sampled_trace_context(&mut rng));
         let plan = RequestPlan {
             group: group.clone(),
-            name: format!("{number}-{}-{seed:x}", run.name),
+            name: format!("{number}-{}-{seed:x}", context.run_id),
             due,
             trace,
         };
-        let flow = flow_at(places, number);
-        let other = flow_at(places, number + 1);
-        match flow.or_else(|| other.clone()) {
+        let flow = get_flow(slots, number);
+        let fallback = get_flow(slots, number + 1);
+        match flow.or_else(|| fallback.clone()) {
             Some(flow) => {
-                let other = other.unwrap_or_else(|| flow.clone());
-                tasks.push(tokio::spawn(ask_one(flow, other, plan, run.tally.clone())));
+                let fallback = fallback.unwrap_or_else(|| flow.clone());
+                tasks.push(tokio::spawn(run_request(
+                    flow,
+                    fallback,
+                    plan,
+                    context.tally.clone(),
+                )));
             }
-            None => run.tally.unsent(due, "no flow is open"),
+            None => context.tally.record_unsent(due, "no flow is open"),
         }
     }
     tasks
 }
 
-fn flow_at(places: &[FlowPlace], number: usize) -> Option<TicketFlow> {
-    lock(&places[number % places.len()]).clone()
+fn get_flow(slots: &[FlowSlot], number: usize) -> Option<TicketFlow> {
+    lock(&slots[number % slots.len()]).clone()
 }
 
-async fn open_flow(run: &LoadRun, service: &ServiceLoad, place: FlowPlace) {
-    match run.connector.connect(&service.name, service.address).await {
+async fn open_flow(context: &LoadContext, service: &ServiceLoad, slot: FlowSlot) {
+    match context
+        .connector
+        .connect(&service.name, service.address)
+        .await
+    {
         Ok(flow) => {
-            run.tally.flow_opened();
-            *lock(&place) = Some(TicketFlow::new(flow));
+            context.tally.record_flow_opened();
+            *lock(&slot) = Some(TicketFlow::new(flow));
         }
-        Err(error) => run.tally.flow_refused(&error),
+        Err(error) => context.tally.record_flow_refused(&error),
     }
 }
 
 /// Opens a flow again when it has broken, or when its time is over.
-async fn keep_flow(run: LoadRun, service: ServiceLoad, group: RequestLoad, place: FlowPlace) {
-    let life = group.reconnect_seconds.map(Duration::from_secs_f64);
-    let mut opened = Instant::now();
+async fn maintain_flow(
+    context: LoadContext,
+    service: ServiceLoad,
+    group: RequestLoad,
+    slot: FlowSlot,
+) {
+    let max_age = group.reconnect_seconds.map(Duration::from_secs_f64);
+    let mut opened_at = Instant::now();
     loop {
-        tokio::time::sleep(FLOW_LOOK).await;
-        let broken = lock(&place).as_ref().and_then(TicketFlow::end_reason);
-        let is_leaving = lock(&place).as_ref().is_some_and(TicketFlow::is_leaving);
-        let is_over = is_leaving || life.is_some_and(|life| opened.elapsed() >= life);
-        if let Some(reason) = broken {
-            run.tally.flow_broken("flow", &reason);
-            *lock(&place) = None;
-        } else if !is_over && lock(&place).is_some() {
+        tokio::time::sleep(FLOW_CHECK_INTERVAL).await;
+        let failure = lock(&slot).as_ref().and_then(TicketFlow::failure_reason);
+        let is_draining = lock(&slot).as_ref().is_some_and(TicketFlow::is_draining);
+        let is_expired =
+            is_draining || max_age.is_some_and(|max_age| opened_at.elapsed() >= max_age);
+        if let Some(reason) = failure {
+            context.tally.record_flow_broken("flow", &reason);
+            *lock(&slot) = None;
+        } else if !is_expired && lock(&slot).is_some() {
             continue;
         }
-        open_flow(&run, &service, place.clone()).await;
-        opened = Instant::now();
+        open_flow(&context, &service, slot.clone()).await;
+        opened_at = Instant::now();
     }
 }
 
 /// Returns a W3C trace context that is sampled.
-fn trace_header(random: &mut StdRng) -> String {
-    let trace: u128 = random.random_range(1..u128::MAX);
-    let span: u64 = random.random_range(1..u64::MAX);
+fn sampled_trace_context(rng: &mut StdRng) -> String {
+    let trace: u128 = rng.random_range(1..u128::MAX);
+    let span: u64 = rng.random_range(1..u64::MAX);
     format!("00-{trace:032x}-{span:016x}-01")
 }
 
--- a/crates/hyssopstair/src/ops/load/mod.rs
+++ b/crates/hyssopstair/src/ops/load/mod.rs
@@ -27,9 +27,9 @@
 use tokio::task::JoinHandle;
 
 use crate::error::CommandError;
-use crate::ops::load::backends::collect_backends;
+use crate::ops::load::backends::fetch_reports;
 use crate::ops::load::caller::CallerConnector;
-use crate::ops::load::groups::LoadRun;
+use crate::ops::load::groups::LoadContext;
 use crate::ops::load::report::FaultRecord;
 use crate::ops::load::report::LoadReport;
 use crate::ops::load::tally::LoadTally;
@@ -52,59 +52,60 @@
     progress: impl Fn(String) + Send + 'static,
 ) -> Result<LoadReport, Report<CommandError>> {
     let connector = CallerConnector::with_root_certificate(&workload.certificate)?;
-    let is_lenient = !workload.faults.is_empty();
-    let before = collect_backends(&workload.services, is_lenient).await?;
+    let allow_missing_reports = !workload.faults.is_empty();
+    let before = fetch_reports(&workload.services, allow_missing_reports).await?;
     let start = Instant::now();
     let tally = Arc::new(LoadTally::new(start));
-    let run = LoadRun {
+    let context = LoadContext {
         connector,
         tally: tally.clone(),
         start,
-        time: Duration::from_secs_f64(workload.seconds),
+        duration: Duration::from_secs_f64(workload.seconds),
         ramp_seconds: workload.ramp_seconds,
         traced: workload.traced,
-        name: format!("{:08x}", rand::random::<u32>()),
+        run_id: format!("{:08x}", rand::random::<u32>()),
     };
     let printer = tokio::spawn(print_progress(tally.clone(), progress));
     let faults = spawn_faults(&workload.faults, start);
-    let tasks = spawn_callers(workload, &run);
+    let tasks = spawn_load_tasks(workload, &context);
     for task in tasks {
         let _ = task.await;
     }
     let faults = futures::future::join_all(faults).await;
     let faults = faults.into_iter().flatten().collect();
     printer.abort();
-    let after = collect_backends(&workload.services, is_lenient).await?;
+    let after = fetch_reports(&workload.services, allow_missing_reports).await?;
     let pairs = after.iter().zip(&before);
-    let seen: Vec<_> = pairs.map(|(after, before)| after.since(before)).collect();
-    Ok(LoadReport::build(workload, &tally, &seen, faults))
+    let new_reports: Vec<_> = pairs.map(|(after, before)| after.since(before)).collect();
+    Ok(LoadReport::build(workload, &tally, &new_reports, faults))
 }
 
-fn spawn_callers(workload: &LoadWorkload, run: &LoadRun) -> Vec<JoinHandle<()>> {
+fn spawn_load_tasks(workload: &LoadWorkload, context: &LoadContext) -> Vec<JoinHandle<()>> {
     let mut tasks = Vec::new();
     let mut seed = workload.seed;
     for service in &workload.services {
-        spawn_feeds(service, run, &mut tasks);
+        spawn_feeds(service, context, &mut tasks);
         for group in &service.requests {
             // Each group has arrivals of its own.
             seed = seed.wrapping_add(2);
-            let task = groups::run_group(run.clone(), service.clone(), group.clone(), seed);
+            let task = groups::run_group(context.clone(), service.clone(), group.clone(), seed);
             tasks.push(tokio::spawn(task));
         }
     }
     tasks
 }
 
-fn spawn_feeds(service: &ServiceLoad, run: &LoadRun, tasks: &mut Vec<JoinHandle<()>>) {
-    let plain = FeedLoad {
+fn spawn_feeds(service: &ServiceLoad, context: &LoadContext, tasks: &mut Vec<JoinHandle<()>>) {
+    let permanent_feeds = FeedLoad {
         count: service.feeds,
         reconnect_seconds: None,
     };
     let mut number = 0;
-    for group in std::iter::once(&plain).chain(&service.feed_groups) {
+    for group in std::iter::once(&permanent_feeds).chain(&service.feed_groups) {
         for _ in 0..group.count {
             number += 1;
-            let task = feeds::hold_feed(run.clone(), service.clone(), group.clone(), number);
+            let task =
+                feeds::keep_feed_open(context.clone(), service.clone(), group.clone(), number);
             tasks.push(tokio::spawn(task));
         }
     }
@@ -113,7 +114,7 @@
 fn spawn_faults(faults: &[FaultPlan], start: Instant) -> Vec<JoinHandle<FaultRecord>> {
     let tasks = faults.iter().cloned().map(|fault| {
         tokio::spawn(async move {
-            let error = faults::run_fault(&fault, start).await.err();
+            let error = faults::inject_fault(&fault, start).await.err();
             FaultRecord {
                 name: fault.name,
                 at: fault.at,
--- a/crates/hyssopstair/src/ops/load/plot.rs
+++ b/crates/hyssopstair/src/ops/load/plot.rs
@@ -25,14 +25,14 @@
 use crate::ops::load::tally::SecondSample;
 
 /// Width and height of the picture, in pixels.
-const SIZE: (u32, u32) = (960, 640);
+const PICTURE_SIZE_PIXELS: (u32, u32) = (960, 640);
 
 /// Room for the names of the axes, in pixels.
-const LABEL_AREA: u32 = 64;
+const AXIS_LABEL_PIXELS: u32 = 64;
 
 /// Length of the axis of time over the length of the load: the names of the
 /// lines stand on the right.
-const LEGEND_ROOM: f64 = 1.15;
+const TIME_AXIS_RATIO: f64 = 1.15;
 
 /// Color of the marks of faults.
 const FAULT_COLOR: RGBColor = RGBColor(120, 120, 120);
@@ -83,11 +83,11 @@
 pub fn write_plot(path: &Path, report: &LoadReport) -> Result<(), Report<CommandError>> {
     let context = || {
         CommandError::new(
-            FailureKind::Input,
+            FailureKind::InvalidInput,
             format!("failed to write plot {}", path.display()),
         )
     };
-    let picture = SVGBackend::new(path, SIZE).into_drawing_area();
+    let picture = SVGBackend::new(path, PICTURE_SIZE_PIXELS).into_drawing_area();
     draw(&picture, report).change_context_lazy(context)
 }
 
@@ -98,7 +98,7 @@
     report: &LoadReport,
 ) -> Result<(), DrawError<'a>> {
     picture.fill(&WHITE)?;
-    let (upper, lower) = picture.split_vertically(SIZE.1 / 2);
+    let (upper, lower) = picture.split_vertically(PICTURE_SIZE_PIXELS.1 / 2);
     draw_chart(
         &upper,
         report,
@@ -119,14 +119,14 @@
     let values = lines
         .iter()
         .flat_map(|line| seconds.iter().map(|sample| (line.value)(sample)));
-    let top = values.fold(1.0, f64::max) * 1.15;
-    let end = (seconds.len() as f64).max(1.0) * LEGEND_ROOM;
+    let max_value = values.fold(1.0, f64::max) * 1.15;
+    let end = (seconds.len() as f64).max(1.0) * TIME_AXIS_RATIO;
     let mut chart = ChartBuilder::on(area)
         .caption(title, ("sans-serif", 18))
         .margin(12)
-        .x_label_area_size(LABEL_AREA / 2)
-        .y_label_area_size(LABEL_AREA)
-        .build_cartesian_2d(0.0..end, 0.0..top)?;
+        .x_label_area_size(AXIS_LABEL_PIXELS / 2)
+        .y_label_area_size(AXIS_LABEL_PIXELS)
+        .build_cartesian_2d(0.0..end, 0.0..max_value)?;
     chart
         .configure_mesh()
         .x_desc("seconds")
@@ -135,10 +135,10 @@
         .light_line_style(WHITE)
         .draw()?;
     for fault in &report.faults {
-        let mark = [(fault.at, 0.0), (fault.at, top)];
+        let mark = [(fault.at, 0.0), (fault.at, max_value)];
         chart.draw_series(LineSeries::new(mark, &FAULT_COLOR))?;
-        let place = (fault.at, top * 0.98);
-        let text = Text::new(fault.name.clone(), place, ("sans-serif", 12));
+        let position = (fault.at, max_value * 0.98);
+        let text = Text::new(fault.name.clone(), position, ("sans-serif", 12));
         chart.draw_series([text])?;
     }
     for line in lines {
--- a/crates/hyssopstair/src/ops/load/report.rs
+++ b/crates/hyssopstair/src/ops/load/report.rs
@@ -4,10 +4,10 @@
 
 use crate::ops::load::backends::BackendReport;
 use crate::ops::load::backends::ServiceImbalance;
-use crate::ops::load::backends::count_doubled;
+use crate::ops::load::backends::count_repeated_runs;
 use crate::ops::load::backends::measure_imbalance;
+use crate::ops::load::backends::request_work;
 use crate::ops::load::backends::sum_work;
-use crate::ops::load::backends::work_of;
 use crate::ops::load::tally::LoadCounts;
 use crate::ops::load::tally::LoadTally;
 use crate::ops::load::tally::SecondSample;
@@ -62,15 +62,15 @@
         faults: Vec<FaultRecord>,
     ) -> Self {
         let counts = tally.counts();
-        let is_once = |request: &str| is_once(workload, request);
-        let completed =
-            (counts.done - counts.done_once) * work_of(false) + counts.done_once * work_of(true);
-        let work = sum_work(backends, is_once);
+        let is_non_idempotent = |request: &str| is_non_idempotent(workload, request);
+        let completed_work = (counts.done - counts.done_once) * request_work(false)
+            + counts.done_once * request_work(true);
+        let work = sum_work(backends, is_non_idempotent);
         Self {
             counts,
-            doubled: count_doubled(backends, is_once),
+            doubled: count_repeated_runs(backends, is_non_idempotent),
             wrong_service: backends.iter().map(|backend| backend.misdelivered).sum(),
-            service_per_completed: work as f64 / completed.max(1) as f64,
+            service_per_completed: work as f64 / completed_work.max(1) as f64,
             imbalance: measure_imbalance(backends),
             p50_millis: tally.latency_millis(0.5),
             p99_millis: tally.latency_millis(0.99),
@@ -101,31 +101,31 @@
     pub fn table(&self) -> Vec<String> {
         let counts = &self.counts;
         let mut lines = vec![
-            row("requests asked", counts.requests_asked),
-            row("  done", counts.done),
-            row("  not run", counts.not_run),
-            row("  may have run", counts.may_have_run),
-            row("  wrong answers", counts.wrong_answers),
-            row("flows opened", counts.flows_opened),
-            row("  refused", counts.flows_refused),
-            row("  broken", counts.flows_broken),
-            row("run more than once", self.doubled),
-            row("at a wrong service", self.wrong_service),
+            format_count("requests asked", counts.requests_asked),
+            format_count("  done", counts.done),
+            format_count("  not run", counts.not_run),
+            format_count("  may have run", counts.may_have_run),
+            format_count("  wrong answers", counts.wrong_answers),
+            format_count("flows opened", counts.flows_opened),
+            format_count("  refused", counts.flows_refused),
+            format_count("  broken", counts.flows_broken),
+            format_count("run more than once", self.doubled),
+            format_count("at a wrong service", self.wrong_service),
             format!("service per completed  {:>9.3}", self.service_per_completed),
             format!(
                 "latency p50, p99, p99.9    {:.1}  {:.1}  {:.1} ms",
                 self.p50_millis, self.p99_millis, self.p999_millis
             ),
         ];
-        lines.extend(self.imbalance.iter().flat_map(imbalance_rows));
-        lines.extend(self.faults.iter().map(fault_row));
+        lines.extend(self.imbalance.iter().flat_map(format_imbalance));
+        lines.extend(self.faults.iter().map(format_fault));
         lines.extend(self.errors.iter().map(|error| format!("error {error}")));
         lines
     }
 }
 
 /// Returns whether a request of a run log may run once only.
-fn is_once(workload: &LoadWorkload, request: &str) -> bool {
+fn is_non_idempotent(workload: &LoadWorkload, request: &str) -> bool {
     let groups = workload.services.iter().flat_map(|item| &item.requests);
     groups.filter(|group| !group.is_idempotent()).any(|group| {
         let rest = request
@@ -136,11 +136,11 @@
     })
 }
 
-fn row(name: &str, count: u64) -> String {
+fn format_count(name: &str, count: u64) -> String {
     format!("{name:<22}{count:>10}")
 }
 
-fn imbalance_rows(item: &ServiceImbalance) -> Vec<String> {
+fn format_imbalance(item: &ServiceImbalance) -> Vec<String> {
     let parts = [("requests", item.requests), ("feeds", item.feeds)];
     parts
         .into_iter()
@@ -154,7 +154,7 @@
         .collect()
 }
 
-fn fault_row(fault: &FaultRecord) -> String {
+fn format_fault(fault: &FaultRecord) -> String {
     match &fault.error {
         None => format!("fault at {:.1} s: {}", fault.at, fault.name),
         Some(error) => format!("fault at {:.1} s: {} failed: {error}", fault.at, fault.name),
--- a/crates/hyssopstair/src/ops/load/requests.rs
+++ b/crates/hyssopstair/src/ops/load/requests.rs
@@ -22,7 +22,7 @@
 use crate::ops::load::workload::RequestLoad;
 
 /// Body of a request that changes something.
-const BODY: &[u8] = b"one registration";
+const REQUEST_BODY: &[u8] = b"one registration";
 
 /// Request header that gives the time that a caller waits, in milliseconds.
 const DEADLINE_HEADER: &str = "hyssopstair-deadline";
@@ -34,7 +34,7 @@
 const DEADLINE_GRACE: Duration = Duration::from_millis(500);
 
 /// Tries of one request, the first one included.
-const MAX_TRIES: usize = 4;
+const MAX_ATTEMPTS: usize = 4;
 
 /// A flow and the tickets that came on it.
 #[derive(Clone)]
@@ -53,17 +53,17 @@
     }
 
     /// Returns why the flow has ended, if it has.
-    pub fn end_reason(&self) -> Option<CallerError> {
-        self.flow.end_reason()
+    pub fn failure_reason(&self) -> Option<CallerError> {
+        self.flow.failure_reason()
     }
 
     /// Returns whether the service has told the caller to go elsewhere.
-    pub fn is_leaving(&self) -> bool {
-        self.flow.is_leaving()
+    pub fn is_draining(&self) -> bool {
+        self.flow.is_draining()
     }
 
     /// Sends a request with its deadline and trace, and waits for the answer.
-    async fn ask(&self, request: &LoadRequest) -> Result<FullResponse, CallerError> {
+    async fn send_request(&self, request: &LoadRequest) -> Result<FullResponse, CallerError> {
         let mut builder = self
             .flow
             .request(&request.method, &request.path, &request.key);
@@ -75,7 +75,7 @@
         }
         let head = builder
             .body(())
-            .map_err(|error| CallerError::Lost(error.to_string()))?;
+            .map_err(|error| CallerError::Failed(error.to_string()))?;
         let (head, stream) = self.flow.send(head, request.body.clone()).await?;
         read_response(head, stream).await
     }
@@ -86,10 +86,10 @@
         tickets.pop().unwrap_or_default()
     }
 
-    fn keep_tickets(&self, answer: &FullResponse) {
+    fn store_tickets(&self, response: &FullResponse) {
         let mut tickets = self.tickets.lock().unwrap_or_else(PoisonError::into_inner);
-        let fresh = answer.head.headers().get_all(TICKET_HEADER).iter();
-        tickets.extend(fresh.filter_map(|value| value.to_str().ok().map(str::to_owned)));
+        let new_tickets = response.head.headers().get_all(TICKET_HEADER).iter();
+        tickets.extend(new_tickets.filter_map(|value| value.to_str().ok().map(str::to_owned)));
     }
 }
 
@@ -119,9 +119,9 @@
 
 /// Asks one request and counts what comes of it; its latency counts from the
 /// time when it was due.
-pub async fn ask_one(
+pub async fn run_request(
     flow: TicketFlow,
-    other: TicketFlow,
+    fallback: TicketFlow,
     plan: RequestPlan,
     tally: Arc<LoadTally>,
 ) {
@@ -130,81 +130,83 @@
         path: format!("{}/{}", plan.group.path, plan.name),
         method: plan.group.method.clone(),
         key: String::new(),
-        body: Bytes::from_static(if has_body { BODY } else { b"" }),
+        body: Bytes::from_static(if has_body { REQUEST_BODY } else { b"" }),
         deadline_millis: plan.group.deadline_millis,
         trace: plan.trace,
     };
-    let is_once = !plan.group.is_idempotent();
-    let asking = async {
-        if is_once {
-            ask_with_ticket(&flow, &other, &mut request).await
+    let is_non_idempotent = !plan.group.is_idempotent();
+    let attempts = async {
+        if is_non_idempotent {
+            send_with_ticket(&flow, &fallback, &mut request).await
         } else {
-            match flow.ask(&request).await {
-                Ok(answer) => Ok(answer),
+            match flow.send_request(&request).await {
+                Ok(response) => Ok(response),
                 // Asking again changes nothing.
-                Err(_) => other.ask(&request).await,
+                Err(_) => fallback.send_request(&request).await,
             }
         }
     };
-    let answer = match plan.group.deadline_millis {
+    let response = match plan.group.deadline_millis {
         Some(millis) => {
             let wait = Duration::from_millis(millis) + DEADLINE_GRACE;
-            let late = Err(CallerError::Lost("no answer at the deadline".to_owned()));
-            tokio::time::timeout(wait, asking).await.unwrap_or(late)
+            let deadline_error = Err(CallerError::Failed("no answer at the deadline".to_owned()));
+            tokio::time::timeout(wait, attempts)
+                .await
+                .unwrap_or(deadline_error)
         }
-        None => asking.await,
+        None => attempts.await,
     };
-    match answer {
-        Ok(answer) => {
-            let is_right = is_right(&request, &answer);
-            tally.answered(&answer, plan.due, is_once, is_right);
+    match response {
+        Ok(response) => {
+            let is_expected = is_expected(&request, &response);
+            tally.record_response(&response, plan.due, is_non_idempotent, is_expected);
         }
-        Err(error) => tally.unanswered(&error, plan.due),
+        Err(error) => tally.record_failure(&error, plan.due),
     }
 }
 
 /// Asks until the request has run, was refused, or nobody knows.
-async fn ask_with_ticket(
+async fn send_with_ticket(
     flow: &TicketFlow,
-    other: &TicketFlow,
+    fallback: &TicketFlow,
     request: &mut LoadRequest,
 ) -> Result<FullResponse, CallerError> {
     let mut flow = flow;
     request.key = flow.take_ticket();
-    let mut last = Err(CallerError::Lost("the request was not sent".to_owned()));
-    for _ in 0..MAX_TRIES {
-        last = flow.ask(request).await;
-        match &last {
-            Ok(answer) => {
-                flow.keep_tickets(answer);
-                if answer.head.status() != StatusCode::PRECONDITION_REQUIRED {
-                    return last;
+    let mut result = Err(CallerError::Failed("the request was not sent".to_owned()));
+    for _ in 0..MAX_ATTEMPTS {
+        result = flow.send_request(request).await;
+        match &result {
+            Ok(response) => {
+                flow.store_tickets(response);
+                if response.head.status() != StatusCode::PRECONDITION_REQUIRED {
+                    return result;
                 }
                 request.key = flow.take_ticket();
             }
             // The ticket is unused, and its issuer leaves: take another.
             Err(CallerError::Unsent(_)) => {
-                flow = other;
+                flow = fallback;
                 request.key = flow.take_ticket();
             }
             // The answer is lost: another host asks the issuer of the ticket.
-            Err(CallerError::Lost(_)) => flow = other,
+            Err(CallerError::Failed(_)) => flow = fallback,
         }
     }
-    last
+    result
 }
 
-fn is_right(request: &LoadRequest, answer: &FullResponse) -> bool {
-    if answer.head.status() != StatusCode::OK {
+fn is_expected(request: &LoadRequest, response: &FullResponse) -> bool {
+    if response.head.status() != StatusCode::OK {
         return true;
     }
     let name = request.path.trim_start_matches("/work/");
     if request.method == "POST" {
-        let expected = format!("done {name} {} {}", request.key, BODY.len());
-        return answer.body == expected.as_bytes();
+        let expected = format!("done {name} {} {}", request.key, REQUEST_BODY.len());
+        return response.body == expected.as_bytes();
     }
-    !answer.body.is_empty()
-        && answer
+    !response.body.is_empty()
+        && response
             .body
             .iter()
             .zip(name.bytes().cycle())
--- a/crates/hyssopstair/src/ops/load/tally.rs
+++ b/crates/hyssopstair/src/ops/load/tally.rs
@@ -14,10 +14,10 @@
 use crate::ops::load::caller::FullResponse;
 
 /// Digits of a latency that are kept.
-const LATENCY_DIGITS: u8 = 3;
+const LATENCY_SIGNIFICANT_DIGITS: u8 = 3;
 
 /// Errors that are kept.
-const KEPT_ERRORS: usize = 5;
+const MAX_RECORDED_ERRORS: usize = 5;
 
 /// Counts of one load.
 #[derive(Debug, Clone, Copy, Default, Serialize)]
@@ -73,7 +73,7 @@
 
 /// What is known of one request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum RequestEnd {
+enum RequestOutcome {
     Done,
     NotRun,
     MayHaveRun,
@@ -116,87 +116,97 @@
 
     /// Returns the latency in milliseconds that a share of the answers kept to.
     pub fn latency_millis(&self, quantile: f64) -> f64 {
-        millis(&self.lock().latency, quantile)
+        quantile_millis(&self.lock().latency, quantile)
     }
 
     /// Returns what came of the requests, by the second in which each was due.
     pub fn seconds(&self) -> Vec<SecondSample> {
         let state = self.lock();
         let samples = state.seconds.iter().map(|second| SecondSample {
-            p50_millis: millis(&second.latency, 0.5),
-            p99_millis: millis(&second.latency, 0.99),
+            p50_millis: quantile_millis(&second.latency, 0.5),
+            p99_millis: quantile_millis(&second.latency, 0.99),
             ..second.sample
         });
         samples.collect()
     }
 
     /// Counts a flow that opened.
-    pub fn flow_opened(&self) {
+    pub fn record_flow_opened(&self) {
         self.lock().counts.flows_opened += 1;
     }
 
     /// Counts a flow that could not be opened.
-    pub fn flow_refused(&self, error: &CallerError) {
+    pub fn record_flow_refused(&self, error: &CallerError) {
         let mut state = self.lock();
         state.counts.flows_refused += 1;
-        state.keep_error(format!("open: {error}"));
+        state.record_error(format!("open: {error}"));
     }
 
     /// Counts a flow that ended before its time.
-    pub fn flow_broken(&self, part: &str, error: &CallerError) {
+    pub fn record_flow_broken(&self, part: &str, error: &CallerError) {
         let mut state = self.lock();
         state.counts.flows_broken += 1;
-        state.keep_error(format!("{part}: {error}"));
+        state.record_error(format!("{part}: {error}"));
     }
 
     /// Counts a request that was answered; its latency counts from `due`.
-    pub fn answered(&self, answer: &FullResponse, due: Instant, is_once: bool, is_right: bool) {
-        let verdict = answer
+    pub fn record_response(
+        &self,
+        response: &FullResponse,
+        due: Instant,
+        is_non_idempotent: bool,
+        is_expected: bool,
+    ) {
+        let verdict = response
             .head
             .headers()
             .get(VERDICT_HEADER)
             .and_then(|value| value.to_str().ok());
-        let end = match verdict {
-            Some("not-run") => RequestEnd::NotRun,
-            Some("done") => RequestEnd::Done,
-            _ => RequestEnd::MayHaveRun,
+        let outcome = match verdict {
+            Some("not-run") => RequestOutcome::NotRun,
+            Some("done") => RequestOutcome::Done,
+            _ => RequestOutcome::MayHaveRun,
         };
         let mut state = self.lock();
-        state.count(end, self.second(due), due.elapsed());
-        if end == RequestEnd::Done && is_once {
+        state.record_outcome(outcome, self.second_index(due), due.elapsed());
+        if outcome == RequestOutcome::Done && is_non_idempotent {
             state.counts.done_once += 1;
         }
-        if !is_right {
+        if !is_expected {
             state.counts.wrong_answers += 1;
-            state.keep_error("request: the answer is another's".to_owned());
+            state.record_error("request: the answer is another's".to_owned());
         }
     }
 
     /// Counts a request that got no answer.
-    pub fn unanswered(&self, error: &CallerError, due: Instant) {
-        let end = match error {
-            CallerError::Unsent(_) => RequestEnd::NotRun,
-            CallerError::Lost(_) => RequestEnd::MayHaveRun,
+    pub fn record_failure(&self, error: &CallerError, due: Instant) {
+        let outcome = match error {
+            CallerError::Unsent(_) => RequestOutcome::NotRun,
+            CallerError::Failed(_) => RequestOutcome::MayHaveRun,
         };
         let mut state = self.lock();
-        state.count(end, self.second(due), due.elapsed());
-        state.keep_error(format!("request: {error}"));
+        state.record_outcome(outcome, self.second_index(due), due.elapsed());
+        state.record_error(format!("request: {error}"));
     }
 
     /// Counts a request that was due and could not be sent.
-    pub fn unsent(&self, due: Instant, reason: &str) {
+    pub fn record_unsent(&self, due: Instant, reason: &str) {
         let mut state = self.lock();
-        state.count(RequestEnd::NotRun, self.second(due), Duration::ZERO);
-        state.keep_error(format!("request: {reason}"));
+        state.record_outcome(
+            RequestOutcome::NotRun,
+            self.second_index(due),
+            Duration::ZERO,
+        );
+        state.record_error(format!("request: {reason}"));
     }
 
-    fn second(&self, due: Instant) -> usize {
+    fn second_index(&self, due: Instant) -> usize {
         due.saturating_duration_since(self.start).as_secs() as usize
     }
 }
 
 impl TallyState {
-    fn count(&mut self, end: RequestEnd, second: usize, latency: Duration) {
+    fn record_outcome(&mut self, outcome: RequestOutcome, second: usize, latency: Duration) {
         while self.seconds.len() <= second {
             self.seconds.push(SecondTally {
                 sample: SecondSample::default(),
@@ -205,36 +215,36 @@
         }
         let second = &mut self.seconds[second];
         self.counts.requests_asked += 1;
-        match end {
-            RequestEnd::Done => {
+        match outcome {
+            RequestOutcome::Done => {
                 self.counts.done += 1;
                 second.sample.done += 1;
                 let micros = latency.as_micros() as u64;
                 let _ = self.latency.record(micros);
                 let _ = second.latency.record(micros);
             }
-            RequestEnd::NotRun => {
+            RequestOutcome::NotRun => {
                 self.counts.not_run += 1;
                 second.sample.not_run += 1;
             }
-            RequestEnd::MayHaveRun => {
+            RequestOutcome::MayHaveRun => {
                 self.counts.may_have_run += 1;
                 second.sample.may_have_run += 1;
             }
         }
     }
 
-    fn keep_error(&mut self, text: String) {
-        if self.errors.len() < KEPT_ERRORS {
+    fn record_error(&mut self, text: String) {
+        if self.errors.len() < MAX_RECORDED_ERRORS {
             self.errors.push(text);
         }
     }
 }
 
 fn new_histogram() -> Histogram<u64> {
-    Histogram::new(LATENCY_DIGITS).expect("3 digits are allowed")
+    Histogram::new(LATENCY_SIGNIFICANT_DIGITS).expect("3 digits are allowed")
 }
 
-fn millis(histogram: &Histogram<u64>, quantile: f64) -> f64 {
+fn quantile_millis(histogram: &Histogram<u64>, quantile: f64) -> f64 {
     histogram.value_at_quantile(quantile) as f64 / 1_000.0
 }
--- a/crates/hyssopstair/src/ops/load/workload.rs
+++ b/crates/hyssopstair/src/ops/load/workload.rs
@@ -154,7 +154,7 @@
 pub fn read_workload(path: &Path) -> Result<LoadWorkload, Report<CommandError>> {
     let context = || {
         CommandError::new(
-            FailureKind::Input,
+            FailureKind::InvalidInput,
             format!("failed to read workload {}", path.display()),
         )
     };
@@ -190,13 +190,13 @@
 pub fn parse_workload(text: &str) -> Result<LoadWorkload, WorkloadError> {
     let workload: LoadWorkload =
         serde_saphyr::from_str(text).map_err(|error| WorkloadError::Syntax(error.to_string()))?;
-    check(&workload)?;
+    validate(&workload)?;
     Ok(workload)
 }
 
-fn check(workload: &LoadWorkload) -> Result<(), WorkloadError> {
+fn validate(workload: &LoadWorkload) -> Result<(), WorkloadError> {
     let positive = "a number above 0";
-    expect_range(
+    check_range(
         "seconds",
         workload.seconds,
         workload.seconds > 0.0,
@@ -204,23 +204,23 @@
     )?;
     let traced = workload.traced;
     let is_share = (0.0..=1.0).contains(&traced);
-    expect_range("traced", traced, is_share, "a share from 0 to 1")?;
+    check_range("traced", traced, is_share, "a share from 0 to 1")?;
     let groups = workload.services.iter().flat_map(|item| &item.requests);
     for group in groups {
-        expect_range("rate", group.rate, group.rate > 0.0, positive)?;
+        check_range("rate", group.rate, group.rate > 0.0, positive)?;
         let flows = f64::from(group.flows);
-        expect_range("flows", flows, group.flows > 0, positive)?;
+        check_range("flows", flows, group.flows > 0, positive)?;
     }
     Ok(())
 }
 
-fn expect_range(
+fn check_range(
     field: &'static str,
     value: f64,
-    holds: bool,
+    is_valid: bool,
     expected: &'static str,
 ) -> Result<(), WorkloadError> {
-    if holds {
+    if is_valid {
         return Ok(());
     }
     Err(WorkloadError::Range {
--- a/crates/hyssopstair/src/ops/record.rs
+++ b/crates/hyssopstair/src/ops/record.rs
@@ -20,12 +20,14 @@
 /// # Errors
 ///
 /// Returns an error when the platform does not answer or holds no record.
-pub async fn read_record(platform: &[String]) -> Result<Option<FoundRecord>, Report<CommandError>> {
+pub async fn read_configuration(
+    platform: &[String],
+) -> Result<Option<FoundRecord>, Report<CommandError>> {
     let stored = PlatformClient::new(platform)
         .get(CONFIGURATION_KEY)
         .await
-        .change_context_lazy(no_answer)?;
-    read_found(stored)
+        .change_context_lazy(read_failure)?;
+    decode_record(stored)
 }
 
 /// Reads one version.
@@ -40,11 +42,11 @@
     let stored = PlatformClient::new(platform)
         .get(&history_key(version))
         .await
-        .change_context_lazy(no_answer)?;
-    match read_found(stored)? {
+        .change_context_lazy(read_failure)?;
+    match decode_record(stored)? {
         Some(found) if found.record.version == version => Ok(found.record),
         _ => Err(Report::new(CommandError::new(
-            FailureKind::Input,
+            FailureKind::InvalidInput,
             format!(
                 "the platform does not keep version {version}; \"hyssopstair history\" lists \
                  the versions that it keeps"
@@ -64,10 +66,10 @@
     let stored = PlatformClient::new(platform)
         .get_prefix(HISTORY_PREFIX)
         .await
-        .change_context_lazy(no_answer)?;
+        .change_context_lazy(read_failure)?;
     let mut records = Vec::new();
     for item in stored {
-        records.extend(read_found(Some(item.stored))?.map(|found| found.record));
+        records.extend(decode_record(Some(item.stored))?.map(|found| found.record));
     }
     records.sort_by_key(|record| Reverse(record.version));
     Ok(records)
@@ -78,7 +80,7 @@
 /// # Errors
 ///
 /// Returns an error when the value is no record.
-pub fn read_found(
+pub fn decode_record(
     stored: Option<StoredValue>,
 ) -> Result<Option<FoundRecord>, Report<CommandError>> {
     let Some(stored) = stored else {
@@ -86,7 +88,7 @@
     };
     let record = ConfigurationRecord::decode(&stored.value).change_context_lazy(|| {
         CommandError::new(
-            FailureKind::Service,
+            FailureKind::Unavailable,
             "the platform holds something else under the configuration's key",
         )
     })?;
@@ -96,9 +98,9 @@
     }))
 }
 
-fn no_answer() -> CommandError {
+fn read_failure() -> CommandError {
     CommandError::new(
-        FailureKind::Service,
+        FailureKind::Unavailable,
         "failed to read the configuration; check --platform, or try again when it answers",
     )
 }
--- a/crates/hyssopstair/src/ops/rule_file.rs
+++ b/crates/hyssopstair/src/ops/rule_file.rs
@@ -9,17 +9,17 @@
 
 use crate::error::CommandError;
 use crate::error::FailureKind;
-use crate::ops::apply::EditedText;
+use crate::ops::apply::EditedRules;
 
 /// Reads the text of a file.
 ///
 /// # Errors
 ///
 /// Returns an error when it cannot be read or is no text.
-pub fn read_text(path: &Path) -> Result<String, Report<CommandError>> {
+pub fn read_rule_file(path: &Path) -> Result<String, Report<CommandError>> {
     fs::read_to_string(path).change_context_lazy(|| {
         CommandError::new(
-            FailureKind::Input,
+            FailureKind::InvalidInput,
             format!("failed to read {}", path.display()),
         )
     })
@@ -30,8 +30,8 @@
 /// # Errors
 ///
 /// Returns an error that names every mistake, with lines as in the file.
-pub fn check_text(path: &Path, edited: &EditedText) -> Result<RuleSet, Report<CommandError>> {
-    let skipped = usize::from(edited.base.is_some());
+pub fn parse_rules(path: &Path, edited: &EditedRules) -> Result<RuleSet, Report<CommandError>> {
+    let skipped = usize::from(edited.base_version.is_some());
     RuleSet::parse(&edited.text).map_err(|mistakes| {
         let list: Vec<String> = mistakes
             .into_iter()
@@ -40,6 +40,9 @@
                 format!("{}: {mistake}", path.display())
             })
             .collect();
-        Report::new(CommandError::new(FailureKind::Input, list.join("\n")))
+        Report::new(CommandError::new(
+            FailureKind::InvalidInput,
+            list.join("\n"),
+        ))
     })
 }
--- a/crates/hyssopstair/src/ops/runtime.rs
+++ b/crates/hyssopstair/src/ops/runtime.rs
@@ -15,7 +15,7 @@
 /// Returns an error when threads cannot be started.
 pub fn block_on<F: Future>(future: F) -> Result<F::Output, Report<CommandError>> {
     let runtime = tokio::runtime::Runtime::new().change_context_lazy(|| {
-        CommandError::new(FailureKind::Service, "failed to start threads")
+        CommandError::new(FailureKind::Unavailable, "failed to start threads")
     })?;
     Ok(runtime.block_on(future))
 }
--- a/crates/hyssopstair/src/ops/status.rs
+++ b/crates/hyssopstair/src/ops/status.rs
@@ -12,14 +12,14 @@
 use crate::ops::daemon::DaemonStatus;
 
 /// Daemons that are asked at once.
-const QUESTIONS: usize = 32;
+const MAX_CONCURRENT_QUERIES: usize = 32;
 
 /// Members that a line about disagreement names at most.
-const MAX_NAMED: usize = 5;
+const MAX_LISTED_ITEMS: usize = 5;
 
 /// What one daemon answered.
 #[derive(Debug, Serialize)]
-pub struct DaemonAnswer {
+pub struct DaemonReport {
     /// The admin address of the daemon.
     pub address: String,
     /// Its state, or nothing when it does not answer.
@@ -30,51 +30,51 @@
 #[derive(Debug, Serialize)]
 pub struct FleetStatus {
     /// The answers, in the order of the questions.
-    pub daemons: Vec<DaemonAnswer>,
+    pub daemons: Vec<DaemonReport>,
     /// In what the daemons disagree, and who does not answer.
     pub findings: Vec<String>,
 }
 
 /// Asks daemons for their state.
-pub async fn ask_status(addresses: &[String]) -> FleetStatus {
+pub async fn fetch_fleet_status(addresses: &[String]) -> FleetStatus {
     let client = DaemonClient::new();
     let daemons = stream::iter(addresses.to_vec())
         .map(|address| {
             let client = client.clone();
             async move {
-                let status = client.status(&address).await.ok();
-                DaemonAnswer { address, status }
+                let status = client.fetch_status(&address).await.ok();
+                DaemonReport { address, status }
             }
         })
-        .buffered(QUESTIONS)
+        .buffered(MAX_CONCURRENT_QUERIES)
         .collect()
         .await;
-    FleetStatus::compare(daemons)
+    FleetStatus::from_reports(daemons)
 }
 
 impl FleetStatus {
     /// Compares the answers of daemons.
-    pub fn compare(daemons: Vec<DaemonAnswer>) -> Self {
-        let mut findings = silent_daemons(&daemons);
-        findings.extend(version_finding(&daemons));
-        findings.extend(member_findings(&daemons));
+    pub fn from_reports(daemons: Vec<DaemonReport>) -> Self {
+        let mut findings = find_unreachable_daemons(&daemons);
+        findings.extend(find_outdated_daemons(&daemons));
+        findings.extend(find_member_conflicts(&daemons));
         Self { daemons, findings }
     }
 
     /// Returns a table for people.
     pub fn table(&self) -> Vec<String> {
-        let head = [
+        let header = [
             "daemon", "role", "version", "alive", "draining", "suspect", "gone", "more",
         ];
-        let mut rows = vec![head.map(str::to_owned).to_vec()];
-        rows.extend(self.daemons.iter().map(table_row));
-        align(&rows)
+        let mut rows = vec![header.map(str::to_owned).to_vec()];
+        rows.extend(self.daemons.iter().map(format_row));
+        align_columns(&rows)
     }
 }
 
-fn table_row(answer: &DaemonAnswer) -> Vec<String> {
-    let Some(status) = &answer.status else {
-        return vec![answer.address.clone(), "no answer".to_owned()];
+fn format_row(report: &DaemonReport) -> Vec<String> {
+    let Some(status) = &report.status else {
+        return vec![report.address.clone(), "no answer".to_owned()];
     };
     let count = |state| {
         let members = status.members.iter();
@@ -84,18 +84,18 @@
             .to_string()
     };
     vec![
-        answer.address.clone(),
-        role_name(status),
+        report.address.clone(),
+        format_role(status),
         status.version.to_string(),
         count(MemberState::Alive),
         count(MemberState::Draining),
         count(MemberState::Suspect),
         count(MemberState::Gone),
-        more_values(status),
+        format_extra_values(status),
     ]
 }
 
-fn role_name(status: &DaemonStatus) -> String {
+fn format_role(status: &DaemonStatus) -> String {
     let own = status
         .members
         .iter()
@@ -108,7 +108,7 @@
 }
 
 /// Returns the numbers that a daemon reports besides, such as flows and load.
-fn more_values(status: &DaemonStatus) -> String {
+fn format_extra_values(status: &DaemonStatus) -> String {
     let values = status.more.iter().filter_map(|(name, value)| match value {
         Value::Number(_) | Value::Bool(_) | Value::String(_) => Some(format!("{name}={value}")),
         _ => None,
@@ -116,7 +116,7 @@
     values.collect::<Vec<_>>().join(" ")
 }
 
-fn align(rows: &[Vec<String>]) -> Vec<String> {
+fn align_columns(rows: &[Vec<String>]) -> Vec<String> {
     let columns = rows.iter().map(Vec::len).max().unwrap_or(0);
     let width = |column: usize| {
         let cells = rows.iter().filter_map(|row| row.get(column));
@@ -133,55 +133,61 @@
     rows.iter().map(line).collect()
 }
 
-fn silent_daemons(daemons: &[DaemonAnswer]) -> Vec<String> {
+fn find_unreachable_daemons(daemons: &[DaemonReport]) -> Vec<String> {
     daemons
         .iter()
-        .filter(|answer| answer.status.is_none())
-        .map(|answer| format!("{} does not answer", answer.address))
+        .filter(|report| report.status.is_none())
+        .map(|report| format!("{} does not answer", report.address))
         .collect()
 }
 
-fn version_finding(daemons: &[DaemonAnswer]) -> Option<String> {
-    let versions = daemons.iter().filter_map(|answer| {
-        let version = answer.status.as_ref()?.version;
-        Some((version, answer.address.as_str()))
+fn find_outdated_daemons(daemons: &[DaemonReport]) -> Option<String> {
+    let versions = daemons.iter().filter_map(|report| {
+        let version = report.status.as_ref()?.version;
+        Some((version, report.address.as_str()))
     });
     let highest = versions.clone().map(|(version, _)| version).max()?;
-    let behind: Vec<String> = versions
+    let outdated: Vec<String> = versions
         .filter(|(version, _)| *version < highest)
         .map(|(version, address)| format!("{address} has version {version}"))
         .collect();
-    if behind.is_empty() {
+    if outdated.is_empty() {
         return None;
     }
     Some(format!(
         "version {highest} is in force, but {}",
-        name_some(&behind)
+        join_limited(&outdated)
     ))
 }
 
 /// Names the members that not all daemons see in the same state.
-fn member_findings(daemons: &[DaemonAnswer]) -> Vec<String> {
-    let statuses = daemons.iter().filter_map(|answer| answer.status.as_ref());
-    let mut seen: Vec<&MemberEntry> = statuses.clone().flat_map(|item| &item.members).collect();
-    seen.sort_by_key(|entry| (entry.process.address, entry.state));
-    seen.dedup_by_key(|entry| (entry.process.address, entry.state));
+fn find_member_conflicts(daemons: &[DaemonReport]) -> Vec<String> {
+    let statuses = daemons.iter().filter_map(|report| report.status.as_ref());
+    let mut distinct_entries: Vec<&MemberEntry> =
+        statuses.clone().flat_map(|item| &item.members).collect();
+    distinct_entries.sort_by_key(|entry| (entry.process.address, entry.state));
+    distinct_entries.dedup_by_key(|entry| (entry.process.address, entry.state));
     let mut findings = Vec::new();
-    for group in seen.chunk_by(|left, right| left.process.address == right.process.address) {
+    for group in
+        distinct_entries.chunk_by(|left, right| left.process.address == right.process.address)
+    {
         let address = group[0].process.address;
-        let knowing = statuses
+        let known_count = statuses
             .clone()
-            .filter(|status| knows(status, group[0]))
+            .filter(|status| has_member(status, group[0]))
             .count();
-        let states: Vec<String> = group.iter().map(|entry| state_name(entry.state)).collect();
+        let states: Vec<String> = group
+            .iter()
+            .map(|entry| format_state(entry.state))
+            .collect();
         if group.len() > 1 {
             findings.push(format!(
                 "{address} is {} to different daemons",
                 states.join(" and ")
             ));
-        } else if knowing < statuses.clone().count() && group[0].state != MemberState::Gone {
+        } else if known_count < statuses.clone().count() && group[0].state != MemberState::Gone {
             findings.push(format!(
-                "{address} is known to {knowing} of {} daemons",
+                "{address} is known to {known_count} of {} daemons",
                 statuses.clone().count()
             ));
         }
@@ -189,20 +195,20 @@
     findings
 }
 
-fn knows(status: &DaemonStatus, member: &MemberEntry) -> bool {
+fn has_member(status: &DaemonStatus, member: &MemberEntry) -> bool {
     let address = member.process.address;
     let members = &status.members;
     members.iter().any(|entry| entry.process.address == address)
 }
 
-fn state_name(state: MemberState) -> String {
+fn format_state(state: MemberState) -> String {
     format!("{state:?}").to_lowercase()
 }
 
-fn name_some(items: &[String]) -> String {
-    let named = items[..items.len().min(MAX_NAMED)].join(", ");
-    match items.len().saturating_sub(MAX_NAMED) {
-        0 => named,
-        more => format!("{named} and {more} more"),
+fn join_limited(items: &[String]) -> String {
+    let listed = items[..items.len().min(MAX_LISTED_ITEMS)].join(", ");
+    match items.len().saturating_sub(MAX_LISTED_ITEMS) {
+        0 => listed,
+        more => format!("{listed} and {more} more"),
     }
 }
--- a/crates/hyssopstair/tests/answers.rs
+++ b/crates/hyssopstair/tests/answers.rs
@@ -6,7 +6,7 @@
 use hyssopstair::ops::daemon::DaemonStatus;
 use hyssopstair::ops::diff::diff_text;
 use hyssopstair::ops::explain::explain_flow;
-use hyssopstair::ops::status::DaemonAnswer;
+use hyssopstair::ops::status::DaemonReport;
 use hyssopstair::ops::status::FleetStatus;
 use hyssopstair_platform::change::ChangeOutcome;
 use hyssopstair_rules::edit::LineConflict;
@@ -45,11 +45,11 @@
 
 #[test]
 fn disagreement_between_daemons_is_pointed_out() {
-    let answer = |name: &str, status| DaemonAnswer {
+    let answer = |name: &str, status| DaemonReport {
         address: name.to_owned(),
         status,
     };
-    let fleet = FleetStatus::compare(vec![
+    let fleet = FleetStatus::from_reports(vec![
         answer("a:7100", Some(status(3, &["Alive", "Alive", "Draining"]))),
         answer("b:7100", Some(status(2, &["Alive", "Suspect"]))),
         answer("c:7100", None),
@@ -113,18 +113,18 @@
         ["# version 7\nkey 1  # A\n", "key 1  # A\n", "# version x\n"].map(split_version_line);
     expect![[r##"
         [
-            EditedText {
-                base: Some(
+            EditedRules {
+                base_version: Some(
                     7,
                 ),
                 text: "key 1  # A\n",
             },
-            EditedText {
-                base: None,
+            EditedRules {
+                base_version: None,
                 text: "key 1  # A\n",
             },
-            EditedText {
-                base: None,
+            EditedRules {
+                base_version: None,
                 text: "# version x\n",
             },
         ]
--- a/crates/hyssopstair/tests/load.rs
+++ b/crates/hyssopstair/tests/load.rs
@@ -7,7 +7,7 @@
 use hyssopstair::ops::load::backends::BackendReport;
 use hyssopstair::ops::load::backends::RunRecord;
 use hyssopstair::ops::load::backends::SpreadMeasure;
-use hyssopstair::ops::load::backends::count_doubled;
+use hyssopstair::ops::load::backends::count_repeated_runs;
 use hyssopstair::ops::load::backends::sum_work;
 use hyssopstair::ops::load::compare::compare_reports;
 use hyssopstair::ops::load::workload::parse_workload;
@@ -25,7 +25,7 @@
 
 fn arrivals(rate: f64, ramp: f64, until: Duration) -> Vec<Duration> {
     let mut process = ArrivalProcess::new(7, rate, ramp);
-    std::iter::repeat_with(|| process.draw())
+    std::iter::repeat_with(|| process.next_arrival())
         .take_while(|time| *time < until)
         .collect()
 }
@@ -39,7 +39,7 @@
         .windows(2)
         .map(|pair| (pair[1] - pair[0]).as_secs_f64())
         .collect();
-    let variation = SpreadMeasure::of(&gaps).variation;
+    let variation = SpreadMeasure::from_loads(&gaps).variation;
     let result = format!("{} arrivals, gaps vary by {variation:.2}", first.len());
     expect!["5052 arrivals, gaps vary by 1.00"].assert_eq(&result);
 }
@@ -124,9 +124,9 @@
         report(&["POST /enrol/1", "GET /plan/1", "POST /enrol/2"]),
         report(&["POST /enrol/1", "GET /plan/1"]),
     ];
-    let is_once = |request: &str| request.starts_with("POST");
-    let doubled = count_doubled(&backends, is_once);
-    let work = sum_work(&backends, is_once);
+    let is_non_idempotent = |request: &str| request.starts_with("POST");
+    let doubled = count_repeated_runs(&backends, is_non_idempotent);
+    let work = sum_work(&backends, is_non_idempotent);
     expect!["1 doubled, work 8"].assert_eq(&format!("{doubled} doubled, work {work}"));
 }
 
