--- a/crates/hyssopstair/src/ops/change.rs
+++ b/crates/hyssopstair/src/ops/change.rs
@@ -98,7 +98,8 @@
 }
 
 /// Executes the steps of a change until its outcome is decided. The version of the
-/// change will be higher than `highest_version`.
+/// change will be higher than `highest_version`, the highest that any daemon has,
+/// even if the platform lost its own.
 async fn write_change(
     client: &PlatformClient,
     intent: ChangeIntent,
--- a/crates/hyssopstair/src/ops/load/backends.rs
+++ b/crates/hyssopstair/src/ops/load/backends.rs
@@ -1,4 +1,8 @@
-//! What the backend servers of a load have seen.
+//! Fetches the reports of backend servers, and evaluates which requests ran twice
+//! and how evenly the servers were used.
+//!
+//! The report of a backend server logs each request that ran there, also those whose
+//! response did not reach the caller.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,58 +16,61 @@
 use crate::error::FailureKind;
 use crate::ops::load::workload::ServiceLoad;
 
-/// Longest wait for the report of a backend server.
+/// Timeout of fetching the report of a backend server.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Weight of a request that may run once only.
+/// Work of a non-idempotent request, relative to that of an idempotent one.
 const NON_IDEMPOTENT_WORK: u64 = 2;
 
-/// One run of a request.
+/// A run of a request.
 #[derive(Debug, Clone, Deserialize)]
 pub struct RunRecord {
-    /// The method and path.
+    /// The method and path, separated by a space.
     pub request: String,
 }
 
-/// What a backend server has seen.
+/// The report of a backend server.
 #[derive(Debug, Clone, Deserialize)]
 pub struct BackendReport {
-    /// The service that it belongs to.
+    /// The service that the backend server belongs to.
     pub service: String,
-    /// All runs of requests, in order.
+    /// The runs of all requests, in the order in which they started.
     pub runs: Vec<RunRecord>,
-    /// Requests that were sent to another service.
+    /// Number of requests for another service that reached this backend server.
     pub misdelivered: u64,
-    /// Feeds that were opened.
+    /// Number of feeds that were opened.
     pub feeds: u64,
 }
 
-/// How evenly the backend servers of a service were used.
+/// How evenly the load of a service was spread over its backend servers.
 #[derive(Debug, Clone, Serialize)]
 pub struct ServiceImbalance {
-    /// The service.
+    /// The name of the service.
     pub service: String,
-    /// Runs per backend server.
+    /// The spread of the runs of requests per backend server.
     pub requests: SpreadMeasure,
-    /// Feeds per backend server.
+    /// The spread of the feeds per backend server.
     pub feeds: SpreadMeasure,
 }
 
-/// How evenly a number is spread.
+/// How evenly values are spread.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct SpreadMeasure {
-    /// Highest over mean; 0 when all are zero.
+    /// The maximum divided by the mean; 0 if all values are 0.
     pub max_over_mean: f64,
-    /// Coefficient of variation: standard deviation over mean.
+    /// The coefficient of variation: the standard deviation divided by the mean; 0
+    /// if all values are 0.
     pub variation: f64,
 }
 
-/// Asks the backend servers what they have seen. One that does not answer has
-/// an empty report when `allow_missing_reports`.
+/// Returns the reports of the backend servers of all services, in the order of the
+/// workload. If `allow_missing_reports` is set, the report of a backend server that
+/// does not answer is empty.
 ///
 /// # Errors
 ///
-/// Returns an error when one does not answer.
+/// Returns an error if a backend server does not answer and `allow_missing_reports`
+/// is not set.
 pub async fn fetch_reports(
     services: &[ServiceLoad],
     allow_missing_reports: bool,
@@ -87,7 +94,7 @@
     let context = || {
         CommandError::new(
             FailureKind::Unavailable,
-            format!("backend server {address} does not report"),
+            format!("failed to fetch the report of backend server {address}"),
         )
     };
     reqwest::Client::new()
@@ -111,8 +118,9 @@
         }
     }
 
-    /// Returns what has been seen since an earlier report. A backend server
-    /// that was started again in between has forgotten what it saw before.
+    /// Returns the part of this report that is newer than the report `before`. A
+    /// backend server that was restarted in between reports fewer runs than before;
+    /// its whole report is new.
     pub fn since(&self, before: &Self) -> Self {
         let was_restarted = self.runs.len() < before.runs.len();
         let known_runs = if was_restarted { 0 } else { before.runs.len() };
@@ -125,8 +133,8 @@
     }
 }
 
-/// Returns how often requests ran again that may run once only. `is_non_idempotent` tells
-/// by method and path.
+/// Returns the number of runs beyond the first of non-idempotent requests.
+/// `is_non_idempotent` decides by the method and path of a request.
 pub fn count_repeated_runs(
     backends: &[BackendReport],
     is_non_idempotent: impl Fn(&str) -> bool,
@@ -139,14 +147,15 @@
     pairs.filter(|pair| pair[0] == pair[1]).count() as u64
 }
 
-/// Returns the work of all runs; a request that may run once only counts twice.
+/// Returns the total work of all runs. A non-idempotent request counts as
+/// [`NON_IDEMPOTENT_WORK`], an idempotent one as 1.
 pub fn sum_work(backends: &[BackendReport], is_non_idempotent: impl Fn(&str) -> bool) -> u64 {
     requests_of(backends)
         .map(|request| request_work(is_non_idempotent(request)))
         .sum()
 }
 
-/// Returns the work of one run.
+/// Returns the work of one run of a request.
 pub fn request_work(is_non_idempotent: bool) -> u64 {
     if is_non_idempotent {
         NON_IDEMPOTENT_WORK
@@ -155,12 +164,13 @@
     }
 }
 
+/// Returns the method and path of each run on all backend servers.
 fn requests_of(backends: &[BackendReport]) -> impl Iterator<Item = &str> {
     let runs = backends.iter().flat_map(|backend| &backend.runs);
     runs.map(|run| run.request.as_str())
 }
 
-/// Measures how evenly each service was used.
+/// Returns how evenly the load of each service was spread, sorted by service name.
 pub fn measure_imbalance(backends: &[BackendReport]) -> Vec<ServiceImbalance> {
     let mut names: Vec<&str> = backends
         .iter()
@@ -188,7 +198,7 @@
 }
 
 impl SpreadMeasure {
-    /// Measures how evenly `loads` are spread.
+    /// Returns how evenly `loads` are spread.
     pub fn from_loads(loads: &[f64]) -> Self {
         let count = loads.len() as f64;
         let mean = loads.iter().sum::<f64>() / count;
--- a/crates/hyssopstair/src/ops/load/caller.rs
+++ b/crates/hyssopstair/src/ops/load/caller.rs
@@ -1,4 +1,5 @@
-//! A flow of a caller.
+//! Opens the flows of callers, which are HTTP/3 connections, and sends requests over
+//! them.
 
 use std::fs;
 use std::net::Ipv4Addr;
@@ -30,30 +31,30 @@
 use crate::error::CommandError;
 use crate::error::FailureKind;
 
-/// Time between two heartbeats of a flow.
+/// Interval of QUIC keep-alive packets on a flow.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Longest wait for a flow to open.
+/// Timeout of the handshake of a flow.
 const OPEN_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Opens flows.
+/// Opens flows to services.
 #[derive(Debug, Clone)]
 pub struct CallerConnector {
     config: ClientConfig,
 }
 
-/// Why a request or a flow has failed.
+/// The cause of a failed request or flow.
 #[derive(Debug, thiserror::Error)]
 pub enum CallerError {
-    /// The request was not sent.
+    /// The request was not sent, so it has not run.
     #[error("{0}")]
     Unsent(String),
-    /// The request was sent, in part at least, or the flow has failed.
+    /// The request was sent at least in part, or the flow failed.
     #[error("{0}")]
     Failed(String),
 }
 
-/// The stream of a request whose body is sent.
+/// The stream from which the response to a request is read.
 pub type ResponseStream = RequestStream<h3_quinn::BidiStream<Bytes>, Bytes>;
 
 /// A flow to a service.
@@ -66,21 +67,21 @@
     _endpoint: Endpoint,
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Debug)]
 pub struct FullResponse {
-    /// Status and headers.
+    /// The status and headers.
     pub head: Response<()>,
     /// The body.
     pub body: Vec<u8>,
 }
 
 impl CallerConnector {
-    /// Creates a pool of callers that trust a certificate.
+    /// Creates a connector whose callers trust the certificates of a PEM file.
     ///
     /// # Errors
     ///
-    /// Returns an error when the certificate cannot be used.
+    /// Returns an error if the file cannot be read or a certificate is invalid.
     pub fn with_root_certificate(certificate: &Path) -> Result<Self, Report<CommandError>> {
         let context = || {
             CommandError::new(
@@ -111,11 +112,12 @@
         Ok(Self { config })
     }
 
-    /// Opens a flow to a service, from an address of its own.
+    /// Opens a flow to a service, from a local port of its own.
     ///
     /// # Errors
     ///
-    /// Returns an error when the flow does not open in time.
+    /// Returns an error if the handshake fails or does not complete within
+    /// [`OPEN_TIMEOUT`].
     pub async fn connect(
         &self,
         service: &str,
@@ -148,11 +150,13 @@
 }
 
 impl CallerFlow {
-    /// Sends a request and returns its answer's head and stream.
+    /// Builds and sends a request. Returns the head of the response and the stream
+    /// from which its body is read.
     ///
     /// # Errors
     ///
-    /// Returns an error when the flow ends before the answer begins.
+    /// Returns an error if the request cannot be sent, or the flow ends before the
+    /// response begins.
     pub async fn start_request(
         &self,
         method: &str,
@@ -167,8 +171,8 @@
         self.send(request, body).await
     }
 
-    /// Returns why the flow has broken, if it has. An end that the service
-    /// announced, with no request in progress, is no break.
+    /// Returns why the flow broke, or `None` if it is open or was closed gracefully:
+    /// the service announced the end, and no request was in progress.
     pub fn failure_reason(&self) -> Option<CallerError> {
         let reason = self.connection.close_reason()?;
         if is_graceful_close(&reason) {
@@ -177,14 +181,15 @@
         Some(CallerError::Failed(reason.to_string()))
     }
 
-    /// Returns whether the service has told the caller to go elsewhere; the
-    /// request that was refused for it was not sent.
+    /// Returns whether the service is draining the flow, so that new requests need
+    /// another flow. A request that fails for this reason was not sent.
     pub fn is_draining(&self) -> bool {
         let reason = self.connection.close_reason();
         self.draining.load(Ordering::Relaxed) || reason.as_ref().is_some_and(is_graceful_close)
     }
 
-    /// Begins a request to the service; headers may be added.
+    /// Returns a builder of a request to the service, to which headers may be added.
+    /// `key` is the ticket of the request, or empty.
     pub fn request(&self, method: &str, path: &str, key: &str) -> http::request::Builder {
         Request::builder()
             .method(method)
@@ -193,11 +198,13 @@
             .header("hyssopstair-tickets", "1")
     }
 
-    /// Sends a request and returns its answer's head and stream.
+    /// Sends a request. Returns the head of the response and the stream from which
+    /// its body is read.
     ///
     /// # Errors
     ///
-    /// Returns an error when the flow ends before the answer begins.
+    /// Returns an error if the request cannot be sent, or the flow ends before the
+    /// response begins.
     pub async fn send(
         &self,
         request: Request<()>,
@@ -205,6 +212,8 @@
     ) -> Result<(Response<()>, ResponseStream), CallerError> {
         let mut sender = self.sender.clone();
         let mut stream = sender.send_request(request).await.map_err(|error| {
+            // The connection is open, so the service refused the request because it
+            // is draining the flow.
             if self.connection.close_reason().is_none() {
                 self.draining.store(true, Ordering::Relaxed);
             }
@@ -227,11 +236,12 @@
         Ok((head, stream))
     }
 
-    /// Sends a request and waits for its whole answer.
+    /// Builds and sends a request, and returns the complete response.
     ///
     /// # Errors
     ///
-    /// Returns an error when the answer does not come whole.
+    /// Returns an error if the request cannot be sent, or the flow ends before the
+    /// response is complete.
     pub async fn fetch(
         &self,
         method: &str,
@@ -244,8 +254,7 @@
     }
 }
 
-/// Returns whether a service has closed a flow after it told the caller to go
-/// elsewhere.
+/// Returns whether a service closed a flow gracefully, after it announced the end.
 fn is_graceful_close(reason: &ConnectionError) -> bool {
     const H3_NO_ERROR: u64 = 0x100;
     match reason {
@@ -254,11 +263,11 @@
     }
 }
 
-/// Reads an answer to its end.
+/// Reads the body of a response and returns the complete response.
 ///
 /// # Errors
 ///
-/// Returns an error when the answer ends before it is whole.
+/// Returns an error if the flow ends before the response is complete.
 pub async fn read_response(
     head: Response<()>,
     mut stream: ResponseStream,
@@ -270,11 +279,11 @@
     Ok(FullResponse { head, body })
 }
 
-/// Reads the next part of an answer, or nothing at its end.
+/// Returns the next chunk of the body of a response, or `None` at its end.
 ///
 /// # Errors
 ///
-/// Returns an error when the answer ends before it is whole.
+/// Returns an error if the flow ends before the response is complete.
 pub async fn read_chunk(stream: &mut ResponseStream) -> Result<Option<Bytes>, CallerError> {
     let chunk = stream
         .recv_data()
--- a/crates/hyssopstair/src/ops/load/compare.rs
+++ b/crates/hyssopstair/src/ops/load/compare.rs
@@ -1,4 +1,4 @@
-//! Sets two reports of loads side by side.
+//! Compares the numbers of two load reports.
 
 use std::fs;
 use std::path::Path;
@@ -10,7 +10,7 @@
 use crate::error::CommandError;
 use crate::error::FailureKind;
 
-/// One number of two reports.
+/// A number that appears in either report.
 #[derive(Debug, Clone, PartialEq)]
 struct ComparedNumber {
     name: String,
@@ -18,11 +18,11 @@
     after: Option<f64>,
 }
 
-/// Reads a report that `--json` has written.
+/// Reads a report that `hyssopstair load --json` wrote.
 ///
 /// # Errors
 ///
-/// Returns an error when the file is no report.
+/// Returns an error if the file cannot be read or is not valid JSON.
 pub fn read_report(path: &Path) -> Result<Value, Report<CommandError>> {
     let context = || {
         CommandError::new(
@@ -34,7 +34,8 @@
     serde_json::from_str(&text).change_context_lazy(context)
 }
 
-/// Returns lines for people with each number of both reports and its change.
+/// Returns the lines of a text table with each number of both reports and its
+/// relative change.
 pub fn compare_reports(before: &Value, after: &Value) -> Vec<String> {
     let mut numbers = Vec::new();
     collect_numbers("", before, &mut numbers, |number| &mut number.before);
@@ -47,6 +48,8 @@
     lines
 }
 
+/// Collects the numbers in `value` and its nested values. `name` is the path of
+/// `value`; `column` selects the report to which the numbers belong.
 fn collect_numbers(
     name: &str,
     value: &Value,
@@ -56,7 +59,7 @@
     match value {
         Value::Number(number) => set_number(name, number.as_f64(), numbers, column),
         Value::Object(fields) => {
-            // The samples of each second are for the plot.
+            // The samples of each second are only used by the plot.
             for (field, value) in fields.iter().filter(|(field, _)| *field != "seconds") {
                 collect_numbers(&join_name(name, field), value, numbers, column);
             }
@@ -73,6 +76,7 @@
     }
 }
 
+/// Sets a number, and keeps `numbers` sorted by name.
 fn set_number(
     name: &str,
     value: Option<f64>,
--- a/crates/hyssopstair/src/ops/load/faults.rs
+++ b/crates/hyssopstair/src/ops/load/faults.rs
@@ -1,4 +1,4 @@
-//! Breaks things by schedule.
+//! Injects the faults of a workload at their scheduled times.
 
 use std::fs;
 use std::path::Path;
@@ -13,11 +13,11 @@
 use crate::ops::load::workload::FaultPlan;
 use crate::ops::load::workload::SignalKind;
 
-/// Does one fault when its time has come; returns why it could not be done.
+/// Waits until a fault is due and injects it. `start` is the start of the load.
 ///
 /// # Errors
 ///
-/// Returns a sentence for people when the fault could not be done.
+/// Returns a message for the report if the fault could not be injected.
 pub async fn inject_fault(fault: &FaultPlan, start: Instant) -> Result<(), String> {
     let due = start + Duration::from_secs_f64(fault.at);
     tokio::time::sleep_until(due.into()).await;
@@ -45,10 +45,13 @@
     let pid: i32 = text
         .trim()
         .parse()
-        .map_err(|_| format!("{} holds no process id", pid_file.display()))?;
-    // Zero and negative ids name groups of processes.
+        .map_err(|_| format!("{} does not contain a process ID", pid_file.display()))?;
+    // An ID of 0 or below would signal a group of processes, and 1 the init process.
     if pid <= 1 {
-        return Err(format!("{} holds no id of one process", pid_file.display()));
+        return Err(format!(
+            "{} contains the process ID {pid}, which must be above 1",
+            pid_file.display()
+        ));
     }
     kill(Pid::from_raw(pid), unix_signal(kind)).map_err(|error| error.to_string())
 }
--- a/crates/hyssopstair/src/ops/load/feeds.rs
+++ b/crates/hyssopstair/src/ops/load/feeds.rs
@@ -1,4 +1,4 @@
-//! Holds feeds open.
+//! Keeps feeds open and verifies that they deliver every line.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -12,8 +12,8 @@
 use crate::ops::load::workload::FeedLoad;
 use crate::ops::load::workload::ServiceLoad;
 
-/// Holds one feed open until the load ends, and counts it as broken each time
-/// that it ends before it should. A broken feed is opened again.
+/// Keeps a feed open until the load ends. A feed that ends earlier is counted as
+/// broken and reopened.
 pub async fn keep_feed_open(
     context: LoadContext,
     service: ServiceLoad,
@@ -32,6 +32,7 @@
     }
 }
 
+/// Opens a feed and reads it for `duration`.
 async fn read_feed(context: &LoadContext, service: &ServiceLoad, name: &str, duration: Duration) {
     let flow = match context
         .connector
@@ -53,12 +54,15 @@
         }
         verify_lines(&mut stream, name).await
     };
-    // The time passes while the feed is open: that is the good end.
+    // A timeout means that the feed was open for the whole duration, as expected.
     if let Ok(Err(error)) = tokio::time::timeout(duration, reading).await {
         context.tally.record_flow_broken("feed", &error);
     }
 }
 
+/// Reads a feed and verifies that its lines carry the name of the feed and
+/// consecutive numbers from 0. Returns only with an error: if a line is wrong or the
+/// feed ends.
 async fn verify_lines(stream: &mut ResponseStream, name: &str) -> Result<(), CallerError> {
     let mut expected = 0_u64;
     let mut buffer = String::new();
@@ -72,5 +76,5 @@
             buffer = rest.to_owned();
         }
     }
-    Err(CallerError::Failed("the feed has ended".to_owned()))
+    Err(CallerError::Failed("the feed ended".to_owned()))
 }
--- a/crates/hyssopstair/src/ops/load/groups.rs
+++ b/crates/hyssopstair/src/ops/load/groups.rs
@@ -1,4 +1,4 @@
-//! Sends the requests of one group over its flows.
+//! Sends the requests of a group in turn over its flows, and reopens flows that end.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -19,32 +19,33 @@
 use crate::ops::load::workload::RequestLoad;
 use crate::ops::load::workload::ServiceLoad;
 
-/// Time between two looks at whether a flow has ended.
+/// Interval between two checks of whether a flow has ended.
 const FLOW_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What all groups of a load share.
+/// Data that all tasks of a load share.
 #[derive(Debug, Clone)]
 pub struct LoadContext {
     /// Opens flows.
     pub connector: CallerConnector,
-    /// Counts what comes of it.
+    /// Records the outcomes of requests and flows.
     pub tally: Arc<LoadTally>,
-    /// When the load starts.
+    /// The start of the load.
     pub start: Instant,
-    /// How long it lasts.
+    /// The duration of the load.
     pub duration: Duration,
-    /// Time until the full rates are reached, in seconds.
+    /// Time during which the rates increase linearly from 0, in seconds.
     pub ramp_seconds: f64,
-    /// Share of the requests that carry a sampled trace context.
+    /// Share of the requests that carry a sampled trace context, from 0 to 1.
     pub traced: f64,
-    /// Tells the requests of this load from those of an earlier one.
+    /// Random part of the names of requests and feeds, which distinguishes them from
+    /// those of earlier loads in the run logs.
     pub run_id: String,
 }
 
-/// A place for a flow, which is opened again when it ends.
+/// Holds a flow of a group, or `None` while it is not open.
 type FlowSlot = Arc<Mutex<Option<TicketFlow>>>;
 
-/// Sends the requests of one group.
+/// Opens the flows of a group, sends its requests, and waits for all outcomes.
 pub async fn run_group(context: LoadContext, service: ServiceLoad, group: RequestLoad, seed: u64) {
     let slots: Vec<FlowSlot> = (0..group.flows).map(|_| FlowSlot::default()).collect();
     let pending_flows = slots
@@ -71,6 +72,8 @@
     }
 }
 
+/// Sends the requests of a group when they are due, each in a task of its own.
+/// Returns the tasks.
 async fn send_requests(
     context: &LoadContext,
     group: &RequestLoad,
@@ -113,6 +116,7 @@
     tasks
 }
 
+/// Returns the flow for a request: the requests of a group use its flows in turn.
 fn get_flow(slots: &[FlowSlot], number: usize) -> Option<TicketFlow> {
     lock(&slots[number % slots.len()]).clone()
 }
@@ -131,7 +135,8 @@
     }
 }
 
-/// Opens a flow again when it has broken, or when its time is over.
+/// Replaces the flow of a slot whenever it breaks, the service drains it, or it
+/// reaches the age at which the workload replaces it.
 async fn maintain_flow(
     context: LoadContext,
     service: ServiceLoad,
@@ -144,12 +149,12 @@
         tokio::time::sleep(FLOW_CHECK_INTERVAL).await;
         let failure = lock(&slot).as_ref().and_then(TicketFlow::failure_reason);
         let is_draining = lock(&slot).as_ref().is_some_and(TicketFlow::is_draining);
-        let is_expired =
+        let needs_replacement =
             is_draining || max_age.is_some_and(|max_age| opened_at.elapsed() >= max_age);
         if let Some(reason) = failure {
             context.tally.record_flow_broken("flow", &reason);
             *lock(&slot) = None;
-        } else if !is_expired && lock(&slot).is_some() {
+        } else if !needs_replacement && lock(&slot).is_some() {
             continue;
         }
         open_flow(&context, &service, slot.clone()).await;
@@ -157,7 +162,7 @@
     }
 }
 
-/// Returns a W3C trace context that is sampled.
+/// Returns a random W3C trace context whose sampled flag is set.
 fn sampled_trace_context(rng: &mut StdRng) -> String {
     let trace: u128 = rng.random_range(1..u128::MAX);
     let span: u64 = rng.random_range(1..u64::MAX);
--- a/crates/hyssopstair/src/ops/load/mod.rs
+++ b/crates/hyssopstair/src/ops/load/mod.rs
@@ -1,10 +1,13 @@
-//! Asks services as callers do.
+//! Generates load: opens flows and sends requests to services as callers do.
 //!
-//! [`workload`] says what is asked and broken, [`arrivals`] when; [`caller`]
-//! holds a flow, [`groups`] and [`requests`] ask requests, [`feeds`] holds feeds
-//! open, [`faults`] breaks things. [`tally`] counts, [`backends`] asks the
-//! backend servers what they saw, [`report`] puts both together, [`plot`] draws
-//! it, and [`compare`] sets two reports side by side.
+//! - [`workload`] reads the workload file, which defines requests, feeds and faults.
+//! - [`arrivals`] computes when requests are sent.
+//! - [`caller`] opens flows and sends requests over them.
+//! - [`groups`] and [`requests`] send the requests of a group and retry them.
+//! - [`feeds`] keeps feeds open, and [`faults`] injects faults.
+//! - [`tally`] counts results, and [`backends`] fetches the run logs of the backend
+//!   servers; [`report`] combines both.
+//! - [`plot`] draws a report, and [`compare`] compares two of them.
 
 pub mod arrivals;
 pub mod backends;
@@ -38,22 +41,23 @@
 use crate::ops::load::workload::LoadWorkload;
 use crate::ops::load::workload::ServiceLoad;
 
-/// Time between two lines about progress.
+/// Interval between two progress lines.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Runs a workload and reports; `progress` is given a line each second.
+/// Runs a workload and returns its report. Calls `progress` with a line of text each
+/// [`PROGRESS_INTERVAL`].
 ///
 /// # Errors
 ///
-/// Returns an error when the certificate cannot be used, or when a backend
-/// server does not report although nothing was broken.
+/// Returns an error if the certificate cannot be used, or if a backend server does
+/// not send its report and the workload has no faults that could explain it.
 pub async fn run_load(
     workload: &LoadWorkload,
     progress: impl Fn(String) + Send + 'static,
 ) -> Result<LoadReport, Report<CommandError>> {
     let connector = CallerConnector::with_root_certificate(&workload.certificate)?;
     let allow_missing_reports = !workload.faults.is_empty();
-    let before = fetch_reports(&workload.services, allow_missing_reports).await?;
+    let reports_before = fetch_reports(&workload.services, allow_missing_reports).await?;
     let start = Instant::now();
     let tally = Arc::new(LoadTally::new(start));
     let context = LoadContext {
@@ -65,17 +69,17 @@
         traced: workload.traced,
         run_id: format!("{:08x}", rand::random::<u32>()),
     };
-    let printer = tokio::spawn(print_progress(tally.clone(), progress));
-    let faults = spawn_faults(&workload.faults, start);
-    let tasks = spawn_load_tasks(workload, &context);
-    for task in tasks {
+    let progress_task = tokio::spawn(print_progress(tally.clone(), progress));
+    let fault_tasks = spawn_faults(&workload.faults, start);
+    let load_tasks = spawn_load_tasks(workload, &context);
+    for task in load_tasks {
         let _ = task.await;
     }
-    let faults = futures::future::join_all(faults).await;
+    let faults = futures::future::join_all(fault_tasks).await;
     let faults = faults.into_iter().flatten().collect();
-    printer.abort();
-    let after = fetch_reports(&workload.services, allow_missing_reports).await?;
-    let pairs = after.iter().zip(&before);
+    progress_task.abort();
+    let reports_after = fetch_reports(&workload.services, allow_missing_reports).await?;
+    let pairs = reports_after.iter().zip(&reports_before);
     let new_reports: Vec<_> = pairs.map(|(after, before)| after.since(before)).collect();
     Ok(LoadReport::build(workload, &tally, &new_reports, faults))
 }
@@ -86,7 +90,8 @@
     for service in &workload.services {
         spawn_feeds(service, context, &mut tasks);
         for group in &service.requests {
-            // Each group has arrivals of its own.
+            // Each group has its own sequence of arrivals. The step is 2 because a
+            // group also uses the seed that follows its own, to draw trace contexts.
             seed = seed.wrapping_add(2);
             let task = groups::run_group(context.clone(), service.clone(), group.clone(), seed);
             tasks.push(tokio::spawn(task));
--- a/crates/hyssopstair/src/ops/load/plot.rs
+++ b/crates/hyssopstair/src/ops/load/plot.rs
@@ -1,4 +1,4 @@
-//! Draws a load: requests by verdict, and latencies, over time.
+//! Draws a load report: requests by verdict, and latencies, over time.
 
 use std::path::Path;
 
@@ -24,20 +24,21 @@
 use crate::ops::load::report::LoadReport;
 use crate::ops::load::tally::SecondSample;
 
-/// Width and height of the picture, in pixels.
+/// Width and height of the plot, in pixels.
 const PICTURE_SIZE_PIXELS: (u32, u32) = (960, 640);
 
-/// Room for the names of the axes, in pixels.
+/// Width reserved for the labels of the vertical axis, in pixels. The horizontal axis
+/// gets half as much.
 const AXIS_LABEL_PIXELS: u32 = 64;
 
-/// Length of the axis of time over the length of the load: the names of the
-/// lines stand on the right.
+/// Length of the time axis divided by the duration of the load. The space beyond the
+/// load holds the legend.
 const TIME_AXIS_RATIO: f64 = 1.15;
 
-/// Color of the marks of faults.
+/// Color of the lines that mark faults.
 const FAULT_COLOR: RGBColor = RGBColor(120, 120, 120);
 
-/// One line of a chart.
+/// A line of a chart.
 struct ChartLine {
     name: &'static str,
     color: RGBColor,
@@ -75,11 +76,11 @@
     },
 ];
 
-/// Writes the plot of a load to a file, as SVG.
+/// Writes the plot of a load report to a file, in SVG format.
 ///
 /// # Errors
 ///
-/// Returns an error when the file cannot be written.
+/// Returns an error if the file cannot be written.
 pub fn write_plot(path: &Path, report: &LoadReport) -> Result<(), Report<CommandError>> {
     let context = || {
         CommandError::new(
--- a/crates/hyssopstair/src/ops/load/report.rs
+++ b/crates/hyssopstair/src/ops/load/report.rs
@@ -1,4 +1,5 @@
-//! What came of a load.
+//! The report of a load, which combines the callers' counts with the run logs of the
+//! backend servers.
 
 use serde::Serialize;
 
@@ -13,31 +14,31 @@
 use crate::ops::load::tally::SecondSample;
 use crate::ops::load::workload::LoadWorkload;
 
-/// A fault that was done, or why it was not.
+/// The result of injecting a fault.
 #[derive(Debug, Clone, Serialize)]
 pub struct FaultRecord {
-    /// The name.
+    /// The name of the fault.
     pub name: String,
-    /// When, in seconds after the start.
+    /// When the fault was due, in seconds after the start.
     pub at: f64,
-    /// Why it could not be done.
+    /// Why the fault could not be injected, or `None` if it was.
     pub error: Option<String>,
 }
 
-/// What came of a load.
+/// The report of a load. Its JSON form is compared by `hyssopstair load --compare`.
 #[derive(Debug, Clone, Serialize)]
 pub struct LoadReport {
-    /// The counts.
+    /// The counts of requests and flows.
     #[serde(flatten)]
     pub counts: LoadCounts,
-    /// Runs beyond the first of requests that may run once only.
+    /// Runs beyond the first of non-idempotent requests.
     pub doubled: u64,
-    /// Requests that reached a wrong service.
+    /// Requests that reached a backend server of the wrong service.
     pub wrong_service: u64,
-    /// Work of all runs over the work of all completed requests; a request that
-    /// may run once only counts twice.
+    /// The work of all runs divided by the work of all requests that are done. A
+    /// non-idempotent request counts twice.
     pub service_per_completed: f64,
-    /// How evenly each service was used.
+    /// How evenly the load of each service was spread over its backend servers.
     pub imbalance: Vec<ServiceImbalance>,
     /// Median latency in milliseconds.
     pub p50_millis: f64,
@@ -45,16 +46,17 @@
     pub p99_millis: f64,
     /// 99.9th percentile of the latency in milliseconds.
     pub p999_millis: f64,
-    /// The faults.
+    /// The results of injecting the faults.
     pub faults: Vec<FaultRecord>,
-    /// What came of the requests that were due in each second.
+    /// The outcomes of the requests, by the second in which they were due.
     pub seconds: Vec<SecondSample>,
-    /// The first errors.
+    /// The first error messages.
     pub errors: Vec<String>,
 }
 
 impl LoadReport {
-    /// Puts the counts and the backend servers' logs together.
+    /// Builds the report from the tally, the reports of the backend servers since the
+    /// start of the load, and the results of the faults.
     pub fn build(
         workload: &LoadWorkload,
         tally: &LoadTally,
@@ -81,8 +83,9 @@
         }
     }
 
-    /// Returns whether nothing broke, ran twice or went astray, and every fault
-    /// was done.
+    /// Returns whether no flow broke or was refused, no response was wrong, no
+    /// non-idempotent request ran twice, no request reached the wrong service, and
+    /// every fault was injected.
     pub fn is_clean(&self) -> bool {
         self.counts.flows_broken == 0
             && self.counts.flows_refused == 0
@@ -92,12 +95,12 @@
             && self.faults.iter().all(|fault| fault.error.is_none())
     }
 
-    /// Returns the report as one line of JSON.
+    /// Returns the report as a single line of JSON.
     pub fn json(&self) -> String {
         serde_json::to_string(self).unwrap_or_default()
     }
 
-    /// Returns the report as lines for people.
+    /// Returns the report as lines of text.
     pub fn table(&self) -> Vec<String> {
         let counts = &self.counts;
         let mut lines = vec![
@@ -124,7 +127,8 @@
     }
 }
 
-/// Returns whether a request of a run log may run once only.
+/// Returns whether a request of a run log, given by its method and path, belongs to a
+/// group of non-idempotent requests.
 fn is_non_idempotent(workload: &LoadWorkload, request: &str) -> bool {
     let groups = workload.services.iter().flat_map(|item| &item.requests);
     groups.filter(|group| !group.is_idempotent()).any(|group| {
--- a/crates/hyssopstair/src/ops/load/requests.rs
+++ b/crates/hyssopstair/src/ops/load/requests.rs
@@ -1,8 +1,10 @@
-//! Asks one request.
+//! Sends one request, retries it and records its outcome.
 //!
-//! A request that changes something carries a ticket. Tickets come with
-//! answers, belong to the flow that they came on, and are used once; after a
-//! lost answer the same ticket is shown again on another flow.
+//! A non-idempotent request carries a ticket, which lets it run at most once.
+//! Tickets arrive in headers of responses, belong to the flow on which they arrived,
+//! and are used for one request. If a response is lost, the request is retried with
+//! the same ticket on another flow: the host there asks the issuer of the ticket
+//! whether the request has run.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -21,22 +23,23 @@
 use crate::ops::load::tally::LoadTally;
 use crate::ops::load::workload::RequestLoad;
 
-/// Body of a request that changes something.
+/// Body of a `POST` request.
 const REQUEST_BODY: &[u8] = b"one registration";
 
-/// Request header that gives the time that a caller waits, in milliseconds.
+/// Request header with the time that a caller waits, in milliseconds.
 const DEADLINE_HEADER: &str = "hyssopstair-deadline";
 
-/// Request header that carries the W3C trace context.
+/// Request header with the W3C trace context.
 const TRACE_HEADER: &str = "traceparent";
 
-/// Time after the deadline in which a final answer may still arrive.
+/// How long a caller waits beyond the deadline, so that a response that is sent at
+/// the deadline still arrives.
 const DEADLINE_GRACE: Duration = Duration::from_millis(500);
 
-/// Tries of one request, the first one included.
+/// Maximum number of times that a request is sent.
 const MAX_ATTEMPTS: usize = 4;
 
-/// A flow and the tickets that came on it.
+/// A flow and the unused tickets that arrived on it.
 #[derive(Clone)]
 pub struct TicketFlow {
     flow: CallerFlow,
@@ -52,17 +55,19 @@
         }
     }
 
-    /// Returns why the flow has ended, if it has.
+    /// Returns why the flow broke, or `None` if it is open or was closed gracefully.
     pub fn failure_reason(&self) -> Option<CallerError> {
         self.flow.failure_reason()
     }
 
-    /// Returns whether the service has told the caller to go elsewhere.
+    /// Returns whether the service is draining the flow, so that new requests need
+    /// another flow.
     pub fn is_draining(&self) -> bool {
         self.flow.is_draining()
     }
 
-    /// Sends a request with its deadline and trace, and waits for the answer.
+    /// Sends a request with its deadline and trace context, and returns the complete
+    /// response.
     async fn send_request(&self, request: &LoadRequest) -> Result<FullResponse, CallerError> {
         let mut builder = self
             .flow
@@ -80,12 +85,14 @@
         read_response(head, stream).await
     }
 
-    /// Returns a ticket, or an empty text when there is none yet.
+    /// Returns an unused ticket, or an empty string if there is none. The service
+    /// rejects a request without a ticket with status 428 and issues a ticket.
     fn take_ticket(&self) -> String {
         let mut tickets = self.tickets.lock().unwrap_or_else(PoisonError::into_inner);
         tickets.pop().unwrap_or_default()
     }
 
+    /// Stores the tickets that a response carries.
     fn store_tickets(&self, response: &FullResponse) {
         let mut tickets = self.tickets.lock().unwrap_or_else(PoisonError::into_inner);
         let new_tickets = response.head.headers().get_all(TICKET_HEADER).iter();
@@ -93,7 +100,7 @@
     }
 }
 
-/// One request of a caller.
+/// The content of a request.
 struct LoadRequest {
     method: String,
     path: String,
@@ -103,22 +110,22 @@
     trace: Option<String>,
 }
 
-/// A request that is due.
+/// A request to send, and when it is due.
 #[derive(Debug)]
 pub struct RequestPlan {
-    /// The group that it belongs to.
+    /// The group that the request belongs to.
     pub group: RequestLoad,
-    /// A name unlike that of any other request, so that the run logs of the
-    /// backend servers show whether it ran twice.
+    /// A unique name, by which the run logs of the backend servers show whether the
+    /// request ran twice.
     pub name: String,
-    /// When it is sent.
+    /// When the request is due; latency is measured from this time.
     pub due: Instant,
-    /// Its trace context.
+    /// The trace context, if the request is traced.
     pub trace: Option<String>,
 }
 
-/// Asks one request and counts what comes of it; its latency counts from the
-/// time when it was due.
+/// Sends a request over `flow`, retries it over `fallback` if needed, and records its
+/// outcome in `tally`.
 pub async fn run_request(
     flow: TicketFlow,
     fallback: TicketFlow,
@@ -141,7 +148,7 @@
         } else {
             match flow.send_request(&request).await {
                 Ok(response) => Ok(response),
-                // Asking again changes nothing.
+                // An idempotent request may be sent again without a ticket.
                 Err(_) => fallback.send_request(&request).await,
             }
         }
@@ -149,7 +156,9 @@
     let response = match plan.group.deadline_millis {
         Some(millis) => {
             let wait = Duration::from_millis(millis) + DEADLINE_GRACE;
-            let deadline_error = Err(CallerError::Failed("no answer at the deadline".to_owned()));
+            let deadline_error = Err(CallerError::Failed(
+                "no response before the deadline".to_owned(),
+            ));
             tokio::time::timeout(wait, attempts)
                 .await
                 .unwrap_or(deadline_error)
@@ -165,7 +174,9 @@
     }
 }
 
-/// Asks until the request has run, was refused, or nobody knows.
+/// Sends a non-idempotent request with a ticket, up to [`MAX_ATTEMPTS`] times.
+/// Returns the first response that does not ask for a ticket, or else the result of
+/// the last attempt.
 async fn send_with_ticket(
     flow: &TicketFlow,
     fallback: &TicketFlow,
@@ -184,18 +195,22 @@
                 }
                 request.key = flow.take_ticket();
             }
-            // The ticket is unused, and its issuer leaves: take another.
+            // The ticket was not used, but the flow of its issuer is draining: the
+            // other flow needs a ticket of its own.
             Err(CallerError::Unsent(_)) => {
                 flow = fallback;
                 request.key = flow.take_ticket();
             }
-            // The answer is lost: another host asks the issuer of the ticket.
+            // The request may have run: the host of the other flow asks the issuer
+            // of the ticket.
             Err(CallerError::Failed(_)) => flow = fallback,
         }
     }
     result
 }
 
+/// Returns whether a response is the expected one for the request. Responses with a
+/// status other than 200 have no content that could be compared and are accepted.
 fn is_expected(request: &LoadRequest, response: &FullResponse) -> bool {
     if response.head.status() != StatusCode::OK {
         return true;
--- a/crates/hyssopstair/src/ops/load/tally.rs
+++ b/crates/hyssopstair/src/ops/load/tally.rs
@@ -1,4 +1,4 @@
-//! Counts while a load runs.
+//! Records the outcomes of requests and flows while a load runs.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -13,43 +13,43 @@
 use crate::ops::load::caller::CallerError;
 use crate::ops::load::caller::FullResponse;
 
-/// Digits of a latency that are kept.
+/// Number of significant decimal digits of a recorded latency.
 const LATENCY_SIGNIFICANT_DIGITS: u8 = 3;
 
-/// Errors that are kept.
+/// Number of error messages that are recorded; later ones are dropped.
 const MAX_RECORDED_ERRORS: usize = 5;
 
-/// Counts of one load.
+/// The counts of a load.
 #[derive(Debug, Clone, Copy, Default, Serialize)]
 pub struct LoadCounts {
-    /// Requests that were due.
+    /// Requests that were due, including those that could not be sent.
     pub requests_asked: u64,
-    /// Requests whose whole answer came.
+    /// Requests that ran and whose complete response arrived.
     pub done: u64,
-    /// Of these, the ones that may run once only.
+    /// The part of `done` that is not idempotent.
     pub done_once: u64,
-    /// Requests that were refused before they ran.
+    /// Requests that were rejected or not sent, and so did not run.
     pub not_run: u64,
-    /// Requests of which nobody knows.
+    /// Requests of which it is unknown whether they ran.
     pub may_have_run: u64,
-    /// Answers that were not the request's own.
+    /// Responses that do not belong to their request.
     pub wrong_answers: u64,
-    /// Flows that opened.
+    /// Flows that were opened.
     pub flows_opened: u64,
     /// Flows that could not be opened.
     pub flows_refused: u64,
-    /// Flows that ended before their time.
+    /// Flows that ended unexpectedly.
     pub flows_broken: u64,
 }
 
-/// What came of the requests that were due in one second.
+/// The outcomes of the requests that were due in one second.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct SecondSample {
-    /// Requests whose whole answer came.
+    /// Requests that ran and whose complete response arrived.
     pub done: u64,
-    /// Requests that were refused before they ran.
+    /// Requests that were rejected or not sent, and so did not run.
     pub not_run: u64,
-    /// Requests of which nobody knows.
+    /// Requests of which it is unknown whether they ran.
     pub may_have_run: u64,
     /// Median latency in milliseconds.
     pub p50_millis: f64,
@@ -71,7 +71,7 @@
     errors: Vec<String>,
 }
 
-/// What is known of one request.
+/// What is known about whether a request ran.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum RequestOutcome {
     Done,
@@ -79,7 +79,7 @@
     MayHaveRun,
 }
 
-/// Counts while a load runs.
+/// Records the outcomes of requests and flows. Shared by the tasks of a load.
 #[derive(Debug)]
 pub struct LoadTally {
     start: Instant,
@@ -87,7 +87,7 @@
 }
 
 impl LoadTally {
-    /// Creates counts of a load that starts at `start`.
+    /// Creates an empty tally of a load that starts at `start`.
     pub fn new(start: Instant) -> Self {
         Self {
             start,
@@ -104,22 +104,23 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns the counts so far.
+    /// Returns the current counts.
     pub fn counts(&self) -> LoadCounts {
         self.lock().counts
     }
 
-    /// Returns the first errors.
+    /// Returns the first error messages.
     pub fn errors(&self) -> Vec<String> {
         self.lock().errors.clone()
     }
 
-    /// Returns the latency in milliseconds that a share of the answers kept to.
+    /// Returns a quantile, from 0 to 1, of the latency of the requests that are
+    /// done, in milliseconds.
     pub fn latency_millis(&self, quantile: f64) -> f64 {
         quantile_millis(&self.lock().latency, quantile)
     }
 
-    /// Returns what came of the requests, by the second in which each was due.
+    /// Returns the outcomes of the requests, by the second in which they were due.
     pub fn seconds(&self) -> Vec<SecondSample> {
         let state = self.lock();
         let samples = state.seconds.iter().map(|second| SecondSample {
@@ -130,26 +131,28 @@
         samples.collect()
     }
 
-    /// Counts a flow that opened.
+    /// Counts a flow that was opened.
     pub fn record_flow_opened(&self) {
         self.lock().counts.flows_opened += 1;
     }
 
-    /// Counts a flow that could not be opened.
+    /// Counts a flow that could not be opened, and records the error.
     pub fn record_flow_refused(&self, error: &CallerError) {
         let mut state = self.lock();
         state.counts.flows_refused += 1;
         state.record_error(format!("open: {error}"));
     }
 
-    /// Counts a flow that ended before its time.
+    /// Counts a flow that ended unexpectedly, and records the error. `part` is the
+    /// prefix of the error message: `flow` or `feed`.
     pub fn record_flow_broken(&self, part: &str, error: &CallerError) {
         let mut state = self.lock();
         state.counts.flows_broken += 1;
         state.record_error(format!("{part}: {error}"));
     }
 
-    /// Counts a request that was answered; its latency counts from `due`.
+    /// Counts a request that got a response. Its latency is measured from `due` to
+    /// this call, and its outcome is the verdict in the header of the response.
     pub fn record_response(
         &self,
         response: &FullResponse,
@@ -174,11 +177,11 @@
         }
         if !is_expected {
             state.counts.wrong_answers += 1;
-            state.record_error("request: the answer is another's".to_owned());
+            state.record_error("request: the response belongs to another request".to_owned());
         }
     }
 
-    /// Counts a request that got no answer.
+    /// Counts a request that got no response, and records the error.
     pub fn record_failure(&self, error: &CallerError, due: Instant) {
         let outcome = match error {
             CallerError::Unsent(_) => RequestOutcome::NotRun,
@@ -189,7 +192,7 @@
         state.record_error(format!("request: {error}"));
     }
 
-    /// Counts a request that was due and could not be sent.
+    /// Counts a request that was due but could not be sent, and records the reason.
     pub fn record_unsent(&self, due: Instant, reason: &str) {
         let mut state = self.lock();
         state.record_outcome(
@@ -200,6 +203,7 @@
         state.record_error(format!("request: {reason}"));
     }
 
+    /// Returns the number of whole seconds between the start of the load and `due`.
     fn second_index(&self, due: Instant) -> usize {
         due.saturating_duration_since(self.start).as_secs() as usize
     }
--- a/crates/hyssopstair/src/ops/load/workload.rs
+++ b/crates/hyssopstair/src/ops/load/workload.rs
@@ -1,4 +1,4 @@
-//! The workload file; see `docs/reference/workload.md`.
+//! Reads and validates the workload file; `docs/reference/workload.md` describes it.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -12,82 +12,84 @@
 use crate::error::CommandError;
 use crate::error::FailureKind;
 
-/// What is asked.
+/// The content of a workload file.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LoadWorkload {
-    /// How long, in seconds.
+    /// The duration of the load, in seconds.
     pub seconds: f64,
-    /// Seed of arrivals and of the choice of traced requests.
+    /// Seed of the arrival times and of the choice of traced requests.
     #[serde(default)]
     pub seed: u64,
-    /// Time until the full rates are reached, in seconds.
+    /// Time during which the rates increase linearly from 0, in seconds.
     #[serde(default)]
     pub ramp_seconds: f64,
     /// Share of the requests that carry a sampled trace context, from 0 to 1.
     #[serde(default)]
     pub traced: f64,
-    /// Certificate that callers trust, in PEM.
+    /// File with the root certificate that callers trust, in PEM format.
     pub certificate: PathBuf,
-    /// The services that are asked.
+    /// The services to which load is sent.
     pub services: Vec<ServiceLoad>,
-    /// What is broken on purpose, and when.
+    /// Faults that are injected during the load.
     #[serde(default)]
     pub faults: Vec<FaultPlan>,
 }
 
-/// What is asked of one service.
+/// The load on one service.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceLoad {
     /// The name of the service.
     pub name: String,
-    /// Where callers send to.
+    /// The address to which callers send packets.
     pub address: SocketAddr,
-    /// Feeds that are held open to the end, each on a flow of its own.
+    /// Number of feeds that stay open until the end, each on its own flow.
     #[serde(default)]
     pub feeds: u32,
-    /// More feeds, in groups.
+    /// Further feeds, in groups that may reopen them.
     #[serde(default)]
     pub feed_groups: Vec<FeedLoad>,
-    /// Requests, in groups.
+    /// Groups of requests.
     #[serde(default)]
     pub requests: Vec<RequestLoad>,
-    /// Addresses of backend servers that are asked for their run logs.
+    /// Addresses of the backend servers from which run logs are fetched.
     #[serde(default)]
     pub backends: Vec<SocketAddr>,
 }
 
-/// Feeds of one kind.
+/// A group of feeds.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FeedLoad {
-    /// How many are held open.
+    /// Number of feeds that are open at the same time.
     pub count: u32,
-    /// Time after which a feed is closed and opened again, in seconds.
+    /// Time after which a feed is closed and reopened, in seconds. By default, feeds
+    /// stay open until the end.
     #[serde(default)]
     pub reconnect_seconds: Option<f64>,
 }
 
-/// Requests of one kind.
+/// A group of requests.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RequestLoad {
     /// The method, `GET` or `POST`.
     pub method: String,
-    /// The path; a number is appended.
+    /// The path, to which a unique name is appended.
     pub path: String,
-    /// Requests per second on average; their arrivals are a Poisson process.
+    /// Mean number of requests per second; their arrivals are a Poisson process.
     pub rate: f64,
-    /// Flows that the requests are spread over.
+    /// Number of flows over which the requests are sent in turn.
     pub flows: u32,
-    /// Whether a request may run more than once; by default a `GET` may.
+    /// Whether a request may run more than once. By default, only a `GET` may.
     #[serde(default)]
     pub idempotent: Option<bool>,
-    /// Time that a caller waits for an answer, in milliseconds.
+    /// Deadline that is sent with each request, in milliseconds after it is sent.
     #[serde(default)]
     pub deadline_millis: Option<u64>,
-    /// Time after which a flow is replaced by a new one, in seconds.
+    /// Time after which a flow is replaced by a new one, in seconds. By default,
+    /// flows stay open until the end.
     #[serde(default)]
     pub reconnect_seconds: Option<f64>,
 }
@@ -99,58 +101,60 @@
     }
 }
 
-/// Something that is broken on purpose.
+/// A fault to inject.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FaultPlan {
-    /// When, in seconds after the start.
+    /// When the fault is injected, in seconds after the start.
     pub at: f64,
-    /// Its name in the plot and the report.
+    /// Name of the fault in the plot and the report.
     pub name: String,
-    /// What is done.
+    /// How the fault is injected.
     #[serde(flatten)]
     pub action: FaultAction,
 }
 
-/// What is done to break something.
+/// How a fault is injected.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultAction {
-    /// JSON is sent to a stand-in.
+    /// Sends a POST request with a JSON body, for example to a simulated backend
+    /// server whose behaviour changes as a result.
     Post {
-        /// Where to.
+        /// The URL.
         url: String,
         /// The JSON text.
         body: String,
     },
-    /// A signal is sent to a process.
+    /// Sends a signal to a process.
     Signal {
         /// The signal.
         kind: SignalKind,
-        /// A file that holds the process id.
+        /// File that contains the process ID.
         pid_file: PathBuf,
     },
 }
 
-/// A signal that a workload may send.
+/// A signal that a fault may send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum SignalKind {
-    /// Ends the process at once.
+    /// Kills the process (SIGKILL).
     Kill,
-    /// Asks the process to stop.
+    /// Requests the process to terminate (SIGTERM).
     Terminate,
-    /// Freezes the process.
+    /// Suspends the process (SIGSTOP).
     Stop,
-    /// Lets a frozen process go on.
+    /// Resumes a suspended process (SIGCONT).
     Continue,
 }
 
-/// Reads a workload file.
+/// Reads and validates a workload file.
 ///
 /// # Errors
 ///
-/// Returns an error that names line and field of the first mistake.
+/// Returns an error if the file cannot be read or is invalid; it names the line or
+/// field of the first mistake.
 pub fn read_workload(path: &Path) -> Result<LoadWorkload, Report<CommandError>> {
     let context = || {
         CommandError::new(
@@ -164,29 +168,30 @@
         .change_context_lazy(context)
 }
 
-/// Why a workload cannot be used.
+/// The first mistake found in a workload.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum WorkloadError {
-    /// The text is no workload.
+    /// The text is not valid YAML, or a field is unknown, missing or of the wrong
+    /// type.
     #[error("{0}")]
     Syntax(String),
-    /// A number is out of its range.
+    /// A number is out of range.
     #[error("field \"{field}\" is {value}, expected {expected}")]
     Range {
-        /// The field.
+        /// The name of the field.
         field: &'static str,
-        /// Its value.
+        /// The value of the field.
         value: f64,
-        /// What may stand there.
+        /// The valid values, as text.
         expected: &'static str,
     },
 }
 
-/// Reads a workload.
+/// Parses and validates the text of a workload file.
 ///
 /// # Errors
 ///
-/// Returns an error that names line or field of the first mistake.
+/// Returns an error for the first mistake, which names its line or field.
 pub fn parse_workload(text: &str) -> Result<LoadWorkload, WorkloadError> {
     let workload: LoadWorkload =
         serde_saphyr::from_str(text).map_err(|error| WorkloadError::Syntax(error.to_string()))?;
--- a/crates/hyssopstair/tests/load.rs
+++ b/crates/hyssopstair/tests/load.rs
@@ -1,4 +1,4 @@
-//! The parts of the load tool.
+//! Tests the parts of `hyssopstair load` that need no fleet.
 
 use std::time::Duration;
 
@@ -23,18 +23,19 @@
       - {method: POST, path: /work/enrol, rate: 100, flows: 70}
 ";
 
-fn arrivals(rate: f64, ramp: f64, until: Duration) -> Vec<Duration> {
-    let mut process = ArrivalProcess::new(7, rate, ramp);
+fn arrivals(rate: f64, ramp_seconds: f64, until: Duration) -> Vec<Duration> {
+    let mut process = ArrivalProcess::new(7, rate, ramp_seconds);
     std::iter::repeat_with(|| process.next_arrival())
         .take_while(|time| *time < until)
         .collect()
 }
 
 #[test]
-fn arrivals_are_the_same_for_a_seed_and_keep_the_rate() {
+fn arrivals_depend_only_on_seed_and_match_rate() {
     let first = arrivals(50.0, 0.0, Duration::from_secs(100));
     assert_eq!(first, arrivals(50.0, 0.0, Duration::from_secs(100)));
-    // A Poisson process of 5,000 arrivals: its variation of gaps is about 1.
+    // About 5,000 arrivals of a Poisson process: the coefficient of variation of the
+    // gaps is about 1.
     let gaps: Vec<f64> = first
         .windows(2)
         .map(|pair| (pair[1] - pair[0]).as_secs_f64())
@@ -45,17 +46,17 @@
 }
 
 #[test]
-fn arrivals_grow_during_the_ramp() {
+fn arrival_rate_grows_during_ramp() {
     let times = arrivals(100.0, 4.0, Duration::from_secs(6));
     let counts = [0, 1, 2, 3, 4, 5].map(|second| {
-        let of_second = times.iter().filter(|time| time.as_secs() == second);
-        of_second.count()
+        let arrivals = times.iter().filter(|time| time.as_secs() == second);
+        arrivals.count()
     });
     expect!["[13, 36, 58, 95, 100, 93]"].assert_eq(&format!("{counts:?}"));
 }
 
 #[test]
-fn a_wrong_workload_names_the_field() {
+fn invalid_workload_error_names_field() {
     let cases = [
         WORKLOAD.replace("rate: 100", "rate: 0"),
         WORKLOAD.replace("rate: 100", "speed: 100"),
@@ -75,7 +76,7 @@
 }
 
 #[test]
-fn a_fault_is_a_post_or_a_signal() {
+fn faults_are_parsed_as_post_or_signal() {
     let text = format!(
         "{WORKLOAD}faults:
   - {{at: 1, name: slow, post: {{url: \"http://127.0.0.1:1/behaviour\", body: \"{{}}\"}}}}
@@ -119,29 +120,29 @@
 }
 
 #[test]
-fn a_request_that_ran_on_two_backend_servers_is_doubled() {
+fn request_that_ran_on_two_backend_servers_counts_as_repeated() {
     let backends = [
         report(&["POST /enrol/1", "GET /plan/1", "POST /enrol/2"]),
         report(&["POST /enrol/1", "GET /plan/1"]),
     ];
     let is_non_idempotent = |request: &str| request.starts_with("POST");
-    let doubled = count_repeated_runs(&backends, is_non_idempotent);
+    let repeated = count_repeated_runs(&backends, is_non_idempotent);
     let work = sum_work(&backends, is_non_idempotent);
-    expect!["1 doubled, work 8"].assert_eq(&format!("{doubled} doubled, work {work}"));
+    expect!["1 repeated, work 8"].assert_eq(&format!("{repeated} repeated, work {work}"));
 }
 
 #[test]
-fn a_report_counts_from_the_start_of_the_load() {
+fn report_excludes_runs_before_the_load() {
     let before = report(&["GET /plan/1"]);
     let later = report(&["GET /plan/1", "GET /plan/2"]);
     let restarted = report(&[]);
-    let seen = [later.since(&before), restarted.since(&before)];
-    let counts = seen.map(|report| report.runs.len());
+    let new_reports = [later.since(&before), restarted.since(&before)];
+    let counts = new_reports.map(|report| report.runs.len());
     expect!["[1, 0]"].assert_eq(&format!("{counts:?}"));
 }
 
 #[test]
-fn two_reports_are_compared_number_by_number() {
+fn compare_lists_each_number_of_both_reports() {
     let before = json!({"done": 100, "flows_broken": 0, "seconds": [{"done": 1}],
         "imbalance": [{"service": "leerplein", "requests": {"max_over_mean": 1.5}}]});
     let after = json!({"done": 90, "flows_broken": 2, "p50_millis": 3.5,
