--- a/crates/hyssopstair/src/ops/change_report.rs
+++ b/crates/hyssopstair/src/ops/change_report.rs
@@ -1,4 +1,4 @@
-//! Says what came of a change that is not in force.
+//! Describes the outcome of a change that did not take effect.
 
 use hyssopstair_platform::change::ChangeOutcome;
 use hyssopstair_rules::edit::LineConflict;
@@ -7,15 +7,16 @@
 use crate::error::CommandError;
 use crate::error::FailureKind;
 
-/// Returns the error of a change that was not written, or may not have been.
+/// Returns the error for the outcome of a change. It says whether the change was
+/// written and what the operator can do.
 pub fn describe_outcome(outcome: &ChangeOutcome) -> CommandError {
     match outcome {
         ChangeOutcome::Conflict { version, lines } => CommandError::new(
             FailureKind::Finding,
             format!(
-                "nothing is written: version {version} changes the same lines; edit what \
-                 \"hyssopstair show\" prints and apply that\n{}",
-                conflict_diff(lines)
+                "nothing was written: version {version} changes the same lines; edit the output \
+                 of \"hyssopstair show\" and apply it\n{}",
+                format_conflicts(lines)
             ),
         ),
         ChangeOutcome::Invalid {
@@ -25,20 +26,21 @@
         } => CommandError::new(
             FailureKind::Finding,
             format!(
-                "nothing is written: merged with version {version}, the rules have mistakes\n{}",
-                mistake_list(text, errors)
+                "nothing was written: the rules are invalid when merged with version \
+                 {version}\n{}",
+                format_mistakes(text, errors)
             ),
         ),
         ChangeOutcome::NotWritten => CommandError::new(
-            FailureKind::Service,
-            "nothing is written: the platform does not answer; check --platform, or try again \
-             when it does",
+            FailureKind::Unavailable,
+            "nothing was written: the platform does not answer; check --platform, or try again \
+             when the platform answers",
         ),
         ChangeOutcome::MayBeWritten { version } => CommandError::new(
-            FailureKind::Unknown,
+            FailureKind::UnknownOutcome,
             format!(
-                "version {version} may have been written: the platform gives no answer; apply \
-                 the same again when it does, which does nothing if it was"
+                "version {version} may have been written: the platform does not answer; apply \
+                 the same change again when it does (this has no effect if it was written)"
             ),
         ),
         ChangeOutcome::Written { version } | ChangeOutcome::Unchanged { version } => {
@@ -50,25 +52,25 @@
     }
 }
 
-fn conflict_diff(conflicts: &[LineConflict]) -> String {
+fn format_conflicts(conflicts: &[LineConflict]) -> String {
     let mut lines = Vec::new();
     for conflict in conflicts {
         lines.push(format!("line {}:", conflict.line));
         lines.push(format!("  before: {}", conflict.base));
-        lines.push(format!("  yours:  {}", side(&conflict.ours)));
-        lines.push(format!("  theirs: {}", side(&conflict.theirs)));
+        lines.push(format!("  yours:  {}", format_side(&conflict.ours)));
+        lines.push(format!("  theirs: {}", format_side(&conflict.theirs)));
     }
     lines.join("\n")
 }
 
-fn side(lines: &[String]) -> String {
+fn format_side(lines: &[String]) -> String {
     if lines.is_empty() {
         return "(removed)".to_owned();
     }
     lines.join("\n          ")
 }
 
-fn mistake_list(text: &str, errors: &[RuleError]) -> String {
+fn format_mistakes(text: &str, errors: &[RuleError]) -> String {
     let describe = |mistake: &RuleError| {
         let line = text.lines().nth(mistake.line - 1).unwrap_or_default();
         format!("{mistake}\n  {line}")
--- a/crates/hyssopstair/src/ops/confirm.rs
+++ b/crates/hyssopstair/src/ops/confirm.rs
@@ -1,4 +1,7 @@
-//! Waits until balancers confirm a version.
+//! Waits until daemons confirm a version of the configuration.
+//!
+//! A daemon confirms a version once it reports that this version, or a higher one,
+//! is in force.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -13,186 +16,196 @@
 use crate::ops::daemon::BalancerVersion;
 use crate::ops::daemon::DaemonClient;
 
-/// Time between two questions to those that have not confirmed.
-const CONFIRM_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval between two queries of the versions.
+const CONFIRM_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Daemons that are asked at once.
-const QUESTIONS: usize = 32;
+/// Number of daemons that are queried at the same time.
+const MAX_CONCURRENT_QUERIES: usize = 32;
 
-/// Who must confirm a version.
+/// The daemons that must confirm a version.
 #[derive(Debug)]
-pub enum ConfirmSet {
-    /// Daemons, by their admin addresses.
-    Named(Vec<String>),
-    /// Balancers, by their inner addresses, asked through other daemons.
-    Listed {
-        /// Admin addresses of the daemons that ask for us.
-        through: Vec<String>,
-        /// The balancers.
+pub enum ConfirmTargets {
+    /// Daemons that are queried directly, by their admin addresses.
+    Daemons(Vec<String>),
+    /// Balancers whose versions are queried through another daemon.
+    Balancers {
+        /// Admin addresses of daemons that report the versions of the balancers.
+        /// They are tried in order until one answers.
+        sources: Vec<String>,
+        /// Inner addresses of the balancers.
         balancers: Vec<SocketAddrV4>,
     },
 }
 
-/// A set and the highest version that any of it has.
+/// The daemons that must confirm a version, and the highest version among them.
 #[derive(Debug)]
-pub struct ConfirmPlan {
-    /// Who must confirm.
-    pub set: ConfirmSet,
-    /// The highest version in force now.
-    pub highest: u64,
+pub struct ConfirmationPlan {
+    /// The daemons that must confirm.
+    pub targets: ConfirmTargets,
+    /// The highest version that was in force on any of them when the plan was made;
+    /// 0 if none reported a version.
+    pub highest_version: u64,
 }
 
-impl ConfirmPlan {
-    /// Settles who must confirm: the named daemons, or else all balancers that
-    /// one of the daemons in `through` knows.
+impl ConfirmationPlan {
+    /// Determines who must confirm: `daemons`, or if there are none, all balancers
+    /// known to the first daemon of `sources` that answers.
     ///
     /// # Errors
     ///
-    /// Returns an error when the set is empty or no daemon answers.
-    pub async fn settle(
-        named: &[String],
-        through: &[String],
+    /// Returns an error if both lists are empty, no daemon of `sources` answers, or
+    /// the one that answers knows no balancer.
+    pub async fn resolve(
+        daemons: &[String],
+        sources: &[String],
     ) -> Result<Self, Report<CommandError>> {
-        if !named.is_empty() {
-            let known = ask_named(named).await;
+        if !daemons.is_empty() {
+            let versions = query_daemons(daemons).await;
             return Ok(Self {
-                set: ConfirmSet::Named(named.to_vec()),
-                highest: highest(&known),
+                targets: ConfirmTargets::Daemons(daemons.to_vec()),
+                highest_version: highest_version(&versions),
             });
         }
-        if through.is_empty() {
+        if sources.is_empty() {
             return Err(Report::new(CommandError::new(
-                FailureKind::Input,
-                "no balancer is named that must confirm; give --confirm ADDRESS for each, \
+                FailureKind::InvalidInput,
+                "no daemon given that must confirm the change; pass --confirm ADDRESS for each, \
                  or --daemon ADDRESS for all balancers that this daemon knows",
             )));
         }
-        let Some(known) = ask_through(through).await else {
+        let Some(versions) = query_balancers(sources).await else {
             return Err(Report::new(CommandError::new(
-                FailureKind::Service,
+                FailureKind::Unavailable,
                 format!(
-                    "nothing is written: no daemon at {} answers; give another --daemon",
-                    through.join(", ")
+                    "nothing was written: no daemon answers at {}; pass another --daemon",
+                    sources.join(", ")
                 ),
             )));
         };
-        if known.is_empty() {
+        if versions.is_empty() {
             return Err(Report::new(CommandError::new(
-                FailureKind::Service,
-                "nothing is written: the daemon knows no balancer that could confirm",
+                FailureKind::Unavailable,
+                "nothing was written: the daemon knows no balancer that could confirm the change",
             )));
         }
-        let balancers = known.iter().map(|item| item.address).collect();
+        let balancers = versions.iter().map(|item| item.address).collect();
         Ok(Self {
-            highest: known
+            highest_version: versions
                 .iter()
                 .filter_map(|item| item.version)
                 .max()
                 .unwrap_or(0),
-            set: ConfirmSet::Listed {
-                through: through.to_vec(),
+            targets: ConfirmTargets::Balancers {
+                sources: sources.to_vec(),
                 balancers,
             },
         })
     }
 
-    /// Returns how many must confirm.
-    pub fn size(&self) -> usize {
-        match &self.set {
-            ConfirmSet::Named(addresses) => addresses.len(),
-            ConfirmSet::Listed { balancers, .. } => balancers.len(),
+    /// Returns the number of daemons that must confirm.
+    pub fn expected_count(&self) -> usize {
+        match &self.targets {
+            ConfirmTargets::Daemons(addresses) => addresses.len(),
+            ConfirmTargets::Balancers { balancers, .. } => balancers.len(),
         }
     }
 
-    /// Waits until all have `version` or a higher one, and returns those that
-    /// do not have it after `wait`.
-    pub async fn wait_for(&self, version: u64, wait: Duration) -> Vec<String> {
-        let deadline = Instant::now() + wait;
+    /// Waits until all daemons report `version` or a higher one. Returns a
+    /// description of each daemon that does not after `timeout`; empty if all do.
+    pub async fn wait_until_confirmed(&self, version: u64, timeout: Duration) -> Vec<String> {
+        let deadline = Instant::now() + timeout;
         loop {
-            let missing = self.missing(version).await;
-            if missing.is_empty() || Instant::now() >= deadline {
-                return missing;
+            let unconfirmed = self.find_unconfirmed(version).await;
+            if unconfirmed.is_empty() || Instant::now() >= deadline {
+                return unconfirmed;
             }
-            tokio::time::sleep(CONFIRM_INTERVAL).await;
+            tokio::time::sleep(CONFIRM_POLL_INTERVAL).await;
         }
     }
 
-    async fn missing(&self, version: u64) -> Vec<String> {
-        match &self.set {
-            ConfirmSet::Named(addresses) => ask_named(addresses)
+    async fn find_unconfirmed(&self, version: u64) -> Vec<String> {
+        match &self.targets {
+            ConfirmTargets::Daemons(addresses) => query_daemons(addresses)
                 .await
                 .into_iter()
-                .filter(|item| item.version.is_none_or(|found| found < version))
-                .map(|item| describe(&item.address, item.version))
+                .filter(|item| {
+                    item.version
+                        .is_none_or(|reported_version| reported_version < version)
+                })
+                .map(|item| describe_version(&item.address, item.version))
                 .collect(),
-            ConfirmSet::Listed { through, balancers } => {
-                let known = ask_through(through).await.unwrap_or_default();
+            ConfirmTargets::Balancers { sources, balancers } => {
+                let versions = query_balancers(sources).await.unwrap_or_default();
                 balancers
                     .iter()
-                    .filter_map(|address| missing_balancer(*address, &known, version))
+                    .filter_map(|address| {
+                        describe_unconfirmed_balancer(*address, &versions, version)
+                    })
                     .collect()
             }
         }
     }
 }
 
-/// The version in force on a daemon that was named.
+/// The version in force on a daemon; `None` if the daemon does not answer.
 #[derive(Debug)]
-struct NamedVersion {
+struct DaemonVersion {
     address: String,
     version: Option<u64>,
 }
 
-async fn ask_named(addresses: &[String]) -> Vec<NamedVersion> {
+async fn query_daemons(addresses: &[String]) -> Vec<DaemonVersion> {
     let client = DaemonClient::new();
     stream::iter(addresses.to_vec())
         .map(|address| {
             let client = client.clone();
             async move {
-                let status = client.status(&address).await;
+                let status = client.fetch_status(&address).await;
                 let version = status.ok().map(|status| status.version);
-                NamedVersion { address, version }
+                DaemonVersion { address, version }
             }
         })
-        .buffered(QUESTIONS)
+        .buffered(MAX_CONCURRENT_QUERIES)
         .collect()
         .await
 }
 
-async fn ask_through(through: &[String]) -> Option<Vec<BalancerVersion>> {
+/// Returns the versions of all balancers known to the first daemon that answers, or
+/// `None` if no daemon answers.
+async fn query_balancers(sources: &[String]) -> Option<Vec<BalancerVersion>> {
     let client = DaemonClient::new();
-    for address in through {
-        if let Ok(versions) = client.versions(address).await {
+    for address in sources {
+        if let Ok(versions) = client.fetch_versions(address).await {
             return Some(versions);
         }
     }
     None
 }
 
-fn highest(known: &[NamedVersion]) -> u64 {
-    known
+fn highest_version(versions: &[DaemonVersion]) -> u64 {
+    versions
         .iter()
         .filter_map(|item| item.version)
         .max()
         .unwrap_or(0)
 }
 
-fn missing_balancer(
+fn describe_unconfirmed_balancer(
     address: SocketAddrV4,
-    known: &[BalancerVersion],
+    versions: &[BalancerVersion],
     version: u64,
 ) -> Option<String> {
-    let found = known
+    let reported_version = versions
         .iter()
         .find(|item| item.address == address)
         .and_then(|item| item.version);
-    match found {
-        Some(found) if found >= version => None,
-        _ => Some(describe(&address.to_string(), found)),
+    match reported_version {
+        Some(reported_version) if reported_version >= version => None,
+        _ => Some(describe_version(&address.to_string(), reported_version)),
     }
 }
 
-fn describe(address: &str, version: Option<u64>) -> String {
+fn describe_version(address: &str, version: Option<u64>) -> String {
     match version {
         Some(version) => format!("{address} (has version {version})"),
         None => format!("{address} (no answer)"),
--- a/crates/hyssopstair/src/ops/load/backends.rs
+++ b/crates/hyssopstair/src/ops/load/backends.rs
@@ -1,4 +1,8 @@
-//! What the backend servers of a load have seen.
+//! Fetches the reports of backend servers, and evaluates which requests ran twice
+//! and how evenly the servers were used.
+//!
+//! The report of a backend server logs each request that ran there, also those whose
+//! response did not reach the caller.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,68 +16,73 @@
 use crate::error::FailureKind;
 use crate::ops::load::workload::ServiceLoad;
 
-/// Longest wait for the report of a backend server.
+/// Timeout of fetching the report of a backend server.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Weight of a request that may run once only.
-const ONCE_WEIGHT: u64 = 2;
+/// Work of a non-idempotent request, relative to that of an idempotent one.
+const NON_IDEMPOTENT_WORK: u64 = 2;
 
-/// One run of a request.
+/// A run of a request.
 #[derive(Debug, Clone, Deserialize)]
 pub struct RunRecord {
-    /// The method and path.
+    /// The method and path, separated by a space.
     pub request: String,
 }
 
-/// What a backend server has seen.
+/// The report of a backend server.
 #[derive(Debug, Clone, Deserialize)]
 pub struct BackendReport {
-    /// The service that it belongs to.
+    /// The service that the backend server belongs to.
     pub service: String,
-    /// All runs of requests, in order.
+    /// The runs of all requests, in the order in which they started.
     pub runs: Vec<RunRecord>,
-    /// Requests that were sent to another service.
+    /// Number of requests for another service that reached this backend server.
     pub misdelivered: u64,
-    /// Feeds that were opened.
+    /// Number of feeds that were opened.
     pub feeds: u64,
 }
 
-/// How evenly the backend servers of a service were used.
+/// How evenly the load of a service was spread over its backend servers.
 #[derive(Debug, Clone, Serialize)]
 pub struct ServiceImbalance {
-    /// The service.
+    /// The name of the service.
     pub service: String,
-    /// Runs per backend server.
+    /// The spread of the runs of requests per backend server.
     pub requests: SpreadMeasure,
-    /// Feeds per backend server.
+    /// The spread of the feeds per backend server.
     pub feeds: SpreadMeasure,
 }
 
-/// How evenly a number is spread.
+/// How evenly values are spread.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct SpreadMeasure {
-    /// Highest over mean; 0 when all are zero.
+    /// The maximum divided by the mean; 0 if all values are 0.
     pub max_over_mean: f64,
-    /// Coefficient of variation: standard deviation over mean.
+    /// The coefficient of variation: the standard deviation divided by the mean; 0
+    /// if all values are 0.
     pub variation: f64,
 }
 
-/// Asks the backend servers what they have seen. One that does not answer has
-/// an empty report when `is_lenient`.
+/// Returns the reports of the backend servers of all services, in the order of the
+/// workload. If `allow_missing_reports` is set, the report of a backend server that
+/// does not answer is empty.
 ///
 /// # Errors
 ///
-/// Returns an error when one does not answer.
-pub async fn collect_backends(
+/// Returns an error if a backend server does not answer and `allow_missing_reports`
+/// is not set.
+pub async fn fetch_reports(
     services: &[ServiceLoad],
-    is_lenient: bool,
+    allow_missing_reports: bool,
 ) -> Result<Vec<BackendReport>, Report<CommandError>> {
     let mut reports = Vec::new();
     for service in services {
         for address in &service.backends {
-            match collect_one(*address).await {
+            match fetch_report(*address).await {
                 Ok(report) => reports.push(report),
-                Err(_) if is_lenient => reports.push(BackendReport::empty(&service.name)),
+                Err(_) if allow_missing_reports => {
+                    reports.push(BackendReport::empty(&service.name))
+                }
                 Err(error) => return Err(error),
             }
         }
@@ -81,11 +90,11 @@
     Ok(reports)
 }
 
-async fn collect_one(address: SocketAddr) -> Result<BackendReport, Report<CommandError>> {
+async fn fetch_report(address: SocketAddr) -> Result<BackendReport, Report<CommandError>> {
     let context = || {
         CommandError::new(
-            FailureKind::Service,
-            format!("backend server {address} does not report"),
+            FailureKind::Unavailable,
+            format!("failed to fetch the report of backend server {address}"),
         )
     };
     reqwest::Client::new()
@@ -109,47 +118,59 @@
         }
     }
 
-    /// Returns what has been seen since an earlier report. A backend server
-    /// that was started again in between has forgotten what it saw before.
+    /// Returns the part of this report that is newer than the report `before`. A
+    /// backend server that was restarted in between reports fewer runs than before;
+    /// its whole report is new.
     pub fn since(&self, before: &Self) -> Self {
         let was_restarted = self.runs.len() < before.runs.len();
-        let known = if was_restarted { 0 } else { before.runs.len() };
+        let known_runs = if was_restarted { 0 } else { before.runs.len() };
         Self {
             service: self.service.clone(),
-            runs: self.runs[known..].to_vec(),
+            runs: self.runs[known_runs..].to_vec(),
             misdelivered: self.misdelivered.saturating_sub(before.misdelivered),
             feeds: self.feeds.saturating_sub(before.feeds),
         }
     }
 }
 
-/// Returns how often requests ran again that may run once only. `is_once` tells
-/// by method and path.
-pub fn count_doubled(backends: &[BackendReport], is_once: impl Fn(&str) -> bool) -> u64 {
-    let mut requests: Vec<&str> = runs(backends).filter(|request| is_once(request)).collect();
+/// Returns the number of runs beyond the first of non-idempotent requests.
+/// `is_non_idempotent` decides by the method and path of a request.
+pub fn count_repeated_runs(
+    backends: &[BackendReport],
+    is_non_idempotent: impl Fn(&str) -> bool,
+) -> u64 {
+    let mut requests: Vec<&str> = requests_of(backends)
+        .filter(|request| is_non_idempotent(request))
+        .collect();
     requests.sort_unstable();
     let pairs = requests.windows(2);
     pairs.filter(|pair| pair[0] == pair[1]).count() as u64
 }
 
-/// Returns the work of all runs; a request that may run once only counts twice.
-pub fn sum_work(backends: &[BackendReport], is_once: impl Fn(&str) -> bool) -> u64 {
-    runs(backends)
-        .map(|request| work_of(is_once(request)))
+/// Returns the total work of all runs. A non-idempotent request counts as
+/// `NON_IDEMPOTENT_WORK`, an idempotent one as 1.
+pub fn sum_work(backends: &[BackendReport], is_non_idempotent: impl Fn(&str) -> bool) -> u64 {
+    requests_of(backends)
+        .map(|request| request_work(is_non_idempotent(request)))
         .sum()
 }
 
-/// Returns the work of one run.
-pub fn work_of(is_once: bool) -> u64 {
-    if is_once { ONCE_WEIGHT } else { 1 }
+/// Returns the work of one run of a request.
+pub fn request_work(is_non_idempotent: bool) -> u64 {
+    if is_non_idempotent {
+        NON_IDEMPOTENT_WORK
+    } else {
+        1
+    }
 }
 
-fn runs(backends: &[BackendReport]) -> impl Iterator<Item = &str> {
+/// Returns the method and path of each run on all backend servers.
+fn requests_of(backends: &[BackendReport]) -> impl Iterator<Item = &str> {
     let runs = backends.iter().flat_map(|backend| &backend.runs);
     runs.map(|run| run.request.as_str())
 }
 
-/// Measures how evenly each service was used.
+/// Returns how evenly the load of each service was spread, sorted by service name.
 pub fn measure_imbalance(backends: &[BackendReport]) -> Vec<ServiceImbalance> {
     let mut names: Vec<&str> = backends
         .iter()
@@ -160,23 +181,25 @@
     names
         .into_iter()
         .map(|name| {
-            let of_service = || backends.iter().filter(|backend| backend.service == name);
-            let requests: Vec<f64> = of_service()
+            let service_reports = || backends.iter().filter(|backend| backend.service == name);
+            let requests: Vec<f64> = service_reports()
                 .map(|backend| backend.runs.len() as f64)
                 .collect();
-            let feeds: Vec<f64> = of_service().map(|backend| backend.feeds as f64).collect();
+            let feeds: Vec<f64> = service_reports()
+                .map(|backend| backend.feeds as f64)
+                .collect();
             ServiceImbalance {
                 service: name.to_owned(),
-                requests: SpreadMeasure::of(&requests),
-                feeds: SpreadMeasure::of(&feeds),
+                requests: SpreadMeasure::from_loads(&requests),
+                feeds: SpreadMeasure::from_loads(&feeds),
             }
         })
         .collect()
 }
 
 impl SpreadMeasure {
-    /// Measures how evenly `loads` are spread.
-    pub fn of(loads: &[f64]) -> Self {
+    /// Returns how evenly `loads` are spread.
+    pub fn from_loads(loads: &[f64]) -> Self {
         let count = loads.len() as f64;
         let mean = loads.iter().sum::<f64>() / count;
         if loads.is_empty() || mean == 0.0 {
--- a/crates/hyssopstair/src/ops/load/caller.rs
+++ b/crates/hyssopstair/src/ops/load/caller.rs
@@ -1,4 +1,5 @@
-//! A flow of a caller.
+//! Opens the flows of callers, which are HTTP/3 connections, and sends requests over
+//! them.
 
 use std::fs;
 use std::net::Ipv4Addr;
@@ -30,31 +31,31 @@
 use crate::error::CommandError;
 use crate::error::FailureKind;
 
-/// Time between two heartbeats of a flow.
-const KEEP_ALIVE: Duration = Duration::from_secs(2);
+/// Interval of QUIC keep-alive packets on a flow.
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Longest wait for a flow to open.
+/// Timeout of the handshake of a flow.
 const OPEN_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Opens flows.
+/// Opens flows to services.
 #[derive(Debug, Clone)]
-pub struct CallerPool {
+pub struct CallerConnector {
     config: ClientConfig,
 }
 
-/// Why a request or a flow has failed.
+/// The cause of a failed request or flow.
 #[derive(Debug, thiserror::Error)]
 pub enum CallerError {
-    /// The request was not sent.
+    /// The request was not sent, so it has not run.
     #[error("{0}")]
     Unsent(String),
-    /// The request was sent, in part at least, or the flow has failed.
+    /// The request was sent at least in part, or the flow failed.
     #[error("{0}")]
-    Lost(String),
+    Failed(String),
 }
 
-/// The stream of a request whose body is sent.
-pub type AnswerStream = RequestStream<h3_quinn::BidiStream<Bytes>, Bytes>;
+/// The stream from which the response to a request is read.
+pub type ResponseStream = RequestStream<h3_quinn::BidiStream<Bytes>, Bytes>;
 
 /// A flow to a service.
 #[derive(Clone)]
@@ -62,29 +63,29 @@
     sender: SendRequest<OpenStreams, Bytes>,
     service: String,
     connection: quinn::Connection,
-    leaving: Arc<AtomicBool>,
+    draining: Arc<AtomicBool>,
     _endpoint: Endpoint,
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Debug)]
-pub struct WholeAnswer {
-    /// Status and headers.
+pub struct FullResponse {
+    /// The status and headers.
     pub head: Response<()>,
     /// The body.
     pub body: Vec<u8>,
 }
 
-impl CallerPool {
-    /// Creates a pool of callers that trust a certificate.
+impl CallerConnector {
+    /// Creates a connector whose callers trust the certificates of a PEM file.
     ///
     /// # Errors
     ///
-    /// Returns an error when the certificate cannot be used.
-    pub fn open(certificate: &Path) -> Result<Self, Report<CommandError>> {
+    /// Returns an error if the file cannot be read or a certificate is invalid.
+    pub fn with_root_certificate(certificate: &Path) -> Result<Self, Report<CommandError>> {
         let context = || {
             CommandError::new(
-                FailureKind::Input,
+                FailureKind::InvalidInput,
                 format!("failed to use certificate {}", certificate.display()),
             )
         };
@@ -105,35 +106,36 @@
         let crypto = QuicClientConfig::try_from(tls).change_context_lazy(context)?;
         let mut config = ClientConfig::new(Arc::new(crypto));
         let mut transport = TransportConfig::default();
-        transport.keep_alive_interval(Some(KEEP_ALIVE));
+        transport.keep_alive_interval(Some(KEEP_ALIVE_INTERVAL));
         transport.mtu_discovery_config(None);
         config.transport_config(Arc::new(transport));
         Ok(Self { config })
     }
 
-    /// Opens a flow to a service, from an address of its own.
+    /// Opens a flow to a service, from a local port of its own.
     ///
     /// # Errors
     ///
-    /// Returns an error when the flow does not open in time.
+    /// Returns an error if the handshake fails or does not complete within
+    /// `OPEN_TIMEOUT`.
     pub async fn connect(
         &self,
         service: &str,
         address: SocketAddr,
     ) -> Result<CallerFlow, CallerError> {
-        let failed = |error: &dyn std::fmt::Display| CallerError::Lost(error.to_string());
+        let to_error = |error: &dyn std::fmt::Display| CallerError::Failed(error.to_string());
         let endpoint = Endpoint::client(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)))
-            .map_err(|error| failed(&error))?;
+            .map_err(|error| to_error(&error))?;
         let connecting = endpoint
             .connect_with(self.config.clone(), address, service)
-            .map_err(|error| failed(&error))?;
+            .map_err(|error| to_error(&error))?;
         let connection = tokio::time::timeout(OPEN_TIMEOUT, connecting)
             .await
-            .map_err(|error| failed(&error))?
-            .map_err(|error| failed(&error))?;
+            .map_err(|error| to_error(&error))?
+            .map_err(|error| to_error(&error))?;
         let (mut driver, sender) = h3::client::new(h3_quinn::Connection::new(connection.clone()))
             .await
-            .map_err(|error| failed(&error))?;
+            .map_err(|error| to_error(&error))?;
         tokio::spawn(async move {
             let _ = futures::future::poll_fn(|context| driver.poll_close(context)).await;
         });
@@ -141,50 +143,53 @@
             sender,
             service: service.to_owned(),
             connection,
-            leaving: Arc::default(),
+            draining: Arc::default(),
             _endpoint: endpoint,
         })
     }
 }
 
 impl CallerFlow {
-    /// Sends a request and returns its answer's head and stream.
+    /// Builds and sends a request. Returns the head of the response and the stream
+    /// from which its body is read.
     ///
     /// # Errors
     ///
-    /// Returns an error when the flow ends before the answer begins.
-    pub async fn ask(
+    /// Returns an error if the request cannot be sent, or the flow ends before the
+    /// response begins.
+    pub async fn start_request(
         &self,
         method: &str,
         path: &str,
         key: &str,
         body: Bytes,
-    ) -> Result<(Response<()>, AnswerStream), CallerError> {
+    ) -> Result<(Response<()>, ResponseStream), CallerError> {
         let request = self
             .request(method, path, key)
             .body(())
-            .map_err(|error| CallerError::Lost(error.to_string()))?;
+            .map_err(|error| CallerError::Failed(error.to_string()))?;
         self.send(request, body).await
     }
 
-    /// Returns why the flow has broken, if it has. An end that the service
-    /// announced, with no request in progress, is no break.
-    pub fn end_reason(&self) -> Option<CallerError> {
+    /// Returns why the flow broke, or `None` if it is open or was closed gracefully:
+    /// the service announced the end, and no request was in progress.
+    pub fn failure_reason(&self) -> Option<CallerError> {
         let reason = self.connection.close_reason()?;
-        if is_announced(&reason) {
+        if is_graceful_close(&reason) {
             return None;
         }
-        Some(CallerError::Lost(reason.to_string()))
+        Some(CallerError::Failed(reason.to_string()))
     }
 
-    /// Returns whether the service has told the caller to go elsewhere; the
-    /// request that was refused for it was not sent.
-    pub fn is_leaving(&self) -> bool {
+    /// Returns whether the service is draining the flow, so that new requests need
+    /// another flow. A request that fails for this reason was not sent.
+    pub fn is_draining(&self) -> bool {
         let reason = self.connection.close_reason();
-        self.leaving.load(Ordering::Relaxed) || reason.as_ref().is_some_and(is_announced)
+        self.draining.load(Ordering::Relaxed) || reason.as_ref().is_some_and(is_graceful_close)
     }
 
-    /// Begins a request to the service; headers may be added.
+    /// Returns a builder of a request to the service, to which headers may be added.
+    /// `key` is the ticket of the request, or empty.
     pub fn request(&self, method: &str, path: &str, key: &str) -> http::request::Builder {
         Request::builder()
             .method(method)
@@ -193,20 +198,24 @@
             .header("hyssopstair-tickets", "1")
     }
 
-    /// Sends a request and returns its answer's head and stream.
+    /// Sends a request. Returns the head of the response and the stream from which
+    /// its body is read.
     ///
     /// # Errors
     ///
-    /// Returns an error when the flow ends before the answer begins.
+    /// Returns an error if the request cannot be sent, or the flow ends before the
+    /// response begins.
     pub async fn send(
         &self,
         request: Request<()>,
         body: Bytes,
-    ) -> Result<(Response<()>, AnswerStream), CallerError> {
+    ) -> Result<(Response<()>, ResponseStream), CallerError> {
         let mut sender = self.sender.clone();
         let mut stream = sender.send_request(request).await.map_err(|error| {
+            // The connection is open, so the service refused the request because it
+            // is draining the flow.
             if self.connection.close_reason().is_none() {
-                self.leaving.store(true, Ordering::Relaxed);
+                self.draining.store(true, Ordering::Relaxed);
             }
             CallerError::Unsent(error.to_string())
         })?;
@@ -214,39 +223,39 @@
             stream
                 .send_data(body)
                 .await
-                .map_err(|error| CallerError::Lost(error.to_string()))?;
+                .map_err(|error| CallerError::Failed(error.to_string()))?;
         }
         stream
             .finish()
             .await
-            .map_err(|error| CallerError::Lost(error.to_string()))?;
+            .map_err(|error| CallerError::Failed(error.to_string()))?;
         let head = stream
             .recv_response()
             .await
-            .map_err(|error| CallerError::Lost(error.to_string()))?;
+            .map_err(|error| CallerError::Failed(error.to_string()))?;
         Ok((head, stream))
     }
 
-    /// Sends a request and waits for its whole answer.
+    /// Builds and sends a request, and returns the complete response.
     ///
     /// # Errors
     ///
-    /// Returns an error when the answer does not come whole.
-    pub async fn ask_whole(
+    /// Returns an error if the request cannot be sent, or the flow ends before the
+    /// response is complete.
+    pub async fn fetch(
         &self,
         method: &str,
         path: &str,
         key: &str,
         body: Bytes,
-    ) -> Result<WholeAnswer, CallerError> {
-        let (head, stream) = self.ask(method, path, key, body).await?;
-        read_whole(head, stream).await
+    ) -> Result<FullResponse, CallerError> {
+        let (head, stream) = self.start_request(method, path, key, body).await?;
+        read_response(head, stream).await
     }
 }
 
-/// Returns whether a service has closed a flow after it told the caller to go
-/// elsewhere.
-fn is_announced(reason: &ConnectionError) -> bool {
+/// Returns whether a service closed a flow gracefully, after it announced the end.
+fn is_graceful_close(reason: &ConnectionError) -> bool {
     const H3_NO_ERROR: u64 = 0x100;
     match reason {
         ConnectionError::ApplicationClosed(close) => close.error_code.into_inner() == H3_NO_ERROR,
@@ -254,31 +263,31 @@
     }
 }
 
-/// Reads an answer to its end.
+/// Reads the body of a response and returns the complete response.
 ///
 /// # Errors
 ///
-/// Returns an error when the answer ends before it is whole.
-pub async fn read_whole(
+/// Returns an error if the flow ends before the response is complete.
+pub async fn read_response(
     head: Response<()>,
-    mut stream: AnswerStream,
-) -> Result<WholeAnswer, CallerError> {
+    mut stream: ResponseStream,
+) -> Result<FullResponse, CallerError> {
     let mut body = Vec::new();
     while let Some(chunk) = read_chunk(&mut stream).await? {
         body.extend_from_slice(&chunk);
     }
-    Ok(WholeAnswer { head, body })
+    Ok(FullResponse { head, body })
 }
 
-/// Reads the next part of an answer, or nothing at its end.
+/// Returns the next chunk of the body of a response, or `None` at its end.
 ///
 /// # Errors
 ///
-/// Returns an error when the answer ends before it is whole.
-pub async fn read_chunk(stream: &mut AnswerStream) -> Result<Option<Bytes>, CallerError> {
+/// Returns an error if the flow ends before the response is complete.
+pub async fn read_chunk(stream: &mut ResponseStream) -> Result<Option<Bytes>, CallerError> {
     let chunk = stream
         .recv_data()
         .await
-        .map_err(|error| CallerError::Lost(error.to_string()))?;
+        .map_err(|error| CallerError::Failed(error.to_string()))?;
     Ok(chunk.map(|mut chunk| chunk.copy_to_bytes(chunk.remaining())))
 }
--- a/crates/hyssopstair/src/ops/load/compare.rs
+++ b/crates/hyssopstair/src/ops/load/compare.rs
@@ -1,4 +1,4 @@
-//! Sets two reports of loads side by side.
+//! Compares the numbers of two load reports.
 
 use std::fs;
 use std::path::Path;
@@ -10,7 +10,7 @@
 use crate::error::CommandError;
 use crate::error::FailureKind;
 
-/// One number of two reports.
+/// A number that appears in either report.
 #[derive(Debug, Clone, PartialEq)]
 struct ComparedNumber {
     name: String,
@@ -18,15 +18,15 @@
     after: Option<f64>,
 }
 
-/// Reads a report that `--json` has written.
+/// Reads a report that `hyssopstair load --json` wrote.
 ///
 /// # Errors
 ///
-/// Returns an error when the file is no report.
+/// Returns an error if the file cannot be read or is not valid JSON.
 pub fn read_report(path: &Path) -> Result<Value, Report<CommandError>> {
     let context = || {
         CommandError::new(
-            FailureKind::Input,
+            FailureKind::InvalidInput,
             format!("failed to read report {}", path.display()),
         )
     };
@@ -34,38 +34,41 @@
     serde_json::from_str(&text).change_context_lazy(context)
 }
 
-/// Returns lines for people with each number of both reports and its change.
+/// Returns the lines of a text table with each number of both reports and its
+/// relative change.
 pub fn compare_reports(before: &Value, after: &Value) -> Vec<String> {
     let mut numbers = Vec::new();
-    collect("", before, &mut numbers, |number| &mut number.before);
-    collect("", after, &mut numbers, |number| &mut number.after);
+    collect_numbers("", before, &mut numbers, |number| &mut number.before);
+    collect_numbers("", after, &mut numbers, |number| &mut number.after);
     let mut lines = vec![format!(
         "{:<42}{:>12}{:>12}{:>10}",
         "", "before", "after", "change"
     )];
-    lines.extend(numbers.iter().map(compared_row));
+    lines.extend(numbers.iter().map(format_row));
     lines
 }
 
-fn collect(
+/// Collects the numbers in `value` and its nested values. `name` is the path of
+/// `value`; `column` selects the report to which the numbers belong.
+fn collect_numbers(
     name: &str,
     value: &Value,
     numbers: &mut Vec<ComparedNumber>,
-    side: fn(&mut ComparedNumber) -> &mut Option<f64>,
+    column: fn(&mut ComparedNumber) -> &mut Option<f64>,
 ) {
     match value {
-        Value::Number(number) => set(name, number.as_f64(), numbers, side),
+        Value::Number(number) => set_number(name, number.as_f64(), numbers, column),
         Value::Object(fields) => {
-            // The samples of each second are for the plot.
+            // The samples of each second are only used by the plot.
             for (field, value) in fields.iter().filter(|(field, _)| *field != "seconds") {
-                collect(&join(name, field), value, numbers, side);
+                collect_numbers(&join_name(name, field), value, numbers, column);
             }
         }
         Value::Array(items) => {
             for item in items {
                 let service = item["service"].as_str().unwrap_or_default();
                 if !service.is_empty() {
-                    collect(&join(name, service), item, numbers, side);
+                    collect_numbers(&join_name(name, service), item, numbers, column);
                 }
             }
         }
@@ -73,11 +76,12 @@
     }
 }
 
-fn set(
+/// Sets a number, and keeps `numbers` sorted by name.
+fn set_number(
     name: &str,
     value: Option<f64>,
     numbers: &mut Vec<ComparedNumber>,
-    side: fn(&mut ComparedNumber) -> &mut Option<f64>,
+    column: fn(&mut ComparedNumber) -> &mut Option<f64>,
 ) {
     let index = match numbers.binary_search_by(|number| number.name.as_str().cmp(name)) {
         Ok(index) => index,
@@ -91,17 +95,17 @@
             index
         }
     };
-    *side(&mut numbers[index]) = value;
+    *column(&mut numbers[index]) = value;
 }
 
-fn join(name: &str, field: &str) -> String {
+fn join_name(name: &str, field: &str) -> String {
     if name.is_empty() {
         return field.to_owned();
     }
     format!("{name} {field}")
 }
 
-fn compared_row(number: &ComparedNumber) -> String {
+fn format_row(number: &ComparedNumber) -> String {
     let change = match (number.before, number.after) {
         (Some(before), Some(after)) if before != 0.0 => {
             format!("{:+.1} %", (after / before - 1.0) * 100.0)
@@ -109,12 +113,13 @@
         (Some(before), Some(after)) if before == after => "same".to_owned(),
         _ => "-".to_owned(),
     };
-    let show = |value: Option<f64>| value.map_or("-".to_owned(), |value| format!("{value:.3}"));
+    let format_value =
+        |value: Option<f64>| value.map_or("-".to_owned(), |value| format!("{value:.3}"));
     format!(
         "{:<42}{:>12}{:>12}{:>10}",
         number.name,
-        show(number.before),
-        show(number.after),
+        format_value(number.before),
+        format_value(number.after),
         change
     )
 }
--- a/crates/hyssopstair/src/ops/load/mod.rs
+++ b/crates/hyssopstair/src/ops/load/mod.rs
@@ -1,10 +1,13 @@
-//! Asks services as callers do.
+//! Generates load: opens flows and sends requests to services as callers do.
 //!
-//! [`workload`] says what is asked and broken, [`arrivals`] when; [`caller`]
-//! holds a flow, [`groups`] and [`requests`] ask requests, [`feeds`] holds feeds
-//! open, [`faults`] breaks things. [`tally`] counts, [`backends`] asks the
-//! backend servers what they saw, [`report`] puts both together, [`plot`] draws
-//! it, and [`compare`] sets two reports side by side.
+//! - [`workload`] reads the workload file, which defines requests, feeds and faults.
+//! - [`arrivals`] computes when requests are sent.
+//! - [`caller`] opens flows and sends requests over them.
+//! - [`groups`] and [`requests`] send the requests of a group and retry them.
+//! - [`feeds`] keeps feeds open, and [`faults`] injects faults.
+//! - [`tally`] counts results, and [`backends`] fetches the run logs of the backend
+//!   servers; [`report`] combines both.
+//! - [`plot`] draws a report, and [`compare`] compares two of them.
 
 pub mod arrivals;
 pub mod backends;
@@ -27,9 +30,9 @@
 use tokio::task::JoinHandle;
 
 use crate::error::CommandError;
-use crate::ops::load::backends::collect_backends;
-use crate::ops::load::caller::CallerPool;
-use crate::ops::load::groups::LoadRun;
+use crate::ops::load::backends::fetch_reports;
+use crate::ops::load::caller::CallerConnector;
+use crate::ops::load::groups::LoadContext;
 use crate::ops::load::report::FaultRecord;
 use crate::ops::load::report::LoadReport;
 use crate::ops::load::tally::LoadTally;
@@ -38,73 +41,76 @@
 use crate::ops::load::workload::LoadWorkload;
 use crate::ops::load::workload::ServiceLoad;
 
-/// Time between two lines about progress.
+/// Interval between two progress lines.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Runs a workload and reports; `progress` is given a line each second.
+/// Runs a workload and returns its report. Calls `progress` with a line of text each
+/// `PROGRESS_INTERVAL`.
 ///
 /// # Errors
 ///
-/// Returns an error when the certificate cannot be used, or when a backend
-/// server does not report although nothing was broken.
+/// Returns an error if the certificate cannot be used, or if a backend server does
+/// not send its report and the workload has no faults that could explain it.
 pub async fn run_load(
     workload: &LoadWorkload,
     progress: impl Fn(String) + Send + 'static,
 ) -> Result<LoadReport, Report<CommandError>> {
-    let pool = CallerPool::open(&workload.certificate)?;
-    let is_lenient = !workload.faults.is_empty();
-    let before = collect_backends(&workload.services, is_lenient).await?;
+    let connector = CallerConnector::with_root_certificate(&workload.certificate)?;
+    let allow_missing_reports = !workload.faults.is_empty();
+    let reports_before = fetch_reports(&workload.services, allow_missing_reports).await?;
     let start = Instant::now();
     let tally = Arc::new(LoadTally::new(start));
-    let run = LoadRun {
-        pool,
+    let context = LoadContext {
+        connector,
         tally: tally.clone(),
         start,
-        time: Duration::from_secs_f64(workload.seconds),
+        duration: Duration::from_secs_f64(workload.seconds),
         ramp_seconds: workload.ramp_seconds,
         traced: workload.traced,
-        name: format!("{:08x}", rand::random::<u32>()),
+        run_id: format!("{:08x}", rand::random::<u32>()),
     };
-    let printer = tokio::spawn(print_progress(tally.clone(), progress));
-    let faults = spawn_faults(&workload.faults, start);
-    let tasks = spawn_callers(workload, &run);
-    for task in tasks {
+    let progress_task = tokio::spawn(print_progress(tally.clone(), progress));
+    let fault_tasks = spawn_faults(&workload.faults, start);
+    let load_tasks = spawn_load_tasks(workload, &context);
+    for task in load_tasks {
         let _ = task.await;
     }
-    let faults = futures::future::join_all(faults).await;
+    let faults = futures::future::join_all(fault_tasks).await;
     let faults = faults.into_iter().flatten().collect();
-    printer.abort();
-    let after = collect_backends(&workload.services, is_lenient).await?;
-    let pairs = after.iter().zip(&before);
-    let seen: Vec<_> = pairs.map(|(after, before)| after.since(before)).collect();
-    Ok(LoadReport::build(workload, &tally, &seen, faults))
+    progress_task.abort();
+    let reports_after = fetch_reports(&workload.services, allow_missing_reports).await?;
+    let pairs = reports_after.iter().zip(&reports_before);
+    let new_reports: Vec<_> = pairs.map(|(after, before)| after.since(before)).collect();
+    Ok(LoadReport::build(workload, &tally, &new_reports, faults))
 }
 
-fn spawn_callers(workload: &LoadWorkload, run: &LoadRun) -> Vec<JoinHandle<()>> {
+fn spawn_load_tasks(workload: &LoadWorkload, context: &LoadContext) -> Vec<JoinHandle<()>> {
     let mut tasks = Vec::new();
     let mut seed = workload.seed;
     for service in &workload.services {
-        spawn_feeds(service, run, &mut tasks);
+        spawn_feeds(service, context, &mut tasks);
         for group in &service.requests {
-            // Each group has arrivals of its own.
+            // Each group has its own sequence of arrivals. The step is 2 because a
+            // group also uses the seed that follows its own, to draw trace contexts.
             seed = seed.wrapping_add(2);
-            let task = groups::run_group(run.clone(), service.clone(), group.clone(), seed);
+            let task = groups::run_group(context.clone(), service.clone(), group.clone(), seed);
             tasks.push(tokio::spawn(task));
         }
     }
     tasks
 }
 
-fn spawn_feeds(service: &ServiceLoad, run: &LoadRun, tasks: &mut Vec<JoinHandle<()>>) {
-    let plain = FeedLoad {
+fn spawn_feeds(service: &ServiceLoad, context: &LoadContext, tasks: &mut Vec<JoinHandle<()>>) {
+    let permanent_feeds = FeedLoad {
         count: service.feeds,
         reconnect_seconds: None,
     };
     let mut number = 0;
-    for group in std::iter::once(&plain).chain(&service.feed_groups) {
+    for group in std::iter::once(&permanent_feeds).chain(&service.feed_groups) {
         for _ in 0..group.count {
             number += 1;
-            let task = feeds::hold_feed(run.clone(), service.clone(), group.clone(), number);
+            let task =
+                feeds::keep_feed_open(context.clone(), service.clone(), group.clone(), number);
             tasks.push(tokio::spawn(task));
         }
     }
@@ -113,7 +119,7 @@
 fn spawn_faults(faults: &[FaultPlan], start: Instant) -> Vec<JoinHandle<FaultRecord>> {
     let tasks = faults.iter().cloned().map(|fault| {
         tokio::spawn(async move {
-            let error = faults::run_fault(&fault, start).await.err();
+            let error = faults::inject_fault(&fault, start).await.err();
             FaultRecord {
                 name: fault.name,
                 at: fault.at,
--- a/crates/hyssopstair/src/ops/load/requests.rs
+++ b/crates/hyssopstair/src/ops/load/requests.rs
@@ -1,8 +1,10 @@
-//! Asks one request.
+//! Sends one request, retries it and records its outcome.
 //!
-//! A request that changes something carries a ticket. Tickets come with
-//! answers, belong to the flow that they came on, and are used once; after a
-//! lost answer the same ticket is shown again on another flow.
+//! A non-idempotent request carries a ticket, which lets it run at most once.
+//! Tickets arrive in headers of responses, belong to the flow on which they arrived,
+//! and are used for one request. If a response is lost, the request is retried with
+//! the same ticket on another flow: the host there asks the issuer of the ticket
+//! whether the request has run.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -16,27 +18,28 @@
 
 use crate::ops::load::caller::CallerError;
 use crate::ops::load::caller::CallerFlow;
-use crate::ops::load::caller::WholeAnswer;
-use crate::ops::load::caller::read_whole;
+use crate::ops::load::caller::FullResponse;
+use crate::ops::load::caller::read_response;
 use crate::ops::load::tally::LoadTally;
 use crate::ops::load::workload::RequestLoad;
 
-/// Body of a request that changes something.
-const BODY: &[u8] = b"one registration";
+/// Body of a `POST` request.
+const REQUEST_BODY: &[u8] = b"one registration";
 
-/// Request header that gives the time that a caller waits, in milliseconds.
+/// Request header with the time that a caller waits, in milliseconds.
 const DEADLINE_HEADER: &str = "hyssopstair-deadline";
 
-/// Request header that carries the W3C trace context.
+/// Request header with the W3C trace context.
 const TRACE_HEADER: &str = "traceparent";
 
-/// Time after the deadline in which a final answer may still arrive.
+/// How long a caller waits beyond the deadline, so that a response that is sent at
+/// the deadline still arrives.
 const DEADLINE_GRACE: Duration = Duration::from_millis(500);
 
-/// Tries of one request, the first one included.
-const MAX_TRIES: usize = 4;
+/// Maximum number of times that a request is sent.
+const MAX_ATTEMPTS: usize = 4;
 
-/// A flow and the tickets that came on it.
+/// A flow and the unused tickets that arrived on it.
 #[derive(Clone)]
 pub struct TicketFlow {
     flow: CallerFlow,
@@ -52,18 +55,20 @@
         }
     }
 
-    /// Returns why the flow has ended, if it has.
-    pub fn end_reason(&self) -> Option<CallerError> {
-        self.flow.end_reason()
+    /// Returns why the flow broke, or `None` if it is open or was closed gracefully.
+    pub fn failure_reason(&self) -> Option<CallerError> {
+        self.flow.failure_reason()
     }
 
-    /// Returns whether the service has told the caller to go elsewhere.
-    pub fn is_leaving(&self) -> bool {
-        self.flow.is_leaving()
+    /// Returns whether the service is draining the flow, so that new requests need
+    /// another flow.
+    pub fn is_draining(&self) -> bool {
+        self.flow.is_draining()
     }
 
-    /// Sends a request with its deadline and trace, and waits for the answer.
-    async fn ask(&self, request: &LoadRequest) -> Result<WholeAnswer, CallerError> {
+    /// Sends a request with its deadline and trace context, and returns the complete
+    /// response.
+    async fn send_request(&self, request: &LoadRequest) -> Result<FullResponse, CallerError> {
         let mut builder = self
             .flow
             .request(&request.method, &request.path, &request.key);
@@ -75,25 +80,27 @@
         }
         let head = builder
             .body(())
-            .map_err(|error| CallerError::Lost(error.to_string()))?;
+            .map_err(|error| CallerError::Failed(error.to_string()))?;
         let (head, stream) = self.flow.send(head, request.body.clone()).await?;
-        read_whole(head, stream).await
+        read_response(head, stream).await
     }
 
-    /// Returns a ticket, or an empty text when there is none yet.
+    /// Returns an unused ticket, or an empty string if there is none. The service
+    /// rejects a request without a ticket with status 428 and issues a ticket.
     fn take_ticket(&self) -> String {
         let mut tickets = self.tickets.lock().unwrap_or_else(PoisonError::into_inner);
         tickets.pop().unwrap_or_default()
     }
 
-    fn keep_tickets(&self, answer: &WholeAnswer) {
+    /// Stores the tickets that a response carries.
+    fn store_tickets(&self, response: &FullResponse) {
         let mut tickets = self.tickets.lock().unwrap_or_else(PoisonError::into_inner);
-        let fresh = answer.head.headers().get_all(TICKET_HEADER).iter();
-        tickets.extend(fresh.filter_map(|value| value.to_str().ok().map(str::to_owned)));
+        let new_tickets = response.head.headers().get_all(TICKET_HEADER).iter();
+        tickets.extend(new_tickets.filter_map(|value| value.to_str().ok().map(str::to_owned)));
     }
 }
 
-/// One request of a caller.
+/// The content of a request.
 struct LoadRequest {
     method: String,
     path: String,
@@ -103,25 +110,25 @@
     trace: Option<String>,
 }
 
-/// A request that is due.
+/// A request to send, and when it is due.
 #[derive(Debug)]
 pub struct RequestPlan {
-    /// The group that it belongs to.
+    /// The group that the request belongs to.
     pub group: RequestLoad,
-    /// A name unlike that of any other request, so that the run logs of the
-    /// backend servers show whether it ran twice.
+    /// A unique name, by which the run logs of the backend servers show whether the
+    /// request ran twice.
     pub name: String,
-    /// When it is sent.
+    /// When the request is due; latency is measured from this time.
     pub due: Instant,
-    /// Its trace context.
+    /// The trace context, if the request is traced.
     pub trace: Option<String>,
 }
 
-/// Asks one request and counts what comes of it; its latency counts from the
-/// time when it was due.
-pub async fn ask_one(
+/// Sends a request over `flow`, retries it over `fallback` if needed, and records its
+/// outcome in `tally`.
+pub async fn run_request(
     flow: TicketFlow,
-    other: TicketFlow,
+    fallback: TicketFlow,
     plan: RequestPlan,
     tally: Arc<LoadTally>,
 ) {
@@ -130,81 +137,91 @@
         path: format!("{}/{}", plan.group.path, plan.name),
         method: plan.group.method.clone(),
         key: String::new(),
-        body: Bytes::from_static(if has_body { BODY } else { b"" }),
+        body: Bytes::from_static(if has_body { REQUEST_BODY } else { b"" }),
         deadline_millis: plan.group.deadline_millis,
         trace: plan.trace,
     };
-    let is_once = !plan.group.is_idempotent();
-    let asking = async {
-        if is_once {
-            ask_with_ticket(&flow, &other, &mut request).await
+    let is_non_idempotent = !plan.group.is_idempotent();
+    let attempts = async {
+        if is_non_idempotent {
+            send_with_ticket(&flow, &fallback, &mut request).await
         } else {
-            match flow.ask(&request).await {
-                Ok(answer) => Ok(answer),
-                // Asking again changes nothing.
-                Err(_) => other.ask(&request).await,
+            match flow.send_request(&request).await {
+                Ok(response) => Ok(response),
+                // An idempotent request may be sent again without a ticket.
+                Err(_) => fallback.send_request(&request).await,
             }
         }
     };
-    let answer = match plan.group.deadline_millis {
+    let response = match plan.group.deadline_millis {
         Some(millis) => {
             let wait = Duration::from_millis(millis) + DEADLINE_GRACE;
-            let late = Err(CallerError::Lost("no answer at the deadline".to_owned()));
-            tokio::time::timeout(wait, asking).await.unwrap_or(late)
+            let deadline_error = Err(CallerError::Failed(
+                "no response before the deadline".to_owned(),
+            ));
+            tokio::time::timeout(wait, attempts)
+                .await
+                .unwrap_or(deadline_error)
         }
-        None => asking.await,
+        None => attempts.await,
     };
-    match answer {
-        Ok(answer) => {
-            let is_right = is_right(&request, &answer);
-            tally.answered(&answer, plan.due, is_once, is_right);
+    match response {
+        Ok(response) => {
+            let is_expected = is_expected(&request, &response);
+            tally.record_response(&response, plan.due, is_non_idempotent, is_expected);
         }
-        Err(error) => tally.unanswered(&error, plan.due),
+        Err(error) => tally.record_failure(&error, plan.due),
     }
 }
 
-/// Asks until the request has run, was refused, or nobody knows.
-async fn ask_with_ticket(
+/// Sends a non-idempotent request with a ticket, up to [`MAX_ATTEMPTS`] times.
+/// Returns the first response that does not ask for a ticket, or else the result of
+/// the last attempt.
+async fn send_with_ticket(
     flow: &TicketFlow,
-    other: &TicketFlow,
+    fallback: &TicketFlow,
     request: &mut LoadRequest,
-) -> Result<WholeAnswer, CallerError> {
+) -> Result<FullResponse, CallerError> {
     let mut flow = flow;
     request.key = flow.take_ticket();
-    let mut last = Err(CallerError::Lost("the request was not sent".to_owned()));
-    for _ in 0..MAX_TRIES {
-        last = flow.ask(request).await;
-        match &last {
-            Ok(answer) => {
-                flow.keep_tickets(answer);
-                if answer.head.status() != StatusCode::PRECONDITION_REQUIRED {
-                    return last;
+    let mut result = Err(CallerError::Failed("the request was not sent".to_owned()));
+    for _ in 0..MAX_ATTEMPTS {
+        result = flow.send_request(request).await;
+        match &result {
+            Ok(response) => {
+                flow.store_tickets(response);
+                if response.head.status() != StatusCode::PRECONDITION_REQUIRED {
+                    return result;
                 }
                 request.key = flow.take_ticket();
             }
-            // The ticket is unused, and its issuer leaves: take another.
+            // The ticket was not used, but the flow of its issuer is draining: the
+            // other flow needs a ticket of its own.
             Err(CallerError::Unsent(_)) => {
-                flow = other;
+                flow = fallback;
                 request.key = flow.take_ticket();
             }
-            // The answer is lost: another host asks the issuer of the ticket.
-            Err(CallerError::Lost(_)) => flow = other,
+            // The request may have run: the host of the other flow asks the issuer
+            // of the ticket.
+            Err(CallerError::Failed(_)) => flow = fallback,
         }
     }
-    last
+    result
 }
 
-fn is_right(request: &LoadRequest, answer: &WholeAnswer) -> bool {
-    if answer.head.status() != StatusCode::OK {
+/// Returns whether a response is the expected one for the request. Responses with a
+/// status other than 200 have no content that could be compared and are accepted.
+fn is_expected(request: &LoadRequest, response: &FullResponse) -> bool {
+    if response.head.status() != StatusCode::OK {
         return true;
     }
     let name = request.path.trim_start_matches("/work/");
     if request.method == "POST" {
-        let expected = format!("done {name} {} {}", request.key, BODY.len());
-        return answer.body == expected.as_bytes();
+        let expected = format!("done {name} {} {}", request.key, REQUEST_BODY.len());
+        return response.body == expected.as_bytes();
     }
-    !answer.body.is_empty()
-        && answer
+    !response.body.is_empty()
+        && response
             .body
             .iter()
             .zip(name.bytes().cycle())
--- a/crates/hyssopstair/src/ops/record.rs
+++ b/crates/hyssopstair/src/ops/record.rs
@@ -1,4 +1,4 @@
-//! Reads the configuration and its past versions from the platform.
+//! Reads the configuration and its earlier versions from the platform.
 
 use std::cmp::Reverse;
 
@@ -15,72 +15,73 @@
 use crate::error::CommandError;
 use crate::error::FailureKind;
 
-/// Reads the present configuration, or nothing when there is none.
+/// Returns the latest configuration, or `None` if the platform holds none yet.
 ///
 /// # Errors
 ///
-/// Returns an error when the platform does not answer or holds no record.
-pub async fn read_record(
-    platform: &[String],
+/// Returns an error if the platform does not answer or the stored value is invalid.
+pub async fn read_configuration(
+    platform_urls: &[String],
 ) -> Result<Option<StoredRecord>, Report<CommandError>> {
-    let stored = PlatformClient::new(platform)
+    let stored = PlatformClient::new(platform_urls)
         .get(CONFIGURATION_KEY)
         .await
-        .change_context_lazy(no_answer)?;
-    read_found(stored)
+        .change_context_lazy(read_failure)?;
+    decode_record(stored)
 }
 
-/// Reads one version.
+/// Returns a version of the configuration.
 ///
 /// # Errors
 ///
-/// Returns an error when the platform does not answer or no longer keeps it.
+/// Returns an error if the platform does not answer or does not store the version.
 pub async fn read_version(
-    platform: &[String],
+    platform_urls: &[String],
     version: u64,
 ) -> Result<ConfigurationRecord, Report<CommandError>> {
-    let stored = PlatformClient::new(platform)
+    let stored = PlatformClient::new(platform_urls)
         .get(&history_key(version))
         .await
-        .change_context_lazy(no_answer)?;
-    match read_found(stored)? {
+        .change_context_lazy(read_failure)?;
+    match decode_record(stored)? {
         Some(found) if found.record.version == version => Ok(found.record),
         _ => Err(Report::new(CommandError::new(
-            FailureKind::Input,
+            FailureKind::InvalidInput,
             format!(
-                "the platform does not keep version {version}; \"hyssopstair history\" lists \
-                 the versions that it keeps"
+                "the platform does not store version {version}; \"hyssopstair history\" lists \
+                 the stored versions"
             ),
         ))),
     }
 }
 
-/// Reads all versions that are kept, the newest first.
+/// Returns all stored versions of the configuration, newest first.
 ///
 /// # Errors
 ///
-/// Returns an error when the platform does not answer or holds no records.
+/// Returns an error if the platform does not answer or a stored value is invalid.
 pub async fn read_history(
-    platform: &[String],
+    platform_urls: &[String],
 ) -> Result<Vec<ConfigurationRecord>, Report<CommandError>> {
-    let stored = PlatformClient::new(platform)
+    let stored = PlatformClient::new(platform_urls)
         .get_prefix(HISTORY_PREFIX)
         .await
-        .change_context_lazy(no_answer)?;
+        .change_context_lazy(read_failure)?;
     let mut records = Vec::new();
     for item in stored {
-        records.extend(read_found(Some(item.stored))?.map(|found| found.record));
+        records.extend(decode_record(Some(item.stored))?.map(|found| found.record));
     }
     records.sort_by_key(|record| Reverse(record.version));
     Ok(records)
 }
 
-/// Decodes a record.
+/// Decodes the value of a key that holds a configuration; `None` if the key does not
+/// exist.
 ///
 /// # Errors
 ///
-/// Returns an error when the value is no record.
-pub fn read_found(
+/// Returns an error if the value is not a configuration record.
+pub fn decode_record(
     stored: Option<StoredValue>,
 ) -> Result<Option<StoredRecord>, Report<CommandError>> {
     let Some(stored) = stored else {
@@ -88,8 +89,8 @@
     };
     let record = ConfigurationRecord::decode(&stored.value).change_context_lazy(|| {
         CommandError::new(
-            FailureKind::Service,
-            "the platform holds something else under the configuration's key",
+            FailureKind::Unavailable,
+            "the value that the platform stores is not a configuration",
         )
     })?;
     Ok(Some(StoredRecord {
@@ -98,9 +99,10 @@
     }))
 }
 
-fn no_answer() -> CommandError {
+fn read_failure() -> CommandError {
     CommandError::new(
-        FailureKind::Service,
-        "failed to read the configuration; check --platform, or try again when it answers",
+        FailureKind::Unavailable,
+        "failed to read the configuration from the platform; check --platform, or try again \
+         when the platform answers",
     )
 }
--- a/crates/hyssopstair/tests/load.rs
+++ b/crates/hyssopstair/tests/load.rs
@@ -1,4 +1,4 @@
-//! The parts of the load tool.
+//! Tests the parts of `hyssopstair load` that need no fleet.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use hyssopstair::ops::load::backends::BackendReport;
 use hyssopstair::ops::load::backends::RunRecord;
 use hyssopstair::ops::load::backends::SpreadMeasure;
-use hyssopstair::ops::load::backends::count_doubled;
+use hyssopstair::ops::load::backends::count_repeated_runs;
 use hyssopstair::ops::load::backends::sum_work;
 use hyssopstair::ops::load::compare::compare_reports;
 use hyssopstair::ops::load::workload::parse_workload;
@@ -23,39 +23,40 @@
       - {method: POST, path: /work/enrol, rate: 100, flows: 70}
 ";
 
-fn arrivals(rate: f64, ramp: f64, until: Duration) -> Vec<Duration> {
-    let mut process = ArrivalProcess::new(7, rate, ramp);
-    std::iter::repeat_with(|| process.draw())
+fn arrivals(rate: f64, ramp_seconds: f64, until: Duration) -> Vec<Duration> {
+    let mut process = ArrivalProcess::new(7, rate, ramp_seconds);
+    std::iter::repeat_with(|| process.next_arrival())
         .take_while(|time| *time < until)
         .collect()
 }
 
 #[test]
-fn arrivals_are_the_same_for_a_seed_and_keep_the_rate() {
+fn arrivals_depend_only_on_seed_and_match_rate() {
     let first = arrivals(50.0, 0.0, Duration::from_secs(100));
     assert_eq!(first, arrivals(50.0, 0.0, Duration::from_secs(100)));
-    // A Poisson process of 5,000 arrivals: its variation of gaps is about 1.
+    // About 5,000 arrivals of a Poisson process: the coefficient of variation of the
+    // gaps is about 1.
     let gaps: Vec<f64> = first
         .windows(2)
         .map(|pair| (pair[1] - pair[0]).as_secs_f64())
         .collect();
-    let variation = SpreadMeasure::of(&gaps).variation;
+    let variation = SpreadMeasure::from_loads(&gaps).variation;
     let result = format!("{} arrivals, gaps vary by {variation:.2}", first.len());
     expect!["5052 arrivals, gaps vary by 1.00"].assert_eq(&result);
 }
 
 #[test]
-fn arrivals_grow_during_the_ramp() {
+fn arrival_rate_grows_during_ramp() {
     let times = arrivals(100.0, 4.0, Duration::from_secs(6));
     let counts = [0, 1, 2, 3, 4, 5].map(|second| {
-        let of_second = times.iter().filter(|time| time.as_secs() == second);
-        of_second.count()
+        let arrivals = times.iter().filter(|time| time.as_secs() == second);
+        arrivals.count()
     });
     expect!["[13, 36, 58, 95, 100, 93]"].assert_eq(&format!("{counts:?}"));
 }
 
 #[test]
-fn a_wrong_workload_names_the_field() {
+fn invalid_workload_error_names_field() {
     let cases = [
         WORKLOAD.replace("rate: 100", "rate: 0"),
         WORKLOAD.replace("rate: 100", "speed: 100"),
@@ -75,7 +76,7 @@
 }
 
 #[test]
-fn a_fault_is_a_post_or_a_signal() {
+fn faults_are_parsed_as_post_or_signal() {
     let text = format!(
         "{WORKLOAD}faults:
   - {{at: 1, name: slow, post: {{url: \"http://127.0.0.1:1/behaviour\", body: \"{{}}\"}}}}
@@ -119,29 +120,29 @@
 }
 
 #[test]
-fn a_request_that_ran_on_two_backend_servers_is_doubled() {
+fn request_that_ran_on_two_backend_servers_counts_as_repeated() {
     let backends = [
         report(&["POST /enrol/1", "GET /plan/1", "POST /enrol/2"]),
         report(&["POST /enrol/1", "GET /plan/1"]),
     ];
-    let is_once = |request: &str| request.starts_with("POST");
-    let doubled = count_doubled(&backends, is_once);
-    let work = sum_work(&backends, is_once);
-    expect!["1 doubled, work 8"].assert_eq(&format!("{doubled} doubled, work {work}"));
+    let is_non_idempotent = |request: &str| request.starts_with("POST");
+    let repeated = count_repeated_runs(&backends, is_non_idempotent);
+    let work = sum_work(&backends, is_non_idempotent);
+    expect!["1 repeated, work 8"].assert_eq(&format!("{repeated} repeated, work {work}"));
 }
 
 #[test]
-fn a_report_counts_from_the_start_of_the_load() {
+fn report_excludes_runs_before_the_load() {
     let before = report(&["GET /plan/1"]);
     let later = report(&["GET /plan/1", "GET /plan/2"]);
     let restarted = report(&[]);
-    let seen = [later.since(&before), restarted.since(&before)];
-    let counts = seen.map(|report| report.runs.len());
+    let new_reports = [later.since(&before), restarted.since(&before)];
+    let counts = new_reports.map(|report| report.runs.len());
     expect!["[1, 0]"].assert_eq(&format!("{counts:?}"));
 }
 
 #[test]
-fn two_reports_are_compared_number_by_number() {
+fn compare_lists_each_number_of_both_reports() {
     let before = json!({"done": 100, "flows_broken": 0, "seconds": [{"done": 1}],
         "imbalance": [{"service": "leerplein", "requests": {"max_over_mean": 1.5}}]});
     let after = json!({"done": 90, "flows_broken": 2, "p50_millis": 3.5,
