--- a/crates/telemetry/src/traces.rs
+++ b/crates/telemetry/src/traces.rs
@@ -169,7 +169,7 @@
         let now = MonotonicTime(self.created_at.elapsed().as_micros() as u64);
         if let Some(held_back) = self.limiter.record_warning(now) {
             log::warn!(collector = self.url.as_str(), spans, held_back;
-                "traces: the collector took no spans");
+                "traces: failed to export spans to the collector");
         }
     }
 }
