--- a/crates/hyssopstaird/tests/balancers.rs
+++ b/crates/hyssopstaird/tests/balancers.rs
@@ -1,4 +1,4 @@
-//! Open feeds and requests while balancers die, leave and join.
+//! Tests that open feeds continue while balancers are killed, stopped and restarted.
 
 mod support;
 
@@ -7,13 +7,13 @@
 use hyssopstair_testkit::fleet::TestFleet;
 use nix::sys::signal::Signal;
 
-use support::ended;
-use support::misdelivered;
+use support::count_misdelivered_requests;
+use support::end_reasons;
 use support::open_feeds;
 use support::wait_for_lines;
 
 #[tokio::test(flavor = "multi_thread")]
-async fn feeds_live_through_the_kill_of_each_balancer() {
+async fn feeds_survive_the_kill_of_each_balancer() {
     let mut fleet = TestFleet::start(FleetPlan::small()).await.unwrap();
     let feeds = open_feeds(&fleet, "leerplein", 12).await;
     for name in fleet.balancers() {
@@ -23,12 +23,12 @@
         fleet.wait_until_settled().await.unwrap();
         wait_for_lines(&fleet, &feeds, 2).await;
     }
-    expect!["[]"].assert_eq(&format!("{:?}", ended(&feeds)));
-    assert_eq!(misdelivered(&fleet).await, 0);
+    expect!["[]"].assert_eq(&format!("{:?}", end_reasons(&feeds)));
+    assert_eq!(count_misdelivered_requests(&fleet).await, 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn feeds_live_with_one_balancer_left_and_packets_lost() {
+async fn feeds_continue_with_one_balancer_and_packet_loss() {
     let mut plan = FleetPlan::small();
     plan.fabric = ["--loss", "0.02", "--duplicate", "0.02", "--reorder", "0.05"]
         .map(str::to_owned)
@@ -38,11 +38,11 @@
     fleet.kill("balancer-1").unwrap();
     fleet.kill("balancer-2").unwrap();
     wait_for_lines(&fleet, &feeds, 10).await;
-    expect!["[]"].assert_eq(&format!("{:?}", ended(&feeds)));
+    expect!["[]"].assert_eq(&format!("{:?}", end_reasons(&feeds)));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_balancer_that_is_told_to_stop_ends_by_itself_and_cuts_nothing() {
+async fn a_balancer_that_receives_sigterm_exits_and_interrupts_no_feed() {
     let mut fleet = TestFleet::start(FleetPlan::small()).await.unwrap();
     let feeds = open_feeds(&fleet, "leerplein", 8).await;
     fleet.signal("balancer-2", Signal::SIGTERM).unwrap();
@@ -52,5 +52,5 @@
         .unwrap();
     assert!(success);
     wait_for_lines(&fleet, &feeds, 5).await;
-    expect!["[]"].assert_eq(&format!("{:?}", ended(&feeds)));
+    expect!["[]"].assert_eq(&format!("{:?}", end_reasons(&feeds)));
 }
--- a/crates/hyssopstaird/tests/configuration.rs
+++ b/crates/hyssopstaird/tests/configuration.rs
@@ -1,4 +1,5 @@
-//! Configuration while the platform is down, slow, or loses answers.
+//! Tests of the configuration while the platform is down, does not respond, or loses
+//! responses to writes.
 
 mod support;
 
@@ -11,35 +12,42 @@
 use nix::sys::signal::Signal;
 use serde_json::json;
 
-use support::ended;
+use support::end_reasons;
 use support::open_feeds;
 use support::wait_for_lines;
 
-/// Longest time until an accepted configuration is in force everywhere.
-const IN_FORCE: Duration = Duration::from_secs(16);
+/// Maximum time until an accepted configuration is in force on all daemons.
+const MAX_PROPAGATION_TIME: Duration = Duration::from_secs(16);
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_accepted_change_spreads_while_the_platform_is_down() {
+async fn an_accepted_change_reaches_all_daemons_while_the_platform_is_down() {
     let mut fleet = TestFleet::start(FleetPlan::small()).await.unwrap();
-    let mut frozen = fleet.balancers();
-    frozen.extend(fleet.hosts());
-    let confirming = vec![frozen.remove(0)];
-    for name in &frozen {
+    let mut suspended_names = fleet.balancers();
+    suspended_names.extend(fleet.hosts());
+    let confirming_names = vec![suspended_names.remove(0)];
+    for name in &suspended_names {
         fleet.signal(name, Signal::SIGSTOP).unwrap();
     }
     let rules = format!("{}key 2 # test: yearly change\n", fleet.rules());
-    fleet.apply_confirmed_by(&rules, &confirming).await.unwrap();
+    fleet
+        .apply_confirmed_by(&rules, &confirming_names)
+        .await
+        .unwrap();
     fleet.kill("platform").unwrap();
     let start = Instant::now();
-    for name in &frozen {
+    for name in &suspended_names {
         fleet.signal(name, Signal::SIGCONT).unwrap();
     }
     fleet.wait_for_version(2).await.unwrap();
-    assert!(start.elapsed() < IN_FORCE, "{:?}", start.elapsed());
+    assert!(
+        start.elapsed() < MAX_PROPAGATION_TIME,
+        "{:?}",
+        start.elapsed()
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_balancer_born_while_the_platform_is_down_carries_all_feeds() {
+async fn a_balancer_started_while_the_platform_is_down_forwards_all_feeds() {
     let mut fleet = TestFleet::start(FleetPlan::small()).await.unwrap();
     let feeds = open_feeds(&fleet, "leerplein", 8).await;
     fleet.kill("platform").unwrap();
@@ -49,13 +57,13 @@
     fleet.kill("balancer-1").unwrap();
     fleet.kill("balancer-2").unwrap();
     wait_for_lines(&fleet, &feeds, 5).await;
-    expect!["[]"].assert_eq(&format!("{:?}", ended(&feeds)));
-    let later = open_feeds(&fleet, "leerplein", 4).await;
-    expect!["[]"].assert_eq(&format!("{:?}", ended(&later)));
+    expect!["[]"].assert_eq(&format!("{:?}", end_reasons(&feeds)));
+    let later_feeds = open_feeds(&fleet, "leerplein", 4).await;
+    expect!["[]"].assert_eq(&format!("{:?}", end_reasons(&later_feeds)));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_write_whose_answer_is_lost_counts_once() {
+async fn a_write_whose_response_is_lost_is_applied_once() {
     let fleet = TestFleet::start(FleetPlan::small()).await.unwrap();
     let faults = json!({ "lost_answers": 1 });
     fleet
@@ -68,15 +76,15 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_frozen_platform_stops_nothing_and_is_used_again_afterwards() {
+async fn a_suspended_platform_interrupts_no_feed_and_is_used_again_afterwards() {
     let fleet = TestFleet::start(FleetPlan::small()).await.unwrap();
     let feeds = open_feeds(&fleet, "leerplein", 8).await;
     fleet.signal("platform", Signal::SIGSTOP).unwrap();
     wait_for_lines(&fleet, &feeds, 10).await;
-    let later = open_feeds(&fleet, "leerplein", 4).await;
+    let later_feeds = open_feeds(&fleet, "leerplein", 4).await;
     fleet.signal("platform", Signal::SIGCONT).unwrap();
     let rules = format!("{}key 2 # test: yearly change\n", fleet.rules());
     fleet.apply(&rules).await.unwrap();
-    expect!["[]"].assert_eq(&format!("{:?}", ended(&feeds)));
-    expect!["[]"].assert_eq(&format!("{:?}", ended(&later)));
+    expect!["[]"].assert_eq(&format!("{:?}", end_reasons(&feeds)));
+    expect!["[]"].assert_eq(&format!("{:?}", end_reasons(&later_feeds)));
 }
--- a/crates/hyssopstaird/tests/requests.rs
+++ b/crates/hyssopstaird/tests/requests.rs
@@ -1,5 +1,5 @@
-//! Requests while hosts pause, die and stop, judged by the run logs of the
-//! backend servers.
+//! Tests of requests while hosts are paused, killed and stopped. The run records of the
+//! backend servers show whether a request ran more than once.
 
 mod support;
 
@@ -18,14 +18,16 @@
 use nix::sys::signal::Signal;
 use serde_json::json;
 
-use support::connect;
+use support::open_flow;
 
-const PATH: &str = "/work/enrol/17";
+/// Path of the requests. Requests to it that are not idempotent need a ticket.
+const REQUEST_PATH: &str = "/work/enrol/17";
 
-/// Part of a body that is shown, in bytes.
-const MAX_TEXT: usize = 60;
+/// Maximum length in bytes of the text of a response body in [`describe_response`].
+const MAX_TEXT_BYTES: usize = 60;
 
-/// A flow to a host that is known by its tickets.
+/// A flow together with the host that serves it, which is identified by the ticket that it
+/// issues.
 struct HostFlow {
     host: String,
     flow: CallerFlow,
@@ -33,22 +35,25 @@
 }
 
 impl HostFlow {
-    /// Asks with a key, and returns status, verdict and body.
-    async fn ask(&self, method: &str, key: &str, body: &'static str) -> String {
+    /// Sends a request with `key` as its idempotency key. Returns the description of the
+    /// response, or the error if there is none.
+    async fn send_request(&self, method: &str, key: &str, body: &'static str) -> String {
         let body = Bytes::from_static(body.as_bytes());
-        match self.flow.fetch(method, PATH, key, body).await {
-            Ok(answer) => describe(&answer),
-            Err(error) => format!("no answer: {error}"),
+        match self.flow.fetch(method, REQUEST_PATH, key, body).await {
+            Ok(response) => describe_response(&response),
+            Err(error) => format!("no response: {error}"),
         }
     }
 
-    async fn enrol(&self, key: &str) -> String {
-        self.ask("POST", key, "coach 4").await
+    /// Sends the same enrolment, which is not idempotent, with each call.
+    async fn post_enrolment(&self, key: &str) -> String {
+        self.send_request("POST", key, "coach 4").await
     }
 }
 
-fn header<'a>(answer: &'a FullResponse, name: &str) -> &'a str {
-    answer
+/// Returns the value of a response header, or an empty string if there is none.
+fn header_value<'a>(response: &'a FullResponse, name: &str) -> &'a str {
+    response
         .head
         .headers()
         .get(name)
@@ -56,9 +61,10 @@
         .unwrap_or("")
 }
 
-/// Describes an answer without the ticket that its body may repeat.
-fn describe(answer: &FullResponse) -> String {
-    let body = String::from_utf8_lossy(&answer.body);
+/// Returns the status, the verdict and the first words of the body of a response. A ticket
+/// in the body is replaced by `KEY`, because it differs in each test run.
+fn describe_response(response: &FullResponse) -> String {
+    let body = String::from_utf8_lossy(&response.body);
     let words = body.split_whitespace().map(|word| {
         if word.starts_with("hyt1-") {
             "KEY"
@@ -68,46 +74,51 @@
     });
     let words: Vec<&str> = words.take(8).collect();
     let mut text = words.join(" ");
-    text.truncate(MAX_TEXT);
-    let verdict = header(answer, "hyssopstair-verdict");
-    let status = answer.head.status().as_u16();
+    text.truncate(MAX_TEXT_BYTES);
+    let verdict = header_value(response, "hyssopstair-verdict");
+    let status = response.head.status().as_u16();
     format!("{status} {verdict}: {text}")
 }
 
-/// Opens flows until two hosts are known, and returns one flow to each.
-async fn flows_to_two_hosts(fleet: &TestFleet) -> (HostFlow, HostFlow) {
+/// Opens flows until two different hosts have been reached, and returns one flow to each.
+async fn open_flows_to_two_hosts(fleet: &TestFleet) -> (HostFlow, HostFlow) {
     let connector = CallerConnector::with_root_certificate(&fleet.certificate()).unwrap();
-    let first = open(fleet, &connector).await;
+    let first_flow = open_host_flow(fleet, &connector).await;
     loop {
-        let second = open(fleet, &connector).await;
-        if second.host != first.host {
-            return (first, second);
+        let second_flow = open_host_flow(fleet, &connector).await;
+        if second_flow.host != first_flow.host {
+            return (first_flow, second_flow);
         }
     }
 }
 
-async fn open(fleet: &TestFleet, connector: &CallerConnector) -> HostFlow {
-    let flow = connect(connector, fleet, "leerplein").await;
-    let answer = flow.fetch("POST", PATH, "", Bytes::new()).await.unwrap();
+/// Opens a flow and reads its host from the ticket that comes with the response to a request
+/// without one.
+async fn open_host_flow(fleet: &TestFleet, connector: &CallerConnector) -> HostFlow {
+    let flow = open_flow(connector, fleet, "leerplein").await;
+    let response = flow
+        .fetch("POST", REQUEST_PATH, "", Bytes::new())
+        .await
+        .unwrap();
     expect!["428 not-run: not-run: the request needs the ticket that comes"]
-        .assert_eq(&describe(&answer));
-    let ticket = header(&answer, "hyssopstair-ticket").to_owned();
+        .assert_eq(&describe_response(&response));
+    let ticket = header_value(&response, "hyssopstair-ticket").to_owned();
     let host = fleet
         .hosts()
         .into_iter()
-        .find(|host| ticket.starts_with(&issuer_digits(fleet, host)))
-        .expect("a host has issued the ticket");
+        .find(|host| ticket.starts_with(&ticket_prefix(fleet, host)))
+        .expect("no host of the fleet issued the ticket");
     HostFlow { host, flow, ticket }
 }
 
-/// Returns the start of the tickets that a host issues.
-fn issuer_digits(fleet: &TestFleet, host: &str) -> String {
+/// Returns the prefix of the tickets that a host issues, which encodes its inner address.
+fn ticket_prefix(fleet: &TestFleet, host: &str) -> String {
     let [a, b, c, d] = fleet.inner(host).ip().octets();
     format!("hyt1-{a:02x}{b:02x}{c:02x}{d:02x}")
 }
 
-/// Returns the runs of all backend servers.
-async fn runs(fleet: &TestFleet) -> Vec<RunRecord> {
+/// Returns the recorded runs of all backend servers.
+async fn fetch_runs(fleet: &TestFleet) -> Vec<RunRecord> {
     let mut runs = Vec::new();
     for host in fleet.hosts() {
         if let Some(report) = fleet.report(&host).await {
@@ -117,24 +128,28 @@
     runs
 }
 
-async fn wait_for_run(fleet: &TestFleet) {
+/// Waits until a backend server has started to run a request.
+async fn wait_for_run_start(fleet: &TestFleet) {
     fleet
-        .wait_for("the start of the run", async || {
-            !runs(fleet).await.is_empty()
+        .wait_for("start of the run", async || {
+            !fetch_runs(fleet).await.is_empty()
         })
         .await
         .unwrap();
 }
 
-async fn check(fleet: &TestFleet, answers: &[String], expected: Expect) {
-    let runs = runs(fleet).await;
-    let cancelled = runs.iter().filter(|run| run.cancelled).count();
-    let mut lines = answers.to_vec();
-    lines.push(format!("{} runs, {cancelled} cancelled", runs.len()));
+/// Compares the responses, and the numbers of runs and of cancelled runs, with the expected
+/// text.
+async fn assert_outcome(fleet: &TestFleet, responses: &[String], expected: Expect) {
+    let runs = fetch_runs(fleet).await;
+    let cancelled_count = runs.iter().filter(|run| run.cancelled).count();
+    let mut lines = responses.to_vec();
+    lines.push(format!("{} runs, {cancelled_count} cancelled", runs.len()));
     expected.assert_eq(&lines.join("\n"));
 }
 
-async fn fleet(work_millis: u64) -> TestFleet {
+/// Starts a small fleet whose backend servers take `work_millis` for a request.
+async fn start_fleet(work_millis: u64) -> TestFleet {
     let plan = FleetPlan {
         work_millis,
         ..FleetPlan::small()
@@ -142,30 +157,34 @@
     TestFleet::start(plan).await.unwrap()
 }
 
-async fn behave(fleet: &TestFleet, host: &str, behaviour: serde_json::Value) {
+/// Changes the behaviour of the backend server of a host.
+async fn set_behaviour(fleet: &TestFleet, host: &str, behaviour: serde_json::Value) {
     let address = fleet.backend(host);
     fleet.post(address, "/behaviour", &behaviour).await.unwrap();
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_ticket_runs_one_request_once_at_any_host() {
-    let fleet = fleet(300).await;
-    let (first, second) = flows_to_two_hosts(&fleet).await;
-    let ticket = &first.ticket;
-    let (one, copy) = tokio::join!(first.enrol(ticket), first.enrol(ticket));
-    let answers = [
-        one,
-        copy,
-        first.enrol(ticket).await,
-        second.enrol(ticket).await,
-        first.ask("POST", ticket, "coach 5").await,
-        second.ask("POST", ticket, "coach 5").await,
-        first.enrol(&second.ticket).await,
-        second.enrol(&second.ticket).await,
+async fn a_request_with_a_ticket_runs_once_at_any_host() {
+    let fleet = start_fleet(300).await;
+    let (first_flow, second_flow) = open_flows_to_two_hosts(&fleet).await;
+    let ticket = &first_flow.ticket;
+    let (original, duplicate) = tokio::join!(
+        first_flow.post_enrolment(ticket),
+        first_flow.post_enrolment(ticket)
+    );
+    let responses = [
+        original,
+        duplicate,
+        first_flow.post_enrolment(ticket).await,
+        second_flow.post_enrolment(ticket).await,
+        first_flow.send_request("POST", ticket, "coach 5").await,
+        second_flow.send_request("POST", ticket, "coach 5").await,
+        first_flow.post_enrolment(&second_flow.ticket).await,
+        second_flow.post_enrolment(&second_flow.ticket).await,
     ];
-    check(
+    assert_outcome(
         &fleet,
-        &answers,
+        &responses,
         expect![[r#"
             200 done: done enrol/17 KEY 7
             200 done: done enrol/17 KEY 7
@@ -182,21 +201,22 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_enrolment_whose_host_is_killed_is_never_run_again() {
-    let mut fleet = fleet(3_000).await;
-    let (first, second) = flows_to_two_hosts(&fleet).await;
-    let ticket = first.ticket.clone();
-    let host = first.host.clone();
-    let asked = tokio::spawn(async move { first.enrol(&first.ticket).await });
-    wait_for_run(&fleet).await;
+    let mut fleet = start_fleet(3_000).await;
+    let (first_flow, second_flow) = open_flows_to_two_hosts(&fleet).await;
+    let ticket = first_flow.ticket.clone();
+    let host = first_flow.host.clone();
+    let request_task =
+        tokio::spawn(async move { first_flow.post_enrolment(&first_flow.ticket).await });
+    wait_for_run_start(&fleet).await;
     fleet.kill(&host).unwrap();
-    asked.abort();
-    let mut answers = vec![second.enrol(&ticket).await];
+    request_task.abort();
+    let mut responses = vec![second_flow.post_enrolment(&ticket).await];
     fleet.restart(&host).unwrap();
     fleet.wait_until_settled().await.unwrap();
-    answers.push(second.enrol(&ticket).await);
-    check(
+    responses.push(second_flow.post_enrolment(&ticket).await);
+    assert_outcome(
         &fleet,
-        &answers,
+        &responses,
         expect![[r#"
         504 may-have-run: may-have-run: the host that issued the ticket does
         504 may-have-run: may-have-run: the host that issued the ticket does
@@ -206,31 +226,39 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_enrolment_whose_host_is_paused_is_settled_when_it_wakes() {
-    let fleet = fleet(500).await;
-    let (first, second) = flows_to_two_hosts(&fleet).await;
-    let (ticket, host) = (first.ticket.clone(), first.host.clone());
-    let unused = {
+async fn an_enrolment_whose_host_is_paused_is_settled_when_it_resumes() {
+    let fleet = start_fleet(500).await;
+    let (first_flow, second_flow) = open_flows_to_two_hosts(&fleet).await;
+    let (ticket, host) = (first_flow.ticket.clone(), first_flow.host.clone());
+    let unused_ticket = {
         let body = Bytes::new();
-        let answer = first.flow.fetch("POST", PATH, "", body).await.unwrap();
-        header(&answer, "hyssopstair-ticket").to_owned()
+        let response = first_flow
+            .flow
+            .fetch("POST", REQUEST_PATH, "", body)
+            .await
+            .unwrap();
+        header_value(&response, "hyssopstair-ticket").to_owned()
     };
-    let asked = tokio::spawn(async move { first.enrol(&first.ticket).await });
-    wait_for_run(&fleet).await;
+    let request_task =
+        tokio::spawn(async move { first_flow.post_enrolment(&first_flow.ticket).await });
+    wait_for_run_start(&fleet).await;
     fleet.signal(&host, Signal::SIGSTOP).unwrap();
-    let while_paused = [second.enrol(&ticket).await, second.enrol(&unused).await];
+    let responses_while_paused = [
+        second_flow.post_enrolment(&ticket).await,
+        second_flow.post_enrolment(&unused_ticket).await,
+    ];
     fleet.signal(&host, Signal::SIGCONT).unwrap();
-    // Its flow may be reset meanwhile, when other members take it for gone.
-    let _ = asked.await.unwrap();
-    let answers = [
-        while_paused[0].clone(),
-        while_paused[1].clone(),
-        settled(&fleet, &second, &ticket).await,
-        settled(&fleet, &second, &unused).await,
+    // The flow may be reset meanwhile, if other members consider the host gone.
+    let _ = request_task.await.unwrap();
+    let responses = [
+        responses_while_paused[0].clone(),
+        responses_while_paused[1].clone(),
+        send_until_settled(&fleet, &second_flow, &ticket).await,
+        send_until_settled(&fleet, &second_flow, &unused_ticket).await,
     ];
-    check(
+    assert_outcome(
         &fleet,
-        &answers,
+        &responses,
         expect![[r#"
             504 may-have-run: may-have-run: the host that issued the ticket does
             504 may-have-run: may-have-run: the host that issued the ticket does
@@ -241,58 +269,62 @@
     .await;
 }
 
-/// Asks until the issuer of a ticket is known to be there again.
-async fn settled(fleet: &TestFleet, flow: &HostFlow, ticket: &str) -> String {
+/// Repeats the enrolment until the issuer of the ticket is reachable again, and returns the
+/// response to the next one.
+async fn send_until_settled(fleet: &TestFleet, flow: &HostFlow, ticket: &str) -> String {
     fleet
-        .wait_for("the issuer of the ticket", async || {
-            !flow.enrol(ticket).await.starts_with("504")
+        .wait_for("reachability of the issuer of the ticket", async || {
+            !flow.post_enrolment(ticket).await.starts_with("504")
         })
         .await
         .unwrap();
-    flow.enrol(ticket).await
+    flow.post_enrolment(ticket).await
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_answer_that_breaks_off_never_looks_whole() {
-    let fleet = fleet(20).await;
-    let (first, _second) = flows_to_two_hosts(&fleet).await;
-    behave(&fleet, &first.host, json!({ "cuts_answers": true })).await;
-    let answers = [
-        first.enrol(&first.ticket).await,
-        first.enrol(&first.ticket).await,
+async fn a_truncated_response_never_looks_complete() {
+    let fleet = start_fleet(20).await;
+    let (first_flow, _second_flow) = open_flows_to_two_hosts(&fleet).await;
+    set_behaviour(&fleet, &first_flow.host, json!({ "cuts_answers": true })).await;
+    let responses = [
+        first_flow.post_enrolment(&first_flow.ticket).await,
+        first_flow.post_enrolment(&first_flow.ticket).await,
     ];
-    check(
+    assert_outcome(
         &fleet,
-        &answers,
+        &responses,
         expect![[r#"
             502 may-have-run: may-have-run: the backend server broke off; the request
             504 may-have-run: may-have-run: the host that issued the ticket does
             1 runs, 0 cancelled"#]],
     )
     .await;
-    // The answer to a reader breaks off, or comes whole from another host when
-    // none of it had been given.
+    // The response to a GET request is either cut off, or complete from another host if none
+    // of it had been sent to the caller.
     for _ in 0..5 {
-        let asked = first.flow.fetch("GET", PATH, "", Bytes::new()).await;
-        if let Ok(answer) = asked {
-            assert_eq!(answer.body.len(), document_bytes("enrol/17").len());
+        let result = first_flow
+            .flow
+            .fetch("GET", REQUEST_PATH, "", Bytes::new())
+            .await;
+        if let Ok(response) = result {
+            assert_eq!(response.body.len(), document_bytes("enrol/17").len());
         }
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_that_is_shed_runs_at_another_host() {
-    let fleet = fleet(20).await;
-    let (first, second) = flows_to_two_hosts(&fleet).await;
-    behave(&fleet, &first.host, json!({ "shedding": true })).await;
-    let answers = [
-        first.enrol(&first.ticket).await,
-        second.enrol(&first.ticket).await,
-        first.ask("GET", "", "").await,
+    let fleet = start_fleet(20).await;
+    let (first_flow, second_flow) = open_flows_to_two_hosts(&fleet).await;
+    set_behaviour(&fleet, &first_flow.host, json!({ "shedding": true })).await;
+    let responses = [
+        first_flow.post_enrolment(&first_flow.ticket).await,
+        second_flow.post_enrolment(&first_flow.ticket).await,
+        first_flow.send_request("GET", "", "").await,
     ];
-    check(
+    assert_outcome(
         &fleet,
-        &answers,
+        &responses,
         expect![[r#"
             200 done: done enrol/17 KEY 7
             200 done: done enrol/17 KEY 7
@@ -304,47 +336,52 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_whose_flow_ends_is_cancelled() {
-    let fleet = fleet(60_000).await;
-    let (first, _second) = flows_to_two_hosts(&fleet).await;
-    let asked = tokio::spawn(async move { first.ask("GET", "", "").await });
-    wait_for_run(&fleet).await;
-    asked.abort();
+    let fleet = start_fleet(60_000).await;
+    let (first_flow, _second_flow) = open_flows_to_two_hosts(&fleet).await;
+    let request_task = tokio::spawn(async move { first_flow.send_request("GET", "", "").await });
+    wait_for_run_start(&fleet).await;
+    request_task.abort();
     fleet
-        .wait_for("the end of the run", async || {
-            runs(&fleet)
+        .wait_for("end of the run", async || {
+            fetch_runs(&fleet)
                 .await
                 .iter()
                 .all(|run| run.end_millis.is_some())
         })
         .await
         .unwrap();
-    let given = runs(&fleet).await[0].deadline_millis;
-    assert!(given.is_some_and(|millis| (4_000..=5_000).contains(&millis)));
-    check(&fleet, &[], expect!["1 runs, 1 cancelled"]).await;
+    let deadline_millis = fetch_runs(&fleet).await[0].deadline_millis;
+    assert!(deadline_millis.is_some_and(|millis| (4_000..=5_000).contains(&millis)));
+    assert_outcome(&fleet, &[], expect!["1 runs, 1 cancelled"]).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_host_that_stops_ends_what_it_runs_and_takes_nothing_new() {
-    let mut fleet = fleet(1_500).await;
-    let (first, _second) = flows_to_two_hosts(&fleet).await;
-    let host = first.host.clone();
-    let (asked, late) = tokio::join!(first.enrol(&first.ticket), async {
-        wait_for_run(&fleet).await;
-        fleet.signal(&host, Signal::SIGTERM).unwrap();
-        fleet
-            .wait_for("the host to leave", async || {
-                let status = fleet.status(&host).await;
-                status.is_some_and(|status| status.to_string().contains("Draining"))
-            })
-            .await
-            .unwrap();
-        first.ask("GET", "", "").await
-    });
-    let ended = fleet.wait_for_exit(&host, Duration::from_secs(10)).await;
-    let answers = [asked, late, format!("{:?}", ended.unwrap())];
-    check(
+async fn a_stopping_host_completes_its_requests_and_runs_no_new_ones() {
+    let mut fleet = start_fleet(1_500).await;
+    let (first_flow, _second_flow) = open_flows_to_two_hosts(&fleet).await;
+    let host = first_flow.host.clone();
+    let (enrolment, late_request) =
+        tokio::join!(first_flow.post_enrolment(&first_flow.ticket), async {
+            wait_for_run_start(&fleet).await;
+            fleet.signal(&host, Signal::SIGTERM).unwrap();
+            fleet
+                .wait_for("draining state of the host", async || {
+                    let status = fleet.status(&host).await;
+                    status.is_some_and(|status| status.to_string().contains("Draining"))
+                })
+                .await
+                .unwrap();
+            first_flow.send_request("GET", "", "").await
+        });
+    let exit_result = fleet.wait_for_exit(&host, Duration::from_secs(10)).await;
+    let responses = [
+        enrolment,
+        late_request,
+        format!("{:?}", exit_result.unwrap()),
+    ];
+    assert_outcome(
         &fleet,
-        &answers,
+        &responses,
         expect![[r#"
             200 done: done enrol/17 KEY 7
             200 done: enrol/17enrol/17enrol/17enrol/17enrol/17enrol/17enrol/17enro
--- a/crates/hyssopstaird/tests/silence.rs
+++ b/crates/hyssopstaird/tests/silence.rs
@@ -1,4 +1,5 @@
-//! Processes that stop answering without dying.
+//! Tests with processes that stop responding: suspended by SIGSTOP, so that their sockets
+//! stay open, or killed.
 
 mod support;
 
@@ -8,51 +9,52 @@
 use hyssopstair_testkit::fleet::TestFleet;
 use nix::sys::signal::Signal;
 
-use support::ended;
-use support::feeds_by_host;
+use support::count_feeds_by_host;
+use support::end_reasons;
 use support::open_feeds;
 use support::wait_for_lines;
-use support::wait_until_passed_by;
+use support::wait_until_one_host_excluded;
 
-/// Feeds that are opened at once to reach every host.
-const MANY_FEEDS: usize = 12;
+/// Number of feeds or flows that are opened so that every host receives some.
+const FLOW_COUNT: usize = 12;
 
 #[tokio::test(flavor = "multi_thread")]
-async fn feeds_go_on_past_a_frozen_balancer() {
+async fn feeds_continue_while_a_balancer_is_suspended() {
     let fleet = TestFleet::start(FleetPlan::small()).await.unwrap();
-    let feeds = open_feeds(&fleet, "leerplein", MANY_FEEDS).await;
+    let feeds = open_feeds(&fleet, "leerplein", FLOW_COUNT).await;
     fleet.signal("balancer-1", Signal::SIGSTOP).unwrap();
     wait_for_lines(&fleet, &feeds, 10).await;
     fleet.signal("balancer-1", Signal::SIGCONT).unwrap();
     wait_for_lines(&fleet, &feeds, 5).await;
-    expect!["[]"].assert_eq(&format!("{:?}", ended(&feeds)));
+    expect!["[]"].assert_eq(&format!("{:?}", end_reasons(&feeds)));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn new_flows_pass_by_a_frozen_host() {
+async fn new_flows_avoid_a_suspended_host() {
     let fleet = TestFleet::start(FleetPlan::small()).await.unwrap();
     fleet.signal("leerplein-1", Signal::SIGSTOP).unwrap();
-    wait_until_passed_by(&fleet).await;
-    let feeds = open_feeds(&fleet, "leerplein", MANY_FEEDS).await;
-    expect!["[]"].assert_eq(&format!("{:?}", ended(&feeds)));
+    wait_until_one_host_excluded(&fleet).await;
+    let feeds = open_feeds(&fleet, "leerplein", FLOW_COUNT).await;
+    expect!["[]"].assert_eq(&format!("{:?}", end_reasons(&feeds)));
     fleet.signal("leerplein-1", Signal::SIGCONT).unwrap();
     fleet.wait_until_settled().await.unwrap();
-    let later = open_feeds(&fleet, "leerplein", MANY_FEEDS).await;
-    expect!["[]"].assert_eq(&format!("{:?}", ended(&later)));
-    let counts = feeds_by_host(&fleet, "leerplein").await;
+    let later_feeds = open_feeds(&fleet, "leerplein", FLOW_COUNT).await;
+    expect!["[]"].assert_eq(&format!("{:?}", end_reasons(&later_feeds)));
+    let counts = count_feeds_by_host(&fleet, "leerplein").await;
     assert!(counts.iter().all(|(_, count)| *count > 0), "{counts:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_can_open_a_flow_again_after_its_host_was_killed() {
+async fn callers_can_open_flows_after_a_host_is_killed() {
     let mut fleet = TestFleet::start(FleetPlan::small()).await.unwrap();
     fleet.kill("leerplein-1").unwrap();
     let connector = CallerConnector::with_root_certificate(&fleet.certificate()).unwrap();
     let address = std::net::SocketAddr::V4(fleet.service_address("leerplein"));
-    // Callers try again as they do: each attempt has a limit of its own.
+    // Until the balancers exclude the killed host, an attempt may time out; each attempt
+    // has its own timeout.
     fleet
-        .wait_for("many flows in a row", async || {
-            for _ in 0..MANY_FEEDS {
+        .wait_for("success of all flows in a row", async || {
+            for _ in 0..FLOW_COUNT {
                 if connector.connect("leerplein", address).await.is_err() {
                     return false;
                 }
--- a/crates/hyssopstaird/tests/stop.rs
+++ b/crates/hyssopstaird/tests/stop.rs
@@ -1,4 +1,4 @@
-//! Daemons that are told to stop while nobody uses them.
+//! Tests that daemons without open flows and requests exit after SIGTERM.
 
 use std::time::Duration;
 
@@ -6,15 +6,15 @@
 use hyssopstair_testkit::fleet::TestFleet;
 use nix::sys::signal::Signal;
 
-/// Longest time of a stop with nothing in progress.
-const STOP_TIME: Duration = Duration::from_secs(10);
+/// Maximum time until a daemon without open flows and requests exits.
+const STOP_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Fleets that are stopped one after the other.
-const ROUNDS: usize = 3;
+/// Number of fleets that are started and stopped one after the other.
+const FLEET_COUNT: usize = 3;
 
 #[tokio::test(flavor = "multi_thread")]
-async fn each_daemon_ends_by_itself() {
-    for _ in 0..ROUNDS {
+async fn each_idle_daemon_exits_after_sigterm() {
+    for _ in 0..FLEET_COUNT {
         let mut fleet = TestFleet::start(FleetPlan::small()).await.unwrap();
         let mut names = fleet.balancers();
         names.extend(fleet.hosts());
@@ -22,7 +22,7 @@
             fleet.signal(name, Signal::SIGTERM).unwrap();
         }
         for name in &names {
-            let success = fleet.wait_for_exit(name, STOP_TIME).await.unwrap();
+            let success = fleet.wait_for_exit(name, STOP_TIMEOUT).await.unwrap();
             assert!(success, "{name}");
         }
     }
--- a/crates/hyssopstaird/tests/support/mod.rs
+++ b/crates/hyssopstaird/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! What the tests of whole processes share.
+//! Helpers for the tests that start a fleet of real processes: feeds that are read in the
+//! background, and counts over all hosts.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -14,52 +15,54 @@
 use hyssopstair::ops::load::caller::read_chunk;
 use hyssopstair_testkit::fleet::TestFleet;
 
-/// How a feed stands.
+/// The progress of a feed.
 #[derive(Debug, Clone, Default)]
 pub struct FeedState {
-    /// Lines that came, all of them in order.
-    pub lines: u64,
-    /// Why the feed ended, if it did.
-    pub ended: Option<String>,
-    /// When it ended.
+    /// The number of lines received, all of them in order.
+    pub line_count: u64,
+    /// The reason why the feed ended, or `None` while it is open.
+    pub end_reason: Option<String>,
+    /// The time at which the feed ended.
     pub ended_at: Option<Instant>,
 }
 
-/// A feed that is held open.
+/// A feed that a background task reads until it ends.
 #[derive(Debug, Clone)]
-pub struct FeedWatcher {
+pub struct WatchedFeed {
     state: Arc<Mutex<FeedState>>,
 }
 
-impl FeedWatcher {
-    /// Opens a feed on a flow of its own.
+impl WatchedFeed {
+    /// Opens a flow to a service and requests the feed `name` on it.
     pub async fn open(
         connector: &CallerConnector,
         fleet: &TestFleet,
         service: &str,
         name: &str,
     ) -> Self {
-        let flow = connect(connector, fleet, service).await;
-        let watcher = Self {
+        let flow = open_flow(connector, fleet, service).await;
+        let feed = Self {
             state: Arc::default(),
         };
-        let state = watcher.state.clone();
+        let state = feed.state.clone();
         let name = name.to_owned();
         tokio::spawn(async move {
-            let ended = read_feed(&flow, &name, &state).await;
+            let end_reason = read_feed(&flow, &name, &state).await;
             let mut state = state.lock().unwrap();
-            state.ended = Some(ended);
+            state.end_reason = Some(end_reason);
             state.ended_at = Some(Instant::now());
         });
-        watcher
+        feed
     }
 
-    /// Returns how the feed stands.
+    /// Returns the progress of the feed.
     pub fn state(&self) -> FeedState {
         self.state.lock().unwrap().clone()
     }
 }
 
+/// Reads a feed and counts its lines. Returns the reason why it ended: the end of the
+/// response, an error, or a line out of order.
 async fn read_feed(flow: &CallerFlow, name: &str, state: &Mutex<FeedState>) -> String {
     let path = format!("/feed/{name}");
     let (_, mut stream) = match flow.start_request("GET", &path, "", Bytes::new()).await {
@@ -70,62 +73,75 @@
     loop {
         match read_chunk(&mut stream).await {
             Ok(Some(chunk)) => text.push_str(&String::from_utf8_lossy(&chunk)),
-            Ok(None) => return "end of the answer".to_owned(),
+            Ok(None) => return "the response ended".to_owned(),
             Err(error) => return error.to_string(),
         }
-        while let Some((line, rest)) = text.split_once('\n') {
+        while let Some((line, remainder)) = text.split_once('\n') {
             let mut state = state.lock().unwrap();
-            if line != format!("{name} {}", state.lines) {
-                return format!("line {line} stands in place of line {}", state.lines);
+            if line != format!("{name} {}", state.line_count) {
+                return format!("received line {line} instead of line {}", state.line_count);
             }
-            state.lines += 1;
-            text = rest.to_owned();
+            state.line_count += 1;
+            text = remainder.to_owned();
         }
     }
 }
 
-/// Opens a flow to a service.
-pub async fn connect(connector: &CallerConnector, fleet: &TestFleet, service: &str) -> CallerFlow {
+/// Opens a flow to a service. Panics if that fails.
+pub async fn open_flow(
+    connector: &CallerConnector,
+    fleet: &TestFleet,
+    service: &str,
+) -> CallerFlow {
     let address = SocketAddr::V4(fleet.service_address(service));
     connector
         .connect(service, address)
         .await
-        .expect("a flow opens while the fleet is whole")
+        .expect("failed to open a flow to the service")
 }
 
-/// Opens `count` feeds and waits until each has a line.
-pub async fn open_feeds(fleet: &TestFleet, service: &str, count: usize) -> Vec<FeedWatcher> {
+/// Opens `count` feeds, each on a flow of its own, and waits until each has received a line.
+pub async fn open_feeds(fleet: &TestFleet, service: &str, count: usize) -> Vec<WatchedFeed> {
     let connector = CallerConnector::with_root_certificate(&fleet.certificate())
-        .expect("the certificate is good");
+        .expect("the certificate of the fleet is invalid");
     let mut feeds = Vec::new();
-    for number in 0..count {
-        feeds.push(FeedWatcher::open(&connector, fleet, service, &format!("van-{number}")).await);
+    for feed_number in 0..count {
+        feeds.push(
+            WatchedFeed::open(&connector, fleet, service, &format!("van-{feed_number}")).await,
+        );
     }
     wait_for_lines(fleet, &feeds, 1).await;
     feeds
 }
 
-/// Waits until each feed that runs has `count` more lines than now.
-pub async fn wait_for_lines(fleet: &TestFleet, feeds: &[FeedWatcher], count: u64) {
-    let before: Vec<u64> = feeds.iter().map(|feed| feed.state().lines).collect();
+/// Waits until each open feed has received `count` more lines.
+pub async fn wait_for_lines(fleet: &TestFleet, feeds: &[WatchedFeed], count: u64) {
+    let counts_before: Vec<u64> = feeds.iter().map(|feed| feed.state().line_count).collect();
     fleet
         .wait_for("new lines on all feeds", async || {
-            feeds.iter().zip(&before).all(|(feed, before)| {
-                let state = feed.state();
-                state.ended.is_some() || state.lines >= before + count
-            })
+            feeds
+                .iter()
+                .zip(&counts_before)
+                .all(|(feed, count_before)| {
+                    let state = feed.state();
+                    state.end_reason.is_some() || state.line_count >= count_before + count
+                })
         })
         .await
         .unwrap();
 }
 
-/// Returns why feeds ended, for those that did.
-pub fn ended(feeds: &[FeedWatcher]) -> Vec<String> {
-    feeds.iter().filter_map(|feed| feed.state().ended).collect()
+/// Returns the reasons of the feeds that have ended.
+pub fn end_reasons(feeds: &[WatchedFeed]) -> Vec<String> {
+    feeds
+        .iter()
+        .filter_map(|feed| feed.state().end_reason)
+        .collect()
 }
 
-/// Returns the feeds that each host's backend server has opened.
-pub async fn feeds_by_host(fleet: &TestFleet, service: &str) -> Vec<(String, u64)> {
+/// Returns the name of each host of a service with the number of feeds that were opened at
+/// its backend server. Leaves out backend servers that do not answer.
+pub async fn count_feeds_by_host(fleet: &TestFleet, service: &str) -> Vec<(String, u64)> {
     let mut counts = Vec::new();
     for host in fleet.hosts() {
         if host.starts_with(service)
@@ -137,22 +153,22 @@
     counts
 }
 
-/// Returns a host that has a feed, and how many it has.
-pub async fn host_with_feeds(fleet: &TestFleet, service: &str) -> (String, u64) {
-    feeds_by_host(fleet, service)
+/// Returns the name of a host at which feeds were opened, and their number.
+pub async fn find_host_with_feeds(fleet: &TestFleet, service: &str) -> (String, u64) {
+    count_feeds_by_host(fleet, service)
         .await
         .into_iter()
         .find(|(_, count)| *count > 0)
-        .expect("some host has a feed")
+        .expect("no host has a feed")
 }
 
-/// Waits until every balancer counts one host less as alive.
-pub async fn wait_until_passed_by(fleet: &TestFleet) {
-    let expected = Some(fleet.hosts().len() - 1);
+/// Waits until each balancer excludes exactly one host from new flows.
+pub async fn wait_until_one_host_excluded(fleet: &TestFleet) {
+    let expected_hosts = Some(fleet.hosts().len() - 1);
     fleet
-        .wait_for("balancers turning to other hosts", async || {
+        .wait_for("exclusion of one host by all balancers", async || {
             for name in fleet.balancers() {
-                if fleet.live_hosts(&name).await != expected {
+                if fleet.live_hosts(&name).await != expected_hosts {
                     return false;
                 }
             }
@@ -162,18 +178,19 @@
         .unwrap();
 }
 
-/// Waits until `count` feeds have ended.
-pub async fn wait_for_ends(fleet: &TestFleet, feeds: &[FeedWatcher], count: u64) {
+/// Waits until exactly `count` feeds have ended.
+pub async fn wait_for_ended_feeds(fleet: &TestFleet, feeds: &[WatchedFeed], count: u64) {
     fleet
-        .wait_for("the end of the dead host's feeds", async || {
-            ended(feeds).len() as u64 == count
+        .wait_for("end of the feeds of the killed host", async || {
+            end_reasons(feeds).len() as u64 == count
         })
         .await
         .unwrap();
 }
 
-/// Returns the requests that reached a wrong service, over all hosts.
-pub async fn misdelivered(fleet: &TestFleet) -> u64 {
+/// Returns the number of requests that reached a backend server of the wrong service, over
+/// all hosts.
+pub async fn count_misdelivered_requests(fleet: &TestFleet) -> u64 {
     let mut count = 0;
     for host in fleet.hosts() {
         if let Some(report) = fleet.report(&host).await {
@@ -183,5 +200,6 @@
     count
 }
 
-/// Longest time that a test waits for what the brief calls a few seconds.
-pub const FEW_SECONDS: Duration = Duration::from_secs(3);
+/// Maximum time until all balancers exclude a stopping host from new flows. The requirement
+/// is "a few seconds".
+pub const MAX_EXCLUSION_TIME: Duration = Duration::from_secs(3);
--- a/crates/hyssopstaird/tests/together.rs
+++ b/crates/hyssopstaird/tests/together.rs
@@ -1,4 +1,5 @@
-//! Several faults and planned changes at once, under load.
+//! Tests that faults and planned changes that overlap, under load, break no flow and run no
+//! request twice.
 
 use std::fs;
 
@@ -9,10 +10,11 @@
 use serde_json::Value;
 use tempfile::TempDir;
 
-/// Feeds that are held through all faults.
-const FEEDS: u32 = 20;
+/// Number of feeds that stay open during all faults.
+const FEED_COUNT: u32 = 20;
 
-fn workload(fleet: &TestFleet) -> String {
+/// Returns the workload for the load generator: feeds, and enrolments on flows that reconnect.
+fn workload_yaml(fleet: &TestFleet) -> String {
     let backends: Vec<String> = fleet
         .hosts()
         .iter()
@@ -21,7 +23,7 @@
         .collect();
     format!(
         "seconds: 12\nseed: 5\ncertificate: {}\nservices:\n  - name: leerplein\n    address: {}\n    \
-         feeds: {FEEDS}\n    requests:\n      - {{method: POST, path: /work/enrol, rate: 30, \
+         feeds: {FEED_COUNT}\n    requests:\n      - {{method: POST, path: /work/enrol, rate: 30, \
          flows: 10, reconnect_seconds: 2}}\n    backends: [{}]\n",
         fleet.certificate().display(),
         fleet.service_address("leerplein"),
@@ -29,49 +31,50 @@
     )
 }
 
-async fn wait_for_feeds(fleet: &TestFleet) {
+/// Waits until the load generator has opened all feeds.
+async fn wait_until_feeds_open(fleet: &TestFleet) {
     fleet
-        .wait_for("all feeds being open", async || {
-            let mut open = 0;
+        .wait_for("opening of all feeds", async || {
+            let mut open_count = 0;
             for host in fleet.hosts() {
-                open += fleet.report(&host).await.map_or(0, |report| report.feeds);
+                open_count += fleet.report(&host).await.map_or(0, |report| report.feeds);
             }
-            open >= u64::from(FEEDS)
+            open_count >= u64::from(FEED_COUNT)
         })
         .await
         .unwrap();
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn nothing_breaks_or_runs_twice_when_faults_meet_planned_changes() {
+async fn no_flow_breaks_and_no_request_runs_twice_during_faults_and_planned_changes() {
     let mut fleet = TestFleet::start(FleetPlan::small()).await.unwrap();
     let directory = TempDir::new().unwrap();
-    let path = directory.path().join("workload.yaml");
-    let json = directory.path().join("report.json");
-    fs::write(&path, workload(&fleet)).unwrap();
+    let workload_path = directory.path().join("workload.yaml");
+    let report_path = directory.path().join("report.json");
+    fs::write(&workload_path, workload_yaml(&fleet)).unwrap();
     let arguments = [
         "load",
         "--json",
-        json.to_str().unwrap(),
-        path.to_str().unwrap(),
+        report_path.to_str().unwrap(),
+        workload_path.to_str().unwrap(),
     ];
     let arguments: Vec<String> = arguments.map(str::to_owned).to_vec();
-    let loading = tokio::spawn(TestFleet::run_command(arguments));
-    wait_for_feeds(&fleet).await;
-    // A balancer dies while a drain is put in force and a host is told to stop.
+    let load_task = tokio::spawn(TestFleet::run_command(arguments));
+    wait_until_feeds_open(&fleet).await;
+    // A balancer is killed while one host is drained by rule and another receives SIGTERM.
     fleet.kill("balancer-1").unwrap();
-    let inner = fleet.inner("leerplein-1");
-    let rules = format!("{}drain {inner} # test: new disks\n", fleet.rules());
+    let inner_address = fleet.inner("leerplein-1");
+    let rules = format!("{}drain {inner_address} # test: new disks\n", fleet.rules());
     fleet.apply(&rules).await.unwrap();
     fleet.signal("leerplein-2", Signal::SIGTERM).unwrap();
-    // The platform freezes, the balancer comes back, and another one dies.
+    // While the platform is suspended, the balancer restarts and another one is killed.
     fleet.signal("platform", Signal::SIGSTOP).unwrap();
     fleet.restart("balancer-1").unwrap();
     fleet.wait_for_version(2).await.unwrap();
     fleet.kill("balancer-2").unwrap();
     fleet.signal("platform", Signal::SIGCONT).unwrap();
-    let _ = loading.await.unwrap();
-    let report: Value = serde_json::from_str(&fs::read_to_string(&json).unwrap()).unwrap();
+    let _ = load_task.await.unwrap();
+    let report: Value = serde_json::from_str(&fs::read_to_string(&report_path).unwrap()).unwrap();
     expect!["broken 0, doubled 0, wrong service 0, wrong answers 0, may have run 0"].assert_eq(
         &format!(
             "broken {}, doubled {}, wrong service {}, wrong answers {}, may have run {}",
