--- a/crates/testkit/src/collector.rs
+++ b/crates/testkit/src/collector.rs
@@ -60,7 +60,7 @@
 
     /// Returns the spans of a trace as a tree below `root`, one name a line,
     /// indented by depth. Equal neighbours of one parent are written once.
-    pub fn tree(&self, trace: &str, root: &str) -> String {
+    pub fn format_tree(&self, trace: &str, root: &str) -> String {
         let spans = self.spans(trace);
         let mut lines = Vec::new();
         add_children(&spans, root, 0, &mut lines);
--- a/crates/testkit/src/fleet/plan.rs
+++ b/crates/testkit/src/fleet/plan.rs
@@ -6,7 +6,7 @@
     /// The name.
     pub name: &'static str,
     /// How many hosts it has.
-    pub hosts: u8,
+    pub host_count: u8,
     /// Requests that run at once on a host.
     pub slots: u16,
 }
@@ -15,31 +15,31 @@
 #[derive(Debug, Clone)]
 pub struct FleetPlan {
     /// How many balancers run.
-    pub balancers: u8,
+    pub balancer_count: u8,
     /// The services.
     pub services: Vec<ServicePlan>,
     /// Time that a request takes at a backend server, in milliseconds.
     pub work_millis: u64,
     /// More arguments of the fabric, such as `--loss 0.01`.
-    pub fabric: Vec<String>,
+    pub fabric_arguments: Vec<String>,
     /// More lines of the settings of each daemon.
-    pub settings: String,
+    pub extra_settings: String,
 }
 
 impl FleetPlan {
     /// Returns a plan of two services with few hosts.
     pub fn small() -> Self {
-        let service = |name, hosts| ServicePlan {
+        let service = |name, host_count| ServicePlan {
             name,
-            hosts,
+            host_count,
             slots: 3,
         };
         Self {
-            balancers: 3,
+            balancer_count: 3,
             services: vec![service("leerplein", 3), service("diplomakluis", 2)],
             work_millis: 20,
-            fabric: Vec::new(),
-            settings: String::new(),
+            fabric_arguments: Vec::new(),
+            extra_settings: String::new(),
         }
     }
 }
