--- a/crates/testkit/examples/backend.rs
+++ b/crates/testkit/examples/backend.rs
@@ -1,4 +1,4 @@
-//! The stand-in for a backend server.
+//! Runs the stand-in for a backend server.
 
 use std::net::SocketAddr;
 
@@ -7,7 +7,7 @@
 use hyssopstair_testkit::backend::BackendServer;
 use tokio::net::TcpListener;
 
-/// Answers requests and feeds of one service.
+/// Serve the requests and feeds of a service.
 #[derive(FromArgs)]
 struct BackendArgs {
     /// address to listen on
@@ -18,7 +18,7 @@
     #[argh(option)]
     service: String,
 
-    /// requests that run at once
+    /// number of requests that can run at once
     #[argh(option, default = "3")]
     slots: usize,
 
@@ -26,11 +26,11 @@
     #[argh(option, default = "20")]
     work: u64,
 
-    /// time after the start in which requests take longer, in milliseconds
+    /// time after the start for which requests take longer, in milliseconds
     #[argh(option, default = "0")]
     cold: u64,
 
-    /// how much longer they take then, in milliseconds
+    /// additional time that a request takes after the start, in milliseconds
     #[argh(option, default = "0")]
     cold_work: u64,
 }
--- a/crates/testkit/examples/fabric.rs
+++ b/crates/testkit/examples/fabric.rs
@@ -1,4 +1,4 @@
-//! The stand-in for the network fabric.
+//! Runs the stand-in for the network fabric.
 
 use std::net::SocketAddrV4;
 
@@ -8,7 +8,7 @@
 use hyssopstair_testkit::fabric::FabricFaults;
 use hyssopstair_testkit::fabric::FabricPlan;
 
-/// Sprays packets of callers over the balancers that are ready.
+/// Send each packet of callers to a random balancer that is ready.
 #[derive(FromArgs)]
 struct FabricArgs {
     /// address for packets from and to balancers
@@ -19,7 +19,7 @@
     #[argh(option)]
     service: Vec<SocketAddrV4>,
 
-    /// a balancer as ENTRY,ADMIN; may be given more than once
+    /// packet and admin address of a balancer as ENTRY,ADMIN; may be given more than once
     #[argh(option, from_str_fn(parse_balancer))]
     balancer: Vec<FabricBalancer>,
 
@@ -55,7 +55,7 @@
 #[tokio::main]
 async fn main() -> std::io::Result<()> {
     let args: FabricArgs = argh::from_env();
-    fabric::run(FabricPlan {
+    fabric::run_fabric(FabricPlan {
         tunnel: args.tunnel,
         services: args.service,
         balancers: args.balancer,
--- a/crates/testkit/examples/platform.rs
+++ b/crates/testkit/examples/platform.rs
@@ -1,4 +1,4 @@
-//! The stand-in for the platform's key-value service.
+//! Runs the stand-in for the platform's key-value service.
 
 use std::net::SocketAddr;
 
@@ -6,7 +6,7 @@
 use hyssopstair_testkit::platform::PlatformStore;
 use tokio::net::TcpListener;
 
-/// Keeps keys and values in memory, with the etcd v3 API in JSON.
+/// Serve the etcd v3 API in JSON, with keys and values in memory.
 #[derive(FromArgs)]
 struct PlatformArgs {
     /// address to listen on
--- a/crates/testkit/src/fleet/error.rs
+++ b/crates/testkit/src/fleet/error.rs
@@ -1,22 +1,22 @@
-//! Why a fleet does not do what a test asks.
+//! Errors of a test fleet.
 
-/// Why a fleet does not do what a test asks.
+/// An error of a test fleet.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetError {
-    /// A file or process could not be used.
+    /// An operation on a file or a process failed.
     #[error("failed to run the fleet: {0}")]
     Io(#[from] std::io::Error),
-    /// A process has no such name.
+    /// No process has the name, or the process is not running.
     #[error("no process is named {0}")]
     UnknownName(String),
-    /// A condition did not come true in time.
-    #[error("{0} did not come true in time")]
+    /// The condition with this description was not met in time.
+    #[error("timed out waiting for {0}")]
     Timeout(String),
-    /// A command of the operators failed.
+    /// The hyssopstair command or a request to a stand-in failed.
     #[error("command failed: {0}")]
     Command(String),
-    /// A certificate could not be made.
-    #[error("failed to make a certificate: {0}")]
+    /// A certificate could not be created.
+    #[error("failed to create a certificate: {0}")]
     Certificate(#[from] rcgen::Error),
     /// A signal could not be sent.
     #[error("failed to send a signal: {0}")]
--- a/crates/testkit/src/fleet/plan.rs
+++ b/crates/testkit/src/fleet/plan.rs
@@ -1,33 +1,33 @@
-//! What a fleet is made of.
+//! The services, processes and settings of a test fleet.
 
-/// One service of a fleet.
+/// A service of a test fleet.
 #[derive(Debug, Clone)]
 pub struct ServicePlan {
-    /// The name.
+    /// Name of the service.
     pub name: &'static str,
-    /// How many hosts it has.
+    /// Number of hosts of the service.
     pub host_count: u8,
-    /// Requests that run at once on a host.
+    /// Number of requests that can run at once on a host.
     pub slots: u16,
 }
 
-/// What a fleet is made of.
+/// The plan of a test fleet.
 #[derive(Debug, Clone)]
 pub struct FleetPlan {
-    /// How many balancers run.
+    /// Number of balancers.
     pub balancer_count: u8,
-    /// The services.
+    /// Services of the fleet.
     pub services: Vec<ServicePlan>,
     /// Time that a request takes at a backend server, in milliseconds.
     pub work_millis: u64,
-    /// More arguments of the fabric, such as `--loss 0.01`.
+    /// Additional arguments of the fabric, such as `--loss 0.01`.
     pub fabric_arguments: Vec<String>,
-    /// More lines of the settings of each daemon.
+    /// Additional lines in the settings of each daemon.
     pub extra_settings: String,
 }
 
 impl FleetPlan {
-    /// Returns a plan of two services with few hosts.
+    /// Returns a plan with three balancers and two services of three and two hosts.
     pub fn small() -> Self {
         let service = |name, host_count| ServicePlan {
             name,
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,8 +1,8 @@
-//! Small stand-ins for what the system meets: the platform's key-value
-//! service, the network fabric and backend servers.
+//! Stand-ins for the systems around hyssopstair: the platform's key-value service, the
+//! network fabric, backend servers and a trace collector.
 //!
-//! Each stand-in is a program under `examples/`; the modules here hold what
-//! the programs do, so that tests can run them in their own process.
+//! The first three are also programs in `examples/`, which [`fleet`] runs together with
+//! the daemons. Tests can run the modules in their own process as well.
 
 pub mod backend;
 pub mod collector;
