--- a/crates/testkit/src/fleet/plan.rs
+++ b/crates/testkit/src/fleet/plan.rs
@@ -1,45 +1,45 @@
-//! What a fleet is made of.
+//! The services, processes and settings of a test fleet.
 
-/// One service of a fleet.
+/// A service of a test fleet.
 #[derive(Debug, Clone)]
 pub struct ServicePlan {
-    /// The name.
+    /// Name of the service.
     pub name: &'static str,
-    /// How many hosts it has.
-    pub hosts: u8,
-    /// Requests that run at once on a host.
+    /// Number of hosts of the service.
+    pub host_count: u8,
+    /// Number of requests that can run at once on a host.
     pub slots: u16,
 }
 
-/// What a fleet is made of.
+/// The plan of a test fleet.
 #[derive(Debug, Clone)]
 pub struct FleetPlan {
-    /// How many balancers run.
-    pub balancers: u8,
-    /// The services.
+    /// Number of balancers.
+    pub balancer_count: u8,
+    /// Services of the fleet.
     pub services: Vec<ServicePlan>,
     /// Time that a request takes at a backend server, in milliseconds.
     pub work_millis: u64,
-    /// More arguments of the fabric, such as `--loss 0.01`.
-    pub fabric: Vec<String>,
-    /// More lines of the settings of each daemon.
-    pub settings: String,
+    /// Additional arguments of the fabric, such as `--loss 0.01`.
+    pub fabric_arguments: Vec<String>,
+    /// Additional lines in the settings of each daemon.
+    pub extra_settings: String,
 }
 
 impl FleetPlan {
-    /// Returns a plan of two services with few hosts.
+    /// Returns a plan with three balancers and two services of three and two hosts.
     pub fn small() -> Self {
-        let service = |name, hosts| ServicePlan {
+        let service = |name, host_count| ServicePlan {
             name,
-            hosts,
+            host_count,
             slots: 3,
         };
         Self {
-            balancers: 3,
+            balancer_count: 3,
             services: vec![service("leerplein", 3), service("diplomakluis", 2)],
             work_millis: 20,
-            fabric: Vec::new(),
-            settings: String::new(),
+            fabric_arguments: Vec::new(),
+            extra_settings: String::new(),
         }
     }
 }
