--- a/crates/testkit/src/collector.rs
+++ b/crates/testkit/src/collector.rs
@@ -57,12 +57,13 @@
         found.cloned().collect()
     }
 
-    /// Returns the names of the spans of a trace as a tree below the span `root`, one on
-    /// each line, indented by depth. Equal subtrees of a parent are listed once.
-    pub fn format_tree(&self, trace_id: &str, root: &str) -> String {
+    /// Returns the names of the spans of a trace as a tree below the span with the ID
+    /// `root_id`, one on each line, indented by depth. Equal subtrees of a parent are listed
+    /// once.
+    pub fn format_tree(&self, trace_id: &str, root_id: &str) -> String {
         let spans = self.spans(trace_id);
         let mut lines = Vec::new();
-        add_subtrees(&spans, root, 0, &mut lines);
+        add_subtrees(&spans, root_id, 0, &mut lines);
         lines.join("\n")
     }
 }
--- a/crates/testkit/src/fabric.rs
+++ b/crates/testkit/src/fabric.rs
@@ -118,8 +118,8 @@
         .unwrap_or_default();
     let url = format!("http://{}/ready", balancer.admin);
     loop {
-        let answer = client.get(&url).send().await;
-        let is_ready = answer.is_ok_and(|answer| answer.status().is_success());
+        let response = client.get(&url).send().await;
+        let is_ready = response.is_ok_and(|response| response.status().is_success());
         set_ready(&state, balancer.entry, is_ready);
         tokio::time::sleep(PROBE_INTERVAL).await;
     }
--- a/crates/testkit/src/fleet/mod.rs
+++ b/crates/testkit/src/fleet/mod.rs
@@ -273,20 +273,20 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the request fails or is answered with an error status.
+    /// Returns an error if the request fails or the response has an error status.
     pub async fn post_json(
         &self,
         address: SocketAddrV4,
         path: &str,
         body: &Value,
     ) -> Result<(), FleetError> {
-        let answer = reqwest::Client::new()
+        let response = reqwest::Client::new()
             .post(format!("http://{address}{path}"))
             .json(body)
             .send()
             .await
             .and_then(reqwest::Response::error_for_status);
-        match answer {
+        match response {
             Ok(_) => Ok(()),
             Err(error) => Err(FleetError::Command(error.to_string())),
         }
@@ -526,16 +526,16 @@
 
     /// Returns the IP address of the instance on which a daemon runs.
     fn instance_ip(&self, name: &str) -> Ipv4Addr {
-        const FIRST_BALANCER: u8 = 20;
-        const FIRST_HOST: u8 = 40;
+        const BALANCER_BASE_OCTET: u8 = 20;
+        const HOST_BASE_OCTET: u8 = 40;
         const HOSTS_PER_SERVICE: u8 = 20;
         let (kind, number) = name.rsplit_once('-').unwrap_or((name, "0"));
         let number: u8 = number.parse().unwrap_or(0);
         if kind == "balancer" {
-            return self.ip(FIRST_BALANCER + number);
+            return self.ip(BALANCER_BASE_OCTET + number);
         }
         let service = self.service_index(kind) as u8;
-        self.ip(FIRST_HOST + HOSTS_PER_SERVICE * service + number)
+        self.ip(HOST_BASE_OCTET + HOSTS_PER_SERVICE * service + number)
     }
 
     /// Prints the last lines of each process's log.
--- a/crates/testkit/src/fleet/process.rs
+++ b/crates/testkit/src/fleet/process.rs
@@ -22,14 +22,14 @@
 ///
 /// Returns an error if all networks are in use.
 pub fn reserve_network() -> Result<([u8; 2], TcpListener), FleetError> {
-    const FIRST_OCTET: u32 = 16;
+    const MIN_OCTET: u32 = 16;
     const OCTET_COUNT: u32 = 200;
     let process_id = std::process::id();
     for attempt in 0..OCTET_COUNT * OCTET_COUNT {
         let number = process_id.wrapping_mul(31).wrapping_add(attempt);
         let network = [
-            (FIRST_OCTET + (number / OCTET_COUNT) % OCTET_COUNT) as u8,
-            (FIRST_OCTET + number % OCTET_COUNT) as u8,
+            (MIN_OCTET + (number / OCTET_COUNT) % OCTET_COUNT) as u8,
+            (MIN_OCTET + number % OCTET_COUNT) as u8,
         ];
         let ip = Ipv4Addr::new(127, network[0], network[1], 254);
         if let Ok(reservation) = TcpListener::bind((ip, RESERVATION_PORT)) {
--- a/crates/testkit/src/platform.rs
+++ b/crates/testkit/src/platform.rs
@@ -29,9 +29,9 @@
 pub struct PlatformFaults {
     /// Whether every call is rejected.
     pub stopped: bool,
-    /// Delay of each answer, in milliseconds.
+    /// Delay of each response, in milliseconds.
     pub delay_millis: u64,
-    /// Number of further writes that take effect but are answered with status 504.
+    /// Number of upcoming writes that take effect but whose response has status 504.
     pub lost_answers: u32,
 }
 
@@ -122,8 +122,9 @@
         }
     }
 
-    /// Returns whether the answer to a write must be lost, and counts it.
-    fn take_lost_answer(&mut self) -> bool {
+    /// Returns whether the response to a write must be lost, and decrements the number of
+    /// responses to lose.
+    fn take_lost_response(&mut self) -> bool {
         if self.faults.lost_answers == 0 {
             return false;
         }
@@ -183,7 +184,7 @@
     {
         state.put_item(put);
     }
-    if succeeded && state.take_lost_answer() {
+    if succeeded && state.take_lost_response() {
         return Err(StatusCode::GATEWAY_TIMEOUT);
     }
     Ok(Json(TxnResponse {
